--- a/src/main/java/io/waxwingquay/fleet/LatenessCurve.java
+++ b/src/main/java/io/waxwingquay/fleet/LatenessCurve.java
@@ -10,17 +10,17 @@
     public static final double LATE_SHARE_WHEN_FULL = 0.5;
 
     /** The part of its places up to which an engine serves all in time. */
-    private static final double EASY_SHARE = 0.2;
+    private static final double ON_TIME_UTILISATION = 0.2;
 
     private LatenessCurve() {}
 
     /**
      * The share of requests served late.
      *
-     * @param taken requests at once over places; above 1 the line is carried on.
+     * @param utilisation requests at once over places; above 1 the line is carried on.
      * @return the share.
      */
-    public static double lateShare(double taken) {
-        return LATE_SHARE_WHEN_FULL * Math.max(0, taken - EASY_SHARE) / (1 - EASY_SHARE);
+    public static double lateShare(double utilisation) {
+        return LATE_SHARE_WHEN_FULL * Math.max(0, utilisation - ON_TIME_UTILISATION) / (1 - ON_TIME_UTILISATION);
     }
 }
--- a/src/main/java/io/waxwingquay/fleet/PeerTableReader.java
+++ b/src/main/java/io/waxwingquay/fleet/PeerTableReader.java
@@ -21,65 +21,65 @@
 public final class PeerTableReader<T> {
 
     /** Pause between two tries; another process may know as little. */
-    private static final long PAUSE_MILLIS = 600L;
+    private static final long RETRY_INTERVAL_MILLIS = 600L;
 
     private static final System.Logger LOG = System.getLogger("waxwingquay.fleet");
 
     private final String name;
-    private final LongSupplier patienceMillis;
-    private final Function<HostPort, WatchedTable<T>> tables;
+    private final LongSupplier stalenessLimitMillis;
+    private final Function<HostPort, WatchedTable<T>> tableAtPeer;
     private final LongSupplier ownVersion;
-    private final Consumer<WatchedTable.Page<T>> adopter;
+    private final Consumer<WatchedTable.Page<T>> pageConsumer;
     private final List<HostPort> seeds = new ArrayList<>();
-    private Optional<HostPort> holder = Optional.empty();
+    private Optional<HostPort> newestPeer = Optional.empty();
     private long newestVersion;
-    private long behindSinceMillis = Long.MAX_VALUE;
-    private long nextTryMillis = Long.MIN_VALUE;
-    private int nextSeed;
+    private long staleSinceMillis = Long.MAX_VALUE;
+    private long nextReadMillis = Long.MIN_VALUE;
+    private int nextSeedIndex;
     private boolean reading;
 
     /**
      * A reader that knows of no other process.
      *
      * @param name the table's name, for logs.
-     * @param patienceMillis how long this process may be behind before it reads elsewhere: what the store normally takes,
+     * @param stalenessLimitMillis how long this process may be behind before it reads elsewhere: what the store normally takes,
      *     and nothing while the store is lost.
-     * @param tables the table as another process has it.
+     * @param tableAtPeer the table as another process has it.
      * @param ownVersion the version that this process has, 0 if none.
-     * @param adopter takes what was read.
+     * @param pageConsumer takes what was read.
      */
     public PeerTableReader(
             String name,
-            LongSupplier patienceMillis,
-            Function<HostPort, WatchedTable<T>> tables,
+            LongSupplier stalenessLimitMillis,
+            Function<HostPort, WatchedTable<T>> tableAtPeer,
             LongSupplier ownVersion,
-            Consumer<WatchedTable.Page<T>> adopter) {
+            Consumer<WatchedTable.Page<T>> pageConsumer) {
         this.name = name;
-        this.patienceMillis = patienceMillis;
-        this.tables = tables;
+        this.stalenessLimitMillis = stalenessLimitMillis;
+        this.tableAtPeer = tableAtPeer;
         this.ownVersion = ownVersion;
-        this.adopter = adopter;
+        this.pageConsumer = pageConsumer;
     }
 
     /**
      * Names processes to ask while nothing at all is known here.
      *
-     * @param processes where they answer.
+     * @param peers where they answer.
      */
-    public void addSeeds(List<HostPort> processes) {
-        seeds.addAll(processes);
+    public void addSeeds(List<HostPort> peers) {
+        seeds.addAll(peers);
     }
 
     /**
      * Another process has told which version it has.
      *
      * @param version the version.
-     * @param process where it answers.
+     * @param peer where it answers.
      */
-    public void recordPeerVersion(long version, HostPort process) {
+    public void recordPeerVersion(long version, HostPort peer) {
         if (version > newestVersion) {
             newestVersion = version;
-            holder = Optional.of(process);
+            newestPeer = Optional.of(peer);
         }
     }
 
@@ -91,33 +91,33 @@
     public void readIfStale(long nowMillis) {
         long own = ownVersion.getAsLong();
         if (own > 0 && own >= newestVersion) {
-            behindSinceMillis = Long.MAX_VALUE;
+            staleSinceMillis = Long.MAX_VALUE;
             return;
         }
-        behindSinceMillis = Math.min(behindSinceMillis, nowMillis);
-        boolean isDue = nowMillis - behindSinceMillis >= patienceMillis.getAsLong() && nowMillis >= nextTryMillis;
+        staleSinceMillis = Math.min(staleSinceMillis, nowMillis);
+        boolean isDue = nowMillis - staleSinceMillis >= stalenessLimitMillis.getAsLong() && nowMillis >= nextReadMillis;
         if (isDue && !reading) {
-            nextTryMillis = nowMillis + PAUSE_MILLIS;
-            holder.or(this::seed).ifPresent(this::read);
+            nextReadMillis = nowMillis + RETRY_INTERVAL_MILLIS;
+            newestPeer.or(this::nextSeed).ifPresent(this::readFrom);
         }
     }
 
-    private Optional<HostPort> seed() {
-        return seeds.isEmpty() ? Optional.empty() : Optional.of(seeds.get(nextSeed++ % seeds.size()));
+    private Optional<HostPort> nextSeed() {
+        return seeds.isEmpty() ? Optional.empty() : Optional.of(seeds.get(nextSeedIndex++ % seeds.size()));
     }
 
-    private void read(HostPort process) {
+    private void readFrom(HostPort peer) {
         reading = true;
-        tables.apply(process).readAll().whenComplete((page, failure) -> {
+        tableAtPeer.apply(peer).readAll().whenComplete((page, failure) -> {
             reading = false;
             if (failure != null) {
                 LOG.log(
                         System.Logger.Level.INFO,
                         "fleet: copy not read table={0} from={1} cause={2}",
                         name,
-                        process,
+                        peer,
                         failure.getMessage());
-                holder = Optional.empty();
+                newestPeer = Optional.empty();
                 newestVersion = 0;
                 return;
             }
@@ -125,9 +125,9 @@
                     System.Logger.Level.INFO,
                     "fleet: copy read table={0} from={1} version={2}",
                     name,
-                    process,
+                    peer,
                     Long.toString(page.version()));
-            adopter.accept(page);
+            pageConsumer.accept(page);
             // What the other said last is what it has given.
             newestVersion = ownVersion.getAsLong();
         });
--- a/src/main/java/io/waxwingquay/fleet/ReplicaDirectory.java
+++ b/src/main/java/io/waxwingquay/fleet/ReplicaDirectory.java
@@ -28,11 +28,11 @@
 
     private final LongSupplier clockMillis;
     private final Listener listener;
-    private final Map<String, ReplicaRecord> known = new HashMap<>();
-    private final Map<String, Long> missingSinceMillis = new HashMap<>();
+    private final Map<String, ReplicaRecord> recordsById = new HashMap<>();
+    private final Map<String, Long> unlistedSinceMillis = new HashMap<>();
     private boolean reachable = true;
-    private boolean complete;
-    private long doubtfulUntilMillis = Long.MIN_VALUE;
+    private boolean snapshotReceived;
+    private long graceUntilMillis = Long.MIN_VALUE;
 
     /**
      * An empty directory.
@@ -51,7 +51,7 @@
      * @return whether a replica that is not here is not known to the platform.
      */
     public boolean isComplete() {
-        return complete;
+        return snapshotReceived;
     }
 
     /**
@@ -60,7 +60,7 @@
      * @return all that are believed to be there, leaving ones included.
      */
     public Collection<ReplicaRecord> replicas() {
-        return List.copyOf(known.values());
+        return List.copyOf(recordsById.values());
     }
 
     /**
@@ -69,27 +69,27 @@
      * @return their ids.
      */
     public Set<String> unlistedIds() {
-        return Set.copyOf(missingSinceMillis.keySet());
+        return Set.copyOf(unlistedSinceMillis.keySet());
     }
 
     /** {@inheritDoc} */
     @Override
     public void onSnapshot(WatchedTable.Page<ReplicaRecord> page) {
-        complete = true;
+        snapshotReceived = true;
         Set<String> present = new HashSet<>();
         page.rows().forEach(row -> row.value().ifPresent(record -> {
             present.add(record.id());
-            seen(record);
+            addOrUpdate(record);
         }));
-        new ArrayList<>(known.keySet())
-                .stream().filter(id -> !present.contains(id)).forEach(this::unlistedIds);
+        new ArrayList<>(recordsById.keySet())
+                .stream().filter(id -> !present.contains(id)).forEach(this::markUnlisted);
         removeExpired();
     }
 
     /** {@inheritDoc} */
     @Override
     public void onChanges(WatchedTable.Page<ReplicaRecord> page) {
-        page.rows().forEach(row -> row.value().ifPresentOrElse(this::seen, () -> unlistedIds(row.key())));
+        page.rows().forEach(row -> row.value().ifPresentOrElse(this::addOrUpdate, () -> markUnlisted(row.key())));
         removeExpired();
     }
 
@@ -97,13 +97,13 @@
     @Override
     public void onReachabilityChanged(boolean nowReachable) {
         reachable = nowReachable;
-        doubtfulUntilMillis = clockMillis.getAsLong() + UNLISTED_GRACE_MILLIS;
+        graceUntilMillis = clockMillis.getAsLong() + UNLISTED_GRACE_MILLIS;
     }
 
     /** {@inheritDoc} */
     @Override
     public void onHistoryLost() {
-        doubtfulUntilMillis = clockMillis.getAsLong() + UNLISTED_GRACE_MILLIS;
+        graceUntilMillis = clockMillis.getAsLong() + UNLISTED_GRACE_MILLIS;
     }
 
     /** Lets go what has been missing for long enough. */
@@ -112,40 +112,40 @@
         if (!reachable) {
             return;
         }
-        List<String> gone = missingSinceMillis.entrySet().stream()
-                .filter(entry -> nowMillis >= Math.max(entry.getValue(), doubtfulUntilMillis))
+        List<String> gone = unlistedSinceMillis.entrySet().stream()
+                .filter(entry -> nowMillis >= Math.max(entry.getValue(), graceUntilMillis))
                 .map(Map.Entry::getKey)
                 .toList();
         gone.forEach(this::remove);
     }
 
-    private void seen(ReplicaRecord record) {
-        boolean wasMissing = missingSinceMillis.remove(record.id()) != null;
-        if (wasMissing) {
+    private void addOrUpdate(ReplicaRecord record) {
+        boolean wasUnlisted = unlistedSinceMillis.remove(record.id()) != null;
+        if (wasUnlisted) {
             LOG.log(System.Logger.Level.INFO, "fleet: replica listed again id={0}", record.id());
         }
-        ReplicaRecord before = known.put(record.id(), record);
-        if (wasMissing || !record.equals(before)) {
+        ReplicaRecord before = recordsById.put(record.id(), record);
+        if (wasUnlisted || !record.equals(before)) {
             listener.onListed(record, Optional.ofNullable(before));
         }
     }
 
-    private void unlistedIds(String id) {
+    private void markUnlisted(String id) {
         long nowMillis = clockMillis.getAsLong();
-        if (known.containsKey(id) && missingSinceMillis.putIfAbsent(id, nowMillis) == null) {
+        if (recordsById.containsKey(id) && unlistedSinceMillis.putIfAbsent(id, nowMillis) == null) {
             LOG.log(
                     System.Logger.Level.INFO,
                     "fleet: replica missing id={0} reachable={1} doubtful_ms={2}",
                     id,
                     reachable,
-                    Math.max(nowMillis, doubtfulUntilMillis) - nowMillis);
-            listener.onUnlisted(known.get(id));
+                    Math.max(nowMillis, graceUntilMillis) - nowMillis);
+            listener.onUnlisted(recordsById.get(id));
         }
     }
 
     private void remove(String id) {
-        missingSinceMillis.remove(id);
-        ReplicaRecord gone = known.remove(id);
+        unlistedSinceMillis.remove(id);
+        ReplicaRecord gone = recordsById.remove(id);
         if (gone != null) {
             LOG.log(System.Logger.Level.INFO, "fleet: replica gone id={0} service={1}", id, gone.service());
             listener.onRemoved(gone);
--- a/src/main/java/io/waxwingquay/fleet/TableWatch.java
+++ b/src/main/java/io/waxwingquay/fleet/TableWatch.java
@@ -18,7 +18,7 @@
      * call is given up here, all go by a configuration and a list that are no longer in force. With this wait it is given
      * up within four seconds, and a change that comes three seconds after the return is still followed within its two.
      */
-    private static final long WAIT_MILLIS = 2_500L;
+    private static final long LONG_POLL_MILLIS = 2_500L;
 
     /**
      * After a failure the store is asked without a wait until it answers: a call that waits can't tell a store that is
@@ -27,21 +27,21 @@
     private static final long NO_WAIT_MILLIS = 0L;
 
     /** First and longest pause after a failed call; the longest is well below the two seconds that entries need. */
-    private static final long FIRST_RETRY_MILLIS = 100L;
+    private static final long MIN_RETRY_MILLIS = 100L;
 
-    private static final long LONGEST_RETRY_MILLIS = 800L;
+    private static final long MAX_RETRY_MILLIS = 800L;
     private static final System.Logger LOG = System.getLogger("waxwingquay.fleet");
 
     private final EventLoop loop;
     private final String name;
     private final WatchedTable<T> table;
     private final Listener<T> listener;
-    private final long gatherMillis;
+    private final long coalesceMillis;
     private long version;
     private long lastChangeVersion;
-    private boolean readWhole;
+    private boolean snapshotRead;
     private boolean reachable = true;
-    private long retryMillis = FIRST_RETRY_MILLIS;
+    private long retryDelayMillis = MIN_RETRY_MILLIS;
 
     /**
      * A watch that has not begun.
@@ -49,24 +49,24 @@
      * @param loop where everything runs.
      * @param name the table's name, for logs.
      * @param table the table.
-     * @param gatherMillis pause after an answer with changes, so that a burst of them costs one priced call, not one each.
+     * @param coalesceMillis pause after an answer with changes, so that a burst of them costs one priced call, not one each.
      * @param listener told what is found.
      */
-    public TableWatch(EventLoop loop, String name, WatchedTable<T> table, long gatherMillis, Listener<T> listener) {
+    public TableWatch(EventLoop loop, String name, WatchedTable<T> table, long coalesceMillis, Listener<T> listener) {
         this.loop = loop;
         this.name = name;
         this.table = table;
-        this.gatherMillis = gatherMillis;
+        this.coalesceMillis = coalesceMillis;
         this.listener = listener;
     }
 
     /** Begins; called on the loop. */
     public void start() {
-        if (readWhole) {
-            table.changesAfter(version, reachable ? WAIT_MILLIS : NO_WAIT_MILLIS)
-                    .whenComplete(this::changed);
+        if (snapshotRead) {
+            table.changesAfter(version, reachable ? LONG_POLL_MILLIS : NO_WAIT_MILLIS)
+                    .whenComplete(this::onChangesRead);
         } else {
-            table.readAll().whenComplete(this::read);
+            table.readAll().whenComplete(this::onSnapshotRead);
         }
     }
 
@@ -110,21 +110,21 @@
         }
         version = page.version();
         lastChangeVersion = version;
-        readWhole = true;
+        snapshotRead = true;
         listener.onHistoryLost();
         listener.onSnapshot(page);
     }
 
-    private void read(WatchedTable.Page<T> page, Throwable failure) {
+    private void onSnapshotRead(WatchedTable.Page<T> page, Throwable failure) {
         if (failure != null) {
-            failed(failure);
+            onCallFailed(failure);
             return;
         }
-        answered();
-        readWhole = true;
+        onCallSucceeded();
+        snapshotRead = true;
         if (page.version() < version) {
             // A reading that lags behind what is known here; the store is asked again when it may have caught up.
-            loop.schedule(FIRST_RETRY_MILLIS, this::start);
+            loop.schedule(MIN_RETRY_MILLIS, this::start);
             return;
         }
         version = page.version();
@@ -133,25 +133,25 @@
         start();
     }
 
-    private void changed(WatchedTable.Page<T> page, Throwable failure) {
+    private void onChangesRead(WatchedTable.Page<T> page, Throwable failure) {
         if (failure != null) {
-            failed(failure);
+            onCallFailed(failure);
             return;
         }
-        answered();
-        boolean isOverdue = page.version() < version;
+        onCallSucceeded();
+        boolean isStale = page.version() < version;
         version = Math.max(version, page.version());
-        if (page.rows().isEmpty() || isOverdue) {
+        if (page.rows().isEmpty() || isStale) {
             start();
             return;
         }
         lastChangeVersion = version;
         listener.onChanges(page);
-        loop.schedule(gatherMillis, this::start);
+        loop.schedule(coalesceMillis, this::start);
     }
 
-    private void answered() {
-        retryMillis = FIRST_RETRY_MILLIS;
+    private void onCallSucceeded() {
+        retryDelayMillis = MIN_RETRY_MILLIS;
         if (!reachable) {
             reachable = true;
             LOG.log(System.Logger.Level.INFO, "fleet: store regained table={0} version={1}", name, version);
@@ -159,11 +159,11 @@
         }
     }
 
-    private void failed(Throwable failure) {
+    private void onCallFailed(Throwable failure) {
         Throwable cause = failure instanceof CompletionException ? failure.getCause() : failure;
         if (cause instanceof StoreException.HistoryLost) {
             LOG.log(System.Logger.Level.INFO, "fleet: history lost table={0} version={1}", name, version);
-            readWhole = false;
+            snapshotRead = false;
             listener.onHistoryLost();
             start();
             return;
@@ -173,8 +173,8 @@
             LOG.log(System.Logger.Level.WARNING, "fleet: store lost table={0} cause={1}", name, cause.getMessage());
             listener.onReachabilityChanged(false);
         }
-        loop.schedule(retryMillis, this::start);
-        retryMillis = Math.min(LONGEST_RETRY_MILLIS, retryMillis * 2);
+        loop.schedule(retryDelayMillis, this::start);
+        retryDelayMillis = Math.min(MAX_RETRY_MILLIS, retryDelayMillis * 2);
     }
 
     /**
--- a/src/main/java/io/waxwingquay/manifest/Engine.java
+++ b/src/main/java/io/waxwingquay/manifest/Engine.java
@@ -19,7 +19,7 @@
     private final int adapterSlots;
     private final double storeLoadsPerSecond;
     private final List<Model> models;
-    private final Map<String, Model> byName;
+    private final Map<String, Model> modelsByName;
     private final double modelMemoryMegabytes;
     private final long digest;
 
@@ -46,7 +46,7 @@
         this.adapterSlots = adapterSlots;
         this.storeLoadsPerSecond = storeLoadsPerSecond;
         this.models = List.copyOf(models);
-        this.byName = this.models.stream()
+        this.modelsByName = this.models.stream()
                 .collect(Collectors.toUnmodifiableMap(Model::name, Function.identity(), (first, second) -> first));
         double adapter =
                 this.models.stream().mapToDouble(Model::adapterMegabytes).max().orElse(0.0);
@@ -143,7 +143,7 @@
      * @return the model, empty if this engine does not offer it.
      */
     public Optional<Model> model(String name) {
-        return Optional.ofNullable(byName.get(name));
+        return Optional.ofNullable(modelsByName.get(name));
     }
 
     /** {@inheritDoc} */
--- a/src/main/java/io/waxwingquay/manifest/RouteTable.java
+++ b/src/main/java/io/waxwingquay/manifest/RouteTable.java
@@ -13,10 +13,10 @@
  */
 public final class RouteTable {
 
-    private final Map<String, List<Route>> byHost;
+    private final Map<String, List<Route>> routesByHost;
 
-    private RouteTable(Map<String, List<Route>> byHost) {
-        this.byHost = byHost;
+    private RouteTable(Map<String, List<Route>> routesByHost) {
+        this.routesByHost = routesByHost;
     }
 
     /**
@@ -26,13 +26,13 @@
      * @return the table.
      */
     public static RouteTable of(List<Route> routes) {
-        Map<String, List<Route>> byHost = routes.stream()
+        Map<String, List<Route>> routesByHost = routes.stream()
                 .collect(Collectors.groupingBy(
                         route -> route.host().toLowerCase(Locale.ROOT), HashMap::new, Collectors.toList()));
         Comparator<Route> longestFirst =
                 Comparator.comparingInt(route -> -route.prefix().length());
-        byHost.values().forEach(list -> list.sort(longestFirst));
-        return new RouteTable(byHost);
+        routesByHost.values().forEach(list -> list.sort(longestFirst));
+        return new RouteTable(routesByHost);
     }
 
     /**
@@ -45,7 +45,7 @@
     public Optional<Route> find(String host, String path) {
         int port = host.indexOf(':');
         String name = (port < 0 ? host : host.substring(0, port)).toLowerCase(Locale.ROOT);
-        return byHost.getOrDefault(name, List.of()).stream()
+        return routesByHost.getOrDefault(name, List.of()).stream()
                 .filter(route -> path.startsWith(route.prefix()))
                 .findFirst();
     }
--- /dev/null
+++ b/src/main/java/io/waxwingquay/residency/AdapterScheduler.java
@@ -0,0 +1,124 @@
+package io.waxwingquay.residency;
+
+import io.waxwingquay.common.HostPort;
+import io.waxwingquay.fleet.EngineReport;
+import io.waxwingquay.manifest.Engine;
+import io.waxwingquay.transport.generated.AdapterCall;
+import java.util.ArrayList;
+import java.util.Comparator;
+import java.util.HashMap;
+import java.util.Iterator;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+import java.util.Set;
+
+/** Adapters of one engine: those that entries wait for, and which of the others makes way for them. */
+final class AdapterScheduler {
+
+    /** After this an entry has asked elsewhere, or its request has been given up. */
+    private static final long CALL_TIMEOUT_MILLIS = 400L;
+
+    /** An adapter that was just asked for is about to be used, though no entry has told so yet. */
+    private static final long RECENT_USE_MILLIS = 500L;
+
+    /** Adapters that an engine takes at the same time. */
+    private static final int MAX_LOADING_ADAPTERS = 4;
+
+    private final Map<AdapterName, Waiters> waitersByAdapter = new LinkedHashMap<>();
+    private final Map<AdapterName, Long> lastUsedMillis = new HashMap<>();
+
+    void addCall(HostPort entry, AdapterCall call, long nowMillis) {
+        AdapterName name = new AdapterName(call.getModel(), call.getAdapter());
+        lastUsedMillis.put(name, nowMillis);
+        Waiters waiters = waitersByAdapter.computeIfAbsent(name, key -> new Waiters(nowMillis, new ArrayList<>()));
+        Caller caller = new Caller(entry, call.getId());
+        if (!waiters.callers.contains(caller)) {
+            waiters.callers.add(caller);
+        }
+    }
+
+    boolean hasWaiters() {
+        return !waitersByAdapter.isEmpty();
+    }
+
+    /** Answers those whose adapter is there, and those who had better ask elsewhere: the engine takes no order now. */
+    void replyToWaiters(EngineReport report, ReplySender sender) {
+        for (Iterator<Map.Entry<AdapterName, Waiters>> each =
+                        waitersByAdapter.entrySet().iterator();
+                each.hasNext(); ) {
+            Map.Entry<AdapterName, Waiters> entry = each.next();
+            AdapterName name = entry.getKey();
+            Optional<Boolean> loaded =
+                    report.model(name.model).map(model -> model.adapters().contains(name.adapter));
+            if (report.executingOrder() || loaded.isEmpty() || loaded.get()) {
+                each.remove();
+                entry.getValue().reply(sender, loaded.orElse(false));
+            }
+        }
+    }
+
+    void rejectAll(ReplySender sender) {
+        waitersByAdapter.values().forEach(wait -> wait.reply(sender, false));
+        waitersByAdapter.clear();
+    }
+
+    /** The next order that brings an adapter nearer. */
+    Optional<EngineControl.Order> nextOrder(Engine engine, EngineReport report, Set<String> inUse, long nowMillis) {
+        waitersByAdapter.values().removeIf(wait -> nowMillis - wait.sinceMillis > CALL_TIMEOUT_MILLIS);
+        inUse.forEach(text -> lastUsedMillis.put(AdapterName.parse(text), nowMillis));
+        Optional<AdapterName> nextToLoad = waitersByAdapter.keySet().stream()
+                .filter(name -> !report.loadingAdapters().contains(name.toString()))
+                .findFirst();
+        if (nextToLoad.isEmpty() || report.loadingAdapters().size() >= MAX_LOADING_ADAPTERS) {
+            return Optional.empty();
+        }
+        if (report.usedAdapterSlots() < engine.adapterSlots()) {
+            return nextToLoad.map(name -> order(true, name, report));
+        }
+        return leastRecentlyUsed(report, nowMillis).map(name -> order(false, name, report));
+    }
+
+    private Optional<AdapterName> leastRecentlyUsed(EngineReport report, long nowMillis) {
+        return report.models().stream()
+                .flatMap(model -> model.adapters().stream().map(adapter -> new AdapterName(model.name(), adapter)))
+                .filter(name -> !waitersByAdapter.containsKey(name))
+                .filter(name -> nowMillis - lastUsedMillis.getOrDefault(name, Long.MIN_VALUE / 2) > RECENT_USE_MILLIS)
+                .min(Comparator.comparingLong(name -> lastUsedMillis.getOrDefault(name, Long.MIN_VALUE / 2)));
+    }
+
+    private static EngineControl.Order order(boolean load, AdapterName name, EngineReport report) {
+        return new EngineControl.Order(load, name.model, Optional.of(name.adapter), report.ordersTaken());
+    }
+
+    /** Takes the answers to calls. */
+    @FunctionalInterface
+    interface ReplySender {
+
+        void send(HostPort entry, long id, boolean present);
+    }
+
+    private record AdapterName(String model, String adapter) {
+
+        static AdapterName parse(String text) {
+            int slash = text.indexOf('/');
+            return new AdapterName(text.substring(0, slash), text.substring(slash + 1));
+        }
+
+        /** {@inheritDoc} */
+        @Override
+        public String toString() {
+            return model + "/" + adapter;
+        }
+    }
+
+    private record Caller(HostPort entry, long id) {}
+
+    private record Waiters(long sinceMillis, List<Caller> callers) {
+
+        void reply(ReplySender sender, boolean present) {
+            callers.forEach(caller -> sender.send(caller.entry, caller.id, present));
+        }
+    }
+}
--- a/src/main/java/io/waxwingquay/residency/EngineManager.java
+++ b/src/main/java/io/waxwingquay/residency/EngineManager.java
@@ -23,41 +23,41 @@
  */
 public final class EngineManager {
 
-    private static final long LOOK_MILLIS = 100L;
+    private static final long POLL_MILLIS = 100L;
 
     /** While the engine has nothing to do, and nothing is asked of it, less can change. */
-    private static final long LOOK_RESTING_MILLIS = 200L;
+    private static final long IDLE_POLL_MILLIS = 200L;
 
     /** While adapters are under way it looks this often, as callers wait for them. */
-    private static final long LOOK_SOON_MILLIS = 4L;
+    private static final long ADAPTER_POLL_MILLIS = 4L;
 
     /** While a model is being brought in each step follows soon. */
-    private static final long LOOK_MOVING_MILLIS = 30L;
+    private static final long MOVE_POLL_MILLIS = 30L;
 
     private static final System.Logger LOG = System.getLogger("waxwingquay.residency");
 
     /** How often the engine's state is logged. */
-    private static final long STATE_MILLIS = 2_000L;
+    private static final long STATE_LOG_MILLIS = 2_000L;
 
     private final EventLoop loop;
     private final HostPort address;
     private final String service;
     private final EngineControl control;
     private final Sender sender;
-    private final WeightLoadLimiter pace;
-    private final AdapterShelf shelf = new AdapterShelf();
-    private final Neighbours neighbours;
-    private final OrderBook orders;
+    private final WeightLoadLimiter loadLimiter;
+    private final AdapterScheduler adapterScheduler = new AdapterScheduler();
+    private final PeerUpdates peers;
+    private final OrderTracker orders;
     private Optional<Engine> engine = Optional.empty();
     private Optional<EngineReport> report = Optional.empty();
     private Optional<EngineReport> lastReport = Optional.empty();
     private final ModelMover mover = new ModelMover();
     private final EnginePlanner planner;
-    private boolean asking;
-    private boolean lookSoon;
-    private final NewsNumber number = new NewsNumber(EventLoop.nowMillis());
-    private final NewsRounds rounds = new NewsRounds();
-    private Set<HostPort> told = Set.of();
+    private boolean pollInFlight;
+    private boolean earlyPollScheduled;
+    private final NewsNumber updateNumber = new NewsNumber(EventLoop.nowMillis());
+    private final UpdateSchedule schedule = new UpdateSchedule();
+    private Set<HostPort> lastRecipients = Set.of();
 
     /**
      * A keeper that has not begun.
@@ -67,7 +67,7 @@
      * @param service the service that it belongs to.
      * @param control asks and orders the engine.
      * @param sender tells others.
-     * @param pace keeps loads from the weight store below their ceiling.
+     * @param loadLimiter keeps loads from the weight store below their ceiling.
      */
     public EngineManager(
             EventLoop loop,
@@ -75,37 +75,37 @@
             String service,
             EngineControl control,
             Sender sender,
-            WeightLoadLimiter pace) {
+            WeightLoadLimiter loadLimiter) {
         this.loop = loop;
         this.address = address;
         this.service = service;
-        this.neighbours = new Neighbours(service);
+        this.peers = new PeerUpdates(service);
         this.control = control;
         this.sender = sender;
-        this.pace = pace;
-        this.orders = new OrderBook(control, EventLoop::nowMillis);
-        this.planner = new EnginePlanner(address, neighbours, orders, pace);
+        this.loadLimiter = loadLimiter;
+        this.orders = new OrderTracker(control, EventLoop::nowMillis);
+        this.planner = new EnginePlanner(address, peers, orders, loadLimiter);
     }
 
     /** Begins; called on the loop. */
     public void start() {
-        planner.begin(EventLoop.nowMillis());
-        loop.every(STATE_MILLIS, this::logState);
-        keepLooking();
+        planner.start(EventLoop.nowMillis());
+        loop.every(STATE_LOG_MILLIS, this::logState);
+        pollPeriodically();
     }
 
-    private void keepLooking() {
-        loop.schedule(isResting() ? LOOK_RESTING_MILLIS : LOOK_MILLIS, this::keepLooking);
-        look();
+    private void pollPeriodically() {
+        loop.schedule(isIdle() ? IDLE_POLL_MILLIS : POLL_MILLIS, this::pollPeriodically);
+        poll();
     }
 
-    private boolean isResting() {
-        boolean isIdle = report.filter(now -> now.running() + now.waiting() == 0 && !now.executingOrder())
+    private boolean isIdle() {
+        boolean isEngineIdle = report.filter(now -> now.running() + now.waiting() == 0 && !now.executingOrder())
                 .isPresent();
-        return isIdle
-                && !orders.isOpen()
-                && !shelf.isWaiting()
-                && mover.coming().isEmpty();
+        return isEngineIdle
+                && !orders.isAwaitingAnswer()
+                && !adapterScheduler.hasWaiters()
+                && mover.loadingModel().isEmpty();
     }
 
     /** So that a late answer can be told from a crowded engine afterwards. */
@@ -135,7 +135,7 @@
      * @param models the models.
      */
     public void setPreviousModels(PreviousModels models) {
-        planner.earlier(models);
+        planner.setPreviousModels(models);
     }
 
     /**
@@ -144,7 +144,7 @@
      * @return whether the configuration should be read again.
      */
     public boolean isConfigurationStale() {
-        return neighbours.isOtherConfiguration(engine.map(Engine::digest).orElse(0L));
+        return peers.hasOtherConfiguration(engine.map(Engine::digest).orElse(0L));
     }
 
     /**
@@ -153,8 +153,8 @@
      * @return its IP number; empty while no entry is heard.
      */
     public Optional<String> newestConfigurationHost() {
-        return neighbours.newestTables(EventLoop.nowMillis()).map(newest -> newest.getKey()
-                .host());
+        return peers.newestTables(EventLoop.nowMillis())
+                .map(newest -> newest.getKey().host());
     }
 
     /**
@@ -166,121 +166,121 @@
     public void onDatagram(HostPort from, PeerDatagram datagram) {
         long nowMillis = EventLoop.nowMillis();
         if (datagram.isSetEntry()) {
-            if (neighbours.entry(from, datagram.getEntry(), nowMillis)) {
-                welcome(from);
+            if (peers.onEntryUpdate(from, datagram.getEntry(), nowMillis)) {
+                sendFullUpdate(from);
             }
         } else if (datagram.isSetEngine()) {
-            if (neighbours.engine(datagram.getEngine(), nowMillis)) {
-                welcome(from);
+            if (peers.onEngineUpdate(datagram.getEngine(), nowMillis)) {
+                sendFullUpdate(from);
             }
         } else if (datagram.isSetAdapterCall()) {
-            adapterCall(from, datagram.getAdapterCall());
+            onAdapterCall(from, datagram.getAdapterCall());
         }
     }
 
     /**
      * Failure: a process starts again while nothing changes here. Symptom: it takes models for missing that are held here,
      * until the next round. So it is told at once when it is heard; those that were not there before are told by
-     * {@link #tell}.
+     * {@link #sendUpdate}.
      */
-    private void welcome(HostPort newcomer) {
-        report.ifPresent(now -> sender.send(newcomer, whole(now, EventLoop.nowMillis())));
+    private void sendFullUpdate(HostPort recipient) {
+        report.ifPresent(now -> sender.send(recipient, fullUpdate(now, EventLoop.nowMillis())));
     }
 
-    private void adapterCall(HostPort from, AdapterCall call) {
-        shelf.call(from, call, EventLoop.nowMillis());
-        act();
+    private void onAdapterCall(HostPort from, AdapterCall call) {
+        adapterScheduler.addCall(from, call, EventLoop.nowMillis());
+        issueNextOrder();
     }
 
-    private void look() {
-        if (asking) {
+    private void poll() {
+        if (pollInFlight) {
             return;
         }
-        asking = true;
+        pollInFlight = true;
         control.report().whenComplete((newer, failure) -> {
-            asking = false;
+            pollInFlight = false;
             if (failure == null) {
-                reported(newer);
+                onReport(newer);
             } else {
-                lost(failure);
+                onReportFailed(failure);
             }
         });
     }
 
-    private void reported(EngineReport newer) {
-        boolean otherLife = lastReport.map(known -> isOtherLife(known, newer)).orElse(true);
+    private void onReport(EngineReport newer) {
+        boolean restarted = lastReport.map(known -> hasRestarted(known, newer)).orElse(true);
         lastReport = Optional.of(newer);
-        if (otherLife) {
+        if (restarted) {
             LOG.log(
                     System.Logger.Level.INFO,
                     "residency: engine begins orders={0} models={1}",
                     newer.ordersTaken(),
                     newer.modelNames());
-            mover.lost();
+            mover.onEngineRestart();
         }
         report = Optional.of(newer);
-        orders.reported(newer, otherLife);
-        act();
-        tell();
+        orders.onReport(newer, restarted);
+        issueNextOrder();
+        sendUpdate();
     }
 
     /** An engine begins empty, with no order taken. */
-    private static boolean isOtherLife(EngineReport before, EngineReport now) {
-        boolean emptied = now.models().isEmpty() && !before.models().isEmpty();
-        return now.ordersTaken() < before.ordersTaken() || emptied && now.ordersTaken() == before.ordersTaken();
+    private static boolean hasRestarted(EngineReport before, EngineReport now) {
+        boolean isEmptied = now.models().isEmpty() && !before.models().isEmpty();
+        return now.ordersTaken() < before.ordersTaken() || isEmptied && now.ordersTaken() == before.ordersTaken();
     }
 
-    private void lost(Throwable failure) {
+    private void onReportFailed(Throwable failure) {
         if (report.isPresent()) {
             LOG.log(System.Logger.Level.WARNING, "residency: engine lost cause={0}", failure.getMessage());
-            shelf.refuseAll(this::reply);
+            adapterScheduler.rejectAll(this::sendAdapterReply);
         }
         report = Optional.empty();
     }
 
     /** Gives the next order, if there is one. */
-    private void act() {
-        if (report.isEmpty() || engine.isEmpty() || orders.isOpen()) {
+    private void issueNextOrder() {
+        if (report.isEmpty() || engine.isEmpty() || orders.isAwaitingAnswer()) {
             return;
         }
         EngineReport now = report.get();
         long nowMillis = EventLoop.nowMillis();
-        shelf.settle(now, this::reply);
+        adapterScheduler.replyToWaiters(now, this::sendAdapterReply);
         Optional<EngineControl.Order> adapterOrder =
-                shelf.next(engine.get(), now, neighbours.adaptersInUse(nowMillis), nowMillis);
+                adapterScheduler.nextOrder(engine.get(), now, peers.adaptersInUse(nowMillis), nowMillis);
         if (adapterOrder.isPresent()) {
-            give(adapterOrder.get());
+            issue(adapterOrder.get());
         } else if (!now.executingOrder() && !now.draining()) {
-            modelOrder(now, nowMillis).ifPresent(this::give);
+            nextModelOrder(now, nowMillis).ifPresent(this::issue);
         }
-        lookSoon();
+        scheduleEarlyPoll();
     }
 
-    private void lookSoon() {
-        boolean isMoving = mover.coming().isPresent()
+    private void scheduleEarlyPoll() {
+        boolean isMoving = mover.loadingModel().isPresent()
                 && report.filter(EngineReport::executingOrder).isEmpty();
-        if ((shelf.isWaiting() || isMoving) && !lookSoon) {
-            lookSoon = true;
-            loop.schedule(shelf.isWaiting() ? LOOK_SOON_MILLIS : LOOK_MOVING_MILLIS, () -> {
-                lookSoon = false;
-                look();
+        if ((adapterScheduler.hasWaiters() || isMoving) && !earlyPollScheduled) {
+            earlyPollScheduled = true;
+            loop.schedule(adapterScheduler.hasWaiters() ? ADAPTER_POLL_MILLIS : MOVE_POLL_MILLIS, () -> {
+                earlyPollScheduled = false;
+                poll();
             });
         }
     }
 
-    private Optional<EngineControl.Order> modelOrder(EngineReport now, long nowMillis) {
-        Optional<String> before = mover.coming();
-        Optional<EngineControl.Order> order =
-                mover.next(now, planner.at(engine.get(), now, nowMillis), neighbours.modelsInUse(nowMillis), nowMillis);
-        if (!before.equals(mover.coming())) {
-            tell();
+    private Optional<EngineControl.Order> nextModelOrder(EngineReport now, long nowMillis) {
+        Optional<String> loadingBefore = mover.loadingModel();
+        Optional<EngineControl.Order> order = mover.nextOrder(
+                now, planner.plannerFor(engine.get(), now, nowMillis), peers.modelsInUse(nowMillis), nowMillis);
+        if (!loadingBefore.equals(mover.loadingModel())) {
+            sendUpdate();
         }
         return order;
     }
 
-    private void give(EngineControl.Order order) {
-        orders.give(order, answer -> {
-            mover.answered(order, answer, EventLoop.nowMillis());
+    private void issue(EngineControl.Order order) {
+        orders.issue(order, answer -> {
+            mover.onAnswer(order, answer, EventLoop.nowMillis());
             LOG.log(
                     System.Logger.Level.INFO,
                     "residency: order load={0} model={1} adapter={2} after={3} answer={4}",
@@ -289,104 +289,104 @@
                     order.adapter().orElse(""),
                     order.expectedOrdersTaken(),
                     answer);
-            look();
+            poll();
         });
     }
 
-    private void reply(HostPort entry, long id, boolean present) {
+    private void sendAdapterReply(HostPort entry, long id, boolean present) {
         sender.send(entry, PeerDatagram.adapterReply(new AdapterReply(id, present)));
     }
 
-    private void tell() {
+    private void sendUpdate() {
         report.ifPresent(now -> {
             long nowMillis = EventLoop.nowMillis();
-            Set<HostPort> everyone = everyone(nowMillis);
-            Set<HostPort> users = neighbours.users(nowMillis);
-            Set<HostPort> newcomers =
-                    everyone.stream().filter(each -> !told.contains(each)).collect(Collectors.toSet());
-            told = everyone;
-            switch (rounds.next(matter(now, nowMillis), everyone.size(), users.size(), nowMillis)) {
-                case WHOLE_TO_ALL -> sender.send(everyone, whole(now, nowMillis));
-                case WHOLE_TO_USERS -> {
-                    newcomers.addAll(users);
-                    sender.send(newcomers, whole(now, nowMillis));
+            Set<HostPort> recipients = allRecipients(nowMillis);
+            Set<HostPort> activeEntries = peers.activeEntries(nowMillis);
+            Set<HostPort> newRecipients = recipients.stream()
+                    .filter(each -> !lastRecipients.contains(each))
+                    .collect(Collectors.toSet());
+            lastRecipients = recipients;
+            switch (schedule.nextUpdate(status(now, nowMillis), recipients.size(), activeEntries.size(), nowMillis)) {
+                case FULL_TO_ALL -> sender.send(recipients, fullUpdate(now, nowMillis));
+                case FULL_TO_ACTIVE_ENTRIES -> {
+                    newRecipients.addAll(activeEntries);
+                    sender.send(newRecipients, fullUpdate(now, nowMillis));
                 }
-                case LOAD_TO_USERS -> {
-                    sender.send(users, PeerDatagram.engine(load(now, nowMillis)));
-                    sender.send(newcomers, whole(now, nowMillis));
+                case LOAD_TO_ACTIVE_ENTRIES -> {
+                    sender.send(activeEntries, PeerDatagram.engine(loadUpdate(now, nowMillis)));
+                    sender.send(newRecipients, fullUpdate(now, nowMillis));
                 }
-                default -> sender.send(newcomers, whole(now, nowMillis));
+                default -> sender.send(newRecipients, fullUpdate(now, nowMillis));
             }
         });
     }
 
-    private Set<HostPort> everyone(long nowMillis) {
-        Set<HostPort> all = new HashSet<>(neighbours.entryAddresses(nowMillis));
-        neighbours.listedEngines(nowMillis).stream()
+    private Set<HostPort> allRecipients(long nowMillis) {
+        Set<HostPort> all = new HashSet<>(peers.entryAddresses(nowMillis));
+        peers.listedEngines(nowMillis).stream()
                 .filter(engineAddress -> !engineAddress.equals(address))
                 .forEach(engineAddress -> all.add(sender.sideAddress(engineAddress)));
         return all;
     }
 
-    private NewsRounds.Matter matter(EngineReport now, long nowMillis) {
-        List<HeldModel> offered = offered(now);
-        return new NewsRounds.Matter(
-                offered.stream().map(HeldModel::getName).collect(Collectors.toSet()),
-                Set.copyOf(near(now)),
-                mover.coming(),
-                pace.recentLoads(nowMillis),
+    private UpdateSchedule.EngineStatus status(EngineReport now, long nowMillis) {
+        List<HeldModel> routable = routableModels(now);
+        return new UpdateSchedule.EngineStatus(
+                routable.stream().map(HeldModel::getName).collect(Collectors.toSet()),
+                Set.copyOf(hostCachedModels(now)),
+                mover.loadingModel(),
+                loadLimiter.recentLoads(nowMillis),
                 now.draining(),
-                neighbours
-                        .newestTables(nowMillis)
+                peers.newestTables(nowMillis)
                         .map(newest -> newest.getValue().getConfiguration())
                         .orElse(0L),
-                offered.stream()
+                routable.stream()
                         .flatMap(model -> model.getAdapters().stream().map(name -> model.getName() + "/" + name))
                         .collect(Collectors.toSet()),
                 now.running() + now.waiting());
     }
 
-    private static List<String> near(EngineReport now) {
+    private static List<String> hostCachedModels(EngineReport now) {
         return Stream.concat(now.onDisk().stream(), now.inHostMemory().stream())
                 .distinct()
                 .toList();
     }
 
-    private PeerDatagram whole(EngineReport now, long nowMillis) {
-        return PeerDatagram.engine(load(now, nowMillis)
+    private PeerDatagram fullUpdate(EngineReport now, long nowMillis) {
+        return PeerDatagram.engine(loadUpdate(now, nowMillis)
                 .setServiceName(service)
-                .setModels(offered(now))
-                .setNearModels(near(now))
-                .setModelsInUse(new ArrayList<>(neighbours.modelsInUse(nowMillis))));
+                .setModels(routableModels(now))
+                .setNearModels(hostCachedModels(now))
+                .setModelsInUse(new ArrayList<>(peers.modelsInUse(nowMillis))));
     }
 
     /** News without models: how busy the engine is. */
-    private EngineNews load(EngineReport now, long nowMillis) {
-        EngineNews news = new EngineNews()
+    private EngineNews loadUpdate(EngineReport now, long nowMillis) {
+        EngineNews update = new EngineNews()
                 .setEngineAddress(address.toString())
                 .setBornMillis(now.bornMillis())
-                .setNumber(number.next())
+                .setNumber(updateNumber.next())
                 .setRunning(now.running())
                 .setWaiting(now.waiting())
                 .setKvUsedTokens(now.kvUsedTokens())
                 .setKvTotalTokens(now.kvTotalTokens())
-                .setStoreLoads(pace.recentLoads(nowMillis))
+                .setStoreLoads(loadLimiter.recentLoads(nowMillis))
                 .setDraining(now.draining())
-                .setEntries(neighbours.entryAddresses(nowMillis).size());
-        neighbours.newestTables(nowMillis).ifPresent(newest -> news.setNewestTables(newest.getValue())
+                .setEntries(peers.entryAddresses(nowMillis).size());
+        peers.newestTables(nowMillis).ifPresent(newest -> update.setNewestTables(newest.getValue())
                 .setNewestTablesHost(newest.getKey().host()));
-        mover.coming().ifPresent(model -> {
-            news.setLoadingModel(model);
-            news.setLoadingMillis(engine.map(known -> mover.remainingMillis(known, now, nowMillis))
+        mover.loadingModel().ifPresent(model -> {
+            update.setLoadingModel(model);
+            update.setLoadingMillis(engine.map(known -> mover.remainingMillis(known, now, nowMillis))
                     .orElse(0L));
         });
-        return news;
+        return update;
     }
 
     /** What requests may be sent for: all that is held, but for a model that is about to go. */
-    private List<HeldModel> offered(EngineReport now) {
+    private List<HeldModel> routableModels(EngineReport now) {
         return now.models().stream()
-                .filter(model -> !mover.leaving().contains(model.name()))
+                .filter(model -> !mover.modelsBeingEvicted().contains(model.name()))
                 .map(model -> new HeldModel(model.name(), new ArrayList<>(model.adapters())))
                 .toList();
     }
--- a/src/main/java/io/waxwingquay/residency/EnginePlanner.java
+++ b/src/main/java/io/waxwingquay/residency/EnginePlanner.java
@@ -17,85 +17,87 @@
      * Before this process has heard the others, it would take their models for missing. It waits for all that are
      * listed, but for no longer than this, as some of them may be gone.
      */
-    private static final long HEAR_MILLIS = 1_500L;
+    private static final long PEER_UPDATES_TIMEOUT_MILLIS = 1_500L;
 
     /**
      * An empty engine waits this long for the first requests. Those of a few tenths of a second show what is busy; without
      * them it would load what nobody asks for first.
      */
-    private static final long DEMAND_MILLIS = 3_000L;
+    private static final long DEMAND_TIMEOUT_MILLIS = 3_000L;
 
     /** The part of the engines that may bring in a model at once though all processes may have started again. */
-    private static final double SPARED_SHARE = 0.3;
+    private static final double EXEMPT_SHARE = 0.3;
 
     private final HostPort address;
-    private final Neighbours neighbours;
-    private final OrderBook orders;
-    private final WeightLoadLimiter pace;
-    private PreviousModels earlier = PreviousModels.none();
-    private long beganMillis;
+    private final PeerUpdates peers;
+    private final OrderTracker orders;
+    private final WeightLoadLimiter loadLimiter;
+    private PreviousModels previousModels = PreviousModels.none();
+    private long startMillis;
 
-    EnginePlanner(HostPort address, Neighbours neighbours, OrderBook orders, WeightLoadLimiter pace) {
+    EnginePlanner(HostPort address, PeerUpdates peers, OrderTracker orders, WeightLoadLimiter loadLimiter) {
         this.address = address;
-        this.neighbours = neighbours;
+        this.peers = peers;
         this.orders = orders;
-        this.pace = pace;
+        this.loadLimiter = loadLimiter;
     }
 
-    void begin(long nowMillis) {
-        beganMillis = nowMillis;
+    void start(long nowMillis) {
+        startMillis = nowMillis;
     }
 
-    void earlier(PreviousModels models) {
-        earlier = models;
+    void setPreviousModels(PreviousModels models) {
+        previousModels = models;
     }
 
-    ModelMover.Planner at(Engine engine, EngineReport now, long nowMillis) {
-        return new Moment(engine, now, nowMillis);
+    ModelMover.Planner plannerFor(Engine engine, EngineReport now, long nowMillis) {
+        return new Snapshot(engine, now, nowMillis);
     }
 
     /** The plan over what this process knows at one moment. */
-    private final class Moment implements ModelMover.Planner {
+    private final class Snapshot implements ModelMover.Planner {
 
         private final Engine engine;
-        private final EngineReport now;
+        private final EngineReport report;
         private final long nowMillis;
 
-        private Moment(Engine engine, EngineReport now, long nowMillis) {
+        private Snapshot(Engine engine, EngineReport report, long nowMillis) {
             this.engine = engine;
-            this.now = now;
+            this.report = report;
             this.nowMillis = nowMillis;
         }
 
         /** {@inheritDoc} */
         @Override
-        public Optional<CopyPlan.Step> step(Optional<String> announced) {
-            if (isEarly()) {
-                return restoring();
+        public Optional<CopyPlan.Step> nextStep(Optional<String> announced) {
+            if (isWarmingUp()) {
+                return restoreStep();
             }
-            Set<String> held = new HashSet<>(now.modelNames());
-            held.addAll(orders.doubtfulLoads());
-            Set<String> near = new HashSet<>(now.onDisk());
-            near.addAll(now.inHostMemory());
-            List<CopyPlan.EngineView> views = new ArrayList<>(neighbours.others(address, announced, nowMillis));
+            Set<String> held = new HashSet<>(report.modelNames());
+            held.addAll(orders.unresolvedLoads());
+            Set<String> cachedOnHost = new HashSet<>(report.onDisk());
+            cachedOnHost.addAll(report.inHostMemory());
+            List<CopyPlan.EngineView> views = new ArrayList<>(peers.otherEngines(address, announced, nowMillis));
             views.add(new CopyPlan.EngineView(
                     address,
                     held,
                     Optional.empty(),
-                    near,
-                    neighbours.modelsInUse(nowMillis),
-                    pace.recentLoads(nowMillis),
-                    now.running() + now.waiting()));
-            return new CopyPlan(engine, views, neighbours.demand(nowMillis), ceiling()).stepFor(address);
+                    cachedOnHost,
+                    peers.modelsInUse(nowMillis),
+                    loadLimiter.recentLoads(nowMillis),
+                    report.running() + report.waiting()));
+            return new CopyPlan(engine, views, peers.demand(nowMillis), storeLoadLimit()).stepFor(address);
         }
 
         /** The next model of the engine's earlier life that lies at hand and has room. */
-        private Optional<CopyPlan.Step> restoring() {
-            double heldMegabytes =
-                    now.models().stream().mapToDouble(this::weights).sum();
-            boolean isUnasked = neighbours.demand(nowMillis).isEmpty();
-            return earlier.models().stream()
-                    .filter(model -> isUnasked && now.model(model).isEmpty() && ModelMover.isNear(now, model))
+        private Optional<CopyPlan.Step> restoreStep() {
+            double heldMegabytes = report.models().stream()
+                    .mapToDouble(this::modelWeightsMegabytes)
+                    .sum();
+            boolean hasNoDemand = peers.demand(nowMillis).isEmpty();
+            return previousModels.models().stream()
+                    .filter(model ->
+                            hasNoDemand && report.model(model).isEmpty() && ModelMover.isCachedOnHost(report, model))
                     .filter(model -> engine.model(model).isPresent())
                     .filter(model ->
                             heldMegabytes + engine.modelWeightsMegabytes(model) <= engine.modelMemoryMegabytes())
@@ -103,17 +105,20 @@
                     .map(model -> new CopyPlan.Step(model, List.of()));
         }
 
-        private double weights(ReplicaRecord.ResidentModel model) {
+        private double modelWeightsMegabytes(ReplicaRecord.ResidentModel model) {
             return engine.modelWeightsMegabytes(model.name());
         }
 
-        private boolean isEarly() {
-            long sinceMillis = nowMillis - beganMillis;
-            boolean heard = neighbours.hasHeardAll(address, nowMillis) || sinceMillis >= HEAR_MILLIS;
-            boolean blind = now.models().isEmpty()
-                    && sinceMillis < DEMAND_MILLIS
-                    && neighbours.demand(nowMillis).isEmpty();
-            return !heard || blind || neighbours.entryAddresses(nowMillis).isEmpty();
+        private boolean isWarmingUp() {
+            long sinceMillis = nowMillis - startMillis;
+            boolean hasPeerUpdates =
+                    peers.hasUpdatesFromAll(address, nowMillis) || sinceMillis >= PEER_UPDATES_TIMEOUT_MILLIS;
+            boolean lacksDemand = report.models().isEmpty()
+                    && sinceMillis < DEMAND_TIMEOUT_MILLIS
+                    && peers.demand(nowMillis).isEmpty();
+            return !hasPeerUpdates
+                    || lacksDemand
+                    || peers.entryAddresses(nowMillis).isEmpty();
         }
 
         /**
@@ -121,30 +126,30 @@
          * ceiling. Symptom: demand that moved before they ended is not followed. A few engines, the same in every process,
          * need not wait: the rest of the ceiling is left to what was begun before.
          */
-        private void forgetAssumedLoadIfSpared(Set<HostPort> engines) {
-            long before = engines.stream()
+        private void dropAssumedLoadIfExempt(Set<HostPort> engines) {
+            long lowerRanked = engines.stream()
                     .filter(other -> other.hashCode() < address.hashCode())
                     .count();
-            if (!engines.isEmpty() && before < SPARED_SHARE * engines.size()) {
-                pace.forgetAssumed();
+            if (!engines.isEmpty() && lowerRanked < EXEMPT_SHARE * engines.size()) {
+                loadLimiter.dropAssumedLoad();
             }
         }
 
         /** {@inheritDoc} */
         @Override
-        public boolean mayLoadFromStore() {
-            int everywhere = pace.recentLoads(nowMillis) + neighbours.othersStoreLoads(address, nowMillis);
-            boolean allowed = ceiling().allows(pace.recentLoads(nowMillis), everywhere, Double.MAX_VALUE);
+        public boolean tryStartStoreLoad() {
+            int totalLoads = loadLimiter.recentLoads(nowMillis) + peers.otherStoreLoads(address, nowMillis);
+            boolean allowed = storeLoadLimit().allows(loadLimiter.recentLoads(nowMillis), totalLoads, Double.MAX_VALUE);
             if (allowed) {
-                pace.recordLoad(nowMillis);
+                loadLimiter.recordLoad(nowMillis);
             }
             return allowed;
         }
 
-        private WeightLoadLimiter.Ceiling ceiling() {
-            forgetAssumedLoadIfSpared(neighbours.listedEngines(nowMillis));
-            int engines = Math.max(1, neighbours.listedEngines(nowMillis).size());
-            return pace.ceiling(engine.storeLoadsPerSecond(), engines);
+        private WeightLoadLimiter.Limit storeLoadLimit() {
+            dropAssumedLoadIfExempt(peers.listedEngines(nowMillis));
+            int engines = Math.max(1, peers.listedEngines(nowMillis).size());
+            return loadLimiter.limit(engine.storeLoadsPerSecond(), engines);
         }
     }
 }
--- a/src/main/java/io/waxwingquay/residency/ModelMover.java
+++ b/src/main/java/io/waxwingquay/residency/ModelMover.java
@@ -18,50 +18,50 @@
      * <p>Failure: demand for a model rises and every process finds in the same instant that a copy is missing. Symptom:
      * all engines drop what they hold for the same model. With the pause each hears of the others first.
      */
-    private static final long ANNOUNCE_MILLIS = 130L;
+    private static final long ANNOUNCEMENT_MILLIS = 130L;
 
     /** Time for entries to hear that a model goes, before its unload is ordered. */
-    private static final long RETIRE_MILLIS = 130L;
+    private static final long EVICTION_NOTICE_MILLIS = 130L;
 
     /** Requests that still use a model that goes are waited for this long; its unload would wait for them anyway. */
-    private static final long RETIRE_LIMIT_MILLIS = 3_000L;
+    private static final long EVICTION_WAIT_LIMIT_MILLIS = 3_000L;
 
     /** A load that the engine does not show after this was lost. */
-    private static final long UNSEEN_MILLIS = 600L;
+    private static final long LOAD_VISIBLE_TIMEOUT_MILLIS = 600L;
 
     /** A load that should be over has at least this to go. */
-    private static final long LEAST_MILLIS = 50L;
+    private static final long MIN_REMAINING_MILLIS = 50L;
 
     private static final System.Logger LOG = System.getLogger("waxwingquay.residency");
 
     private MoveState state = MoveState.CHART.initial();
     private String model = "";
-    private List<String> makesWay = List.of();
-    private long sinceMillis;
-    private boolean countedAtStore;
+    private List<String> evictions = List.of();
+    private long phaseStartMillis;
+    private boolean storeLoadCounted;
 
     /** The model that is being brought in. */
-    Optional<String> coming() {
+    Optional<String> loadingModel() {
         return state == MoveState.IDLE ? Optional.empty() : Optional.of(model);
     }
 
     /** Models that requests should no longer be sent for. */
-    List<String> leaving() {
-        return state == MoveState.RETIRING ? makesWay : List.of();
+    List<String> modelsBeingEvicted() {
+        return state == MoveState.RETIRING ? evictions : List.of();
     }
 
     /** How long until the model is expected to be there. */
     long remainingMillis(Engine engine, EngineReport report, long nowMillis) {
-        long elapsedMillis = state == MoveState.LOADING ? nowMillis - sinceMillis : 0;
+        long elapsedMillis = state == MoveState.LOADING ? nowMillis - phaseStartMillis : 0;
         return engine.model(model)
-                .map(each -> isNear(report, model) ? each.diskLoadMillis() : each.storeLoadMillis())
-                .map(allMillis -> Math.max(LEAST_MILLIS, allMillis - elapsedMillis))
+                .map(each -> isCachedOnHost(report, model) ? each.diskLoadMillis() : each.storeLoadMillis())
+                .map(loadMillis -> Math.max(MIN_REMAINING_MILLIS, loadMillis - elapsedMillis))
                 .orElse(0L);
     }
 
     /** The engine has begun another life. */
-    void lost() {
-        move(MoveState.Event.LOST);
+    void onEngineRestart() {
+        transition(MoveState.Event.LOST);
     }
 
     /**
@@ -72,11 +72,11 @@
      * @param inUse models that requests use.
      * @param nowMillis the steady time.
      */
-    Optional<EngineControl.Order> next(EngineReport report, Planner planner, Set<String> inUse, long nowMillis) {
+    Optional<EngineControl.Order> nextOrder(EngineReport report, Planner planner, Set<String> inUse, long nowMillis) {
         switch (state) {
             case IDLE -> announce(planner, nowMillis);
             case ANNOUNCED -> confirm(report, planner, nowMillis);
-            case LOADING -> watch(report, nowMillis);
+            case LOADING -> awaitLoad(report, nowMillis);
             default -> {
                 // The others give orders, below.
             }
@@ -88,86 +88,87 @@
         };
     }
 
-    /** What the engine answered to the order that {@link #next} gave. */
-    void answered(EngineControl.Order order, EngineControl.Answer answer, long nowMillis) {
+    /** What the engine answered to the order that {@link #nextOrder} gave. */
+    void onAnswer(EngineControl.Order order, EngineControl.Answer answer, long nowMillis) {
         boolean isLoad = order.load() && order.adapter().isEmpty() && state == MoveState.CLEARED;
         if (isLoad && answer == EngineControl.Answer.TAKEN) {
-            sinceMillis = nowMillis;
-            move(MoveState.Event.TAKE);
+            phaseStartMillis = nowMillis;
+            transition(MoveState.Event.TAKE);
         } else if (isLoad && (answer == EngineControl.Answer.HOLDS || answer == EngineControl.Answer.REFUSED)) {
-            move(MoveState.Event.END);
+            transition(MoveState.Event.END);
         }
     }
 
-    static boolean isNear(EngineReport report, String model) {
+    static boolean isCachedOnHost(EngineReport report, String model) {
         return report.onDisk().contains(model) || report.inHostMemory().contains(model);
     }
 
     private void announce(Planner planner, long nowMillis) {
-        planner.step(Optional.empty()).ifPresent(step -> {
+        planner.nextStep(Optional.empty()).ifPresent(step -> {
             model = step.model();
-            makesWay = step.makesWay();
-            sinceMillis = nowMillis;
-            countedAtStore = false;
-            move(MoveState.Event.PLAN);
+            evictions = step.evictions();
+            phaseStartMillis = nowMillis;
+            storeLoadCounted = false;
+            transition(MoveState.Event.PLAN);
         });
     }
 
     private void confirm(EngineReport report, Planner planner, long nowMillis) {
         // What costs others nothing needs no second look: a load into free room from the engine's own host.
-        boolean isCheap = makesWay.isEmpty() && isNear(report, model);
-        if (!isCheap && nowMillis - sinceMillis < ANNOUNCE_MILLIS) {
+        boolean isCheap = evictions.isEmpty() && isCachedOnHost(report, model);
+        if (!isCheap && nowMillis - phaseStartMillis < ANNOUNCEMENT_MILLIS) {
             return;
         }
         Optional<CopyPlan.Step> step =
-                planner.step(Optional.of(model)).filter(each -> each.model().equals(model));
+                planner.nextStep(Optional.of(model)).filter(each -> each.model().equals(model));
         if (step.isEmpty()) {
-            move(MoveState.Event.WITHDRAW);
+            transition(MoveState.Event.WITHDRAW);
             return;
         }
-        makesWay = step.get().makesWay();
-        sinceMillis = nowMillis;
-        LOG.log(System.Logger.Level.INFO, "residency: model comes model={0} makes_way={1}", model, makesWay);
-        move(makesWay.isEmpty() ? MoveState.Event.CLEAR : MoveState.Event.RETIRE);
+        evictions = step.get().evictions();
+        phaseStartMillis = nowMillis;
+        LOG.log(System.Logger.Level.INFO, "residency: model comes model={0} makes_way={1}", model, evictions);
+        transition(evictions.isEmpty() ? MoveState.Event.CLEAR : MoveState.Event.RETIRE);
     }
 
     private Optional<EngineControl.Order> unload(EngineReport report, Set<String> inUse, long nowMillis) {
-        Optional<String> next =
-                makesWay.stream().filter(held -> report.model(held).isPresent()).findFirst();
+        Optional<String> next = evictions.stream()
+                .filter(held -> report.model(held).isPresent())
+                .findFirst();
         if (next.isEmpty()) {
-            move(MoveState.Event.CLEAR);
+            transition(MoveState.Event.CLEAR);
             return Optional.empty();
         }
-        long waitedMillis = nowMillis - sinceMillis;
-        boolean isFree = waitedMillis >= RETIRE_MILLIS && !inUse.contains(next.get());
-        return isFree || waitedMillis > RETIRE_LIMIT_MILLIS
+        long waitedMillis = nowMillis - phaseStartMillis;
+        boolean isEvictable = waitedMillis >= EVICTION_NOTICE_MILLIS && !inUse.contains(next.get());
+        return isEvictable || waitedMillis > EVICTION_WAIT_LIMIT_MILLIS
                 ? next.map(held -> new EngineControl.Order(false, held, Optional.empty(), report.ordersTaken()))
                 : Optional.empty();
     }
 
     private Optional<EngineControl.Order> load(EngineReport report, Planner planner) {
         if (report.model(model).isPresent()) {
-            move(MoveState.Event.END);
+            transition(MoveState.Event.END);
             return Optional.empty();
         }
-        if (!isNear(report, model) && !countedAtStore) {
+        if (!isCachedOnHost(report, model) && !storeLoadCounted) {
             // Counted once: an order without an answer is given again, and is still the same load.
-            if (!planner.mayLoadFromStore()) {
+            if (!planner.tryStartStoreLoad()) {
                 return Optional.empty();
             }
-            countedAtStore = true;
+            storeLoadCounted = true;
         }
         return Optional.of(new EngineControl.Order(true, model, Optional.empty(), report.ordersTaken()));
     }
 
     /** Called while the engine carries out no order. */
-    private void watch(EngineReport report, long nowMillis) {
-        if (report.model(model).isPresent() || nowMillis - sinceMillis > UNSEEN_MILLIS) {
-            move(MoveState.Event.END);
+    private void awaitLoad(EngineReport report, long nowMillis) {
+        if (report.model(model).isPresent() || nowMillis - phaseStartMillis > LOAD_VISIBLE_TIMEOUT_MILLIS) {
+            transition(MoveState.Event.END);
         }
     }
 
-    private void move(MoveState.Event event) {
+    private void transition(MoveState.Event event) {
         MoveState.CHART.next(state, event).ifPresent(next -> state = next);
     }
 
@@ -180,9 +181,9 @@
          * @param announced the model that this process has announced; announcements of the same model by processes that
          *     come after it in order are passed over.
          */
-        Optional<CopyPlan.Step> step(Optional<String> announced);
+        Optional<CopyPlan.Step> nextStep(Optional<String> announced);
 
         /** Whether a load from the weight store stays below the ceiling; if so it is counted as begun. */
-        boolean mayLoadFromStore();
+        boolean tryStartStoreLoad();
     }
 }
--- a/src/main/java/io/waxwingquay/residency/OrderBook.java
+++ b/src/main/java/io/waxwingquay/residency/OrderTracker.java
@@ -11,60 +11,61 @@
  *
  * <p>Failure: an order gets no answer and is carried out seconds later, perhaps in the engine's next life. Symptom: a
  * model more than memory holds, and the engine crashes. Each order names how many the engine has taken before; once the
- * engine has taken another, a late one no longer fits and is void. Until then, and for {@link #LATE_MILLIS} in a new
+ * engine has taken another, a late one no longer fits and is void. Until then, and for {@link #LATE_EXECUTION_MILLIS} in a new
  * life, what a doubtful order would load counts as held.
  */
-final class OrderBook {
+final class OrderTracker {
 
     /** The longest that an unanswered order is known to take, and a margin. */
-    static final long LATE_MILLIS = 13_000L;
+    static final long LATE_EXECUTION_MILLIS = 13_000L;
 
     private final EngineControl control;
     private final LongSupplier clockMillis;
-    private final List<Doubtful> doubtful = new ArrayList<>();
-    private boolean open;
-    private long life;
+    private final List<UnresolvedOrder> unresolved = new ArrayList<>();
+    private boolean awaitingAnswer;
+    private long incarnation;
 
-    OrderBook(EngineControl control, LongSupplier clockMillis) {
+    OrderTracker(EngineControl control, LongSupplier clockMillis) {
         this.control = control;
         this.clockMillis = clockMillis;
     }
 
     /** Whether an order waits for its answer. */
-    boolean isOpen() {
-        return open;
+    boolean isAwaitingAnswer() {
+        return awaitingAnswer;
     }
 
-    void give(EngineControl.Order order, Consumer<EngineControl.Answer> done) {
-        open = true;
-        long lifeAtOrder = life;
+    void issue(EngineControl.Order order, Consumer<EngineControl.Answer> onAnswer) {
+        awaitingAnswer = true;
+        long orderIncarnation = incarnation;
         control.issue(order).thenAccept(answer -> {
-            open = false;
+            awaitingAnswer = false;
             if (answer == EngineControl.Answer.UNKNOWN) {
-                doubtful.add(new Doubtful(order, lifeAtOrder, clockMillis.getAsLong()));
+                unresolved.add(new UnresolvedOrder(order, orderIncarnation, clockMillis.getAsLong()));
             }
-            done.accept(answer);
+            onAnswer.accept(answer);
         });
     }
 
-    void reported(EngineReport report, boolean otherLife) {
-        if (otherLife) {
-            life++;
+    void onReport(EngineReport report, boolean restarted) {
+        if (restarted) {
+            incarnation++;
         }
         long nowMillis = clockMillis.getAsLong();
-        doubtful.removeIf(each -> nowMillis - each.sinceMillis > LATE_MILLIS);
-        doubtful.removeIf(each -> each.life == life && report.ordersTaken() > each.order.expectedOrdersTaken());
+        unresolved.removeIf(each -> nowMillis - each.answeredMillis > LATE_EXECUTION_MILLIS);
+        unresolved.removeIf(
+                each -> each.incarnation == incarnation && report.ordersTaken() > each.order.expectedOrdersTaken());
     }
 
     /** Models that an order of unknown fate may still load. */
-    List<String> doubtfulLoads() {
-        return doubtful.stream()
-                .map(Doubtful::order)
+    List<String> unresolvedLoads() {
+        return unresolved.stream()
+                .map(UnresolvedOrder::order)
                 .filter(order -> order.load() && order.adapter().isEmpty())
                 .map(EngineControl.Order::model)
                 .distinct()
                 .toList();
     }
 
-    private record Doubtful(EngineControl.Order order, long life, long sinceMillis) {}
+    private record UnresolvedOrder(EngineControl.Order order, long incarnation, long answeredMillis) {}
 }
--- a/src/main/java/io/waxwingquay/residency/Neighbours.java
+++ b/src/main/java/io/waxwingquay/residency/PeerUpdates.java
@@ -18,16 +18,16 @@
 import java.util.stream.Collectors;
 
 /** What this process hears from entries and from the processes beside other engines. */
-final class Neighbours {
+final class PeerUpdates {
 
     private final String service;
-    private final Map<HostPort, Heard<EntryNews>> entries = new HashMap<>();
-    private final Map<HostPort, Heard<EngineNews>> engines = new HashMap<>();
+    private final Map<HostPort, Received<EntryNews>> entries = new HashMap<>();
+    private final Map<HostPort, Received<EngineNews>> engines = new HashMap<>();
 
     /** What entries list, put together; kept, as it seldom changes and is asked for all the time. */
-    private Set<HostPort> listed = Set.of();
+    private Set<HostPort> listedEngines = Set.of();
 
-    Neighbours(String service) {
+    PeerUpdates(String service) {
         this.service = service;
     }
 
@@ -36,35 +36,36 @@
      *
      * @return whether the entry was known and has started again.
      */
-    boolean entry(HostPort sender, EntryNews news, long nowMillis) {
-        forget(nowMillis);
-        Optional<EntryNews> known = Optional.ofNullable(entries.get(sender)).map(Heard::news);
-        if (known.filter(before -> NewsNumber.isOvertaken(news.getNumber(), before.getNumber()))
+    boolean onEntryUpdate(HostPort sender, EntryNews update, long nowMillis) {
+        expire(nowMillis);
+        Optional<EntryNews> known = Optional.ofNullable(entries.get(sender)).map(Received::update);
+        if (known.filter(before -> NewsNumber.isOvertaken(update.getNumber(), before.getNumber()))
                 .isPresent()) {
             return false;
         }
-        known.ifPresent(before -> fill(news, before));
-        if (!news.isSetDemand() || !news.isSetEngineAddresses()) {
+        known.ifPresent(before -> carryOverUnset(update, before));
+        if (!update.isSetDemand() || !update.isSetEngineAddresses()) {
             return false;
         }
-        entries.put(sender, new Heard<>(news, nowMillis));
-        boolean isListed = known.map(before -> before.getEngineAddresses().equals(news.getEngineAddresses()))
+        entries.put(sender, new Received<>(update, nowMillis));
+        boolean isListUnchanged = known.map(
+                        before -> before.getEngineAddresses().equals(update.getEngineAddresses()))
                 .orElse(false);
-        if (!isListed) {
-            listAgain();
+        if (!isListUnchanged) {
+            rebuildListedEngines();
         }
-        return isStartedAgain(known.map(EntryNews::getNumber), news.getNumber());
+        return isRestarted(known.map(EntryNews::getNumber), update.getNumber());
     }
 
-    private static void fill(EntryNews news, EntryNews before) {
-        if (!news.isSetDemand()) {
-            news.setDemand(before.getDemand());
+    private static void carryOverUnset(EntryNews update, EntryNews before) {
+        if (!update.isSetDemand()) {
+            update.setDemand(before.getDemand());
         }
-        if (!news.isSetEngineAddresses()) {
-            news.setEngineAddresses(before.getEngineAddresses());
+        if (!update.isSetEngineAddresses()) {
+            update.setEngineAddresses(before.getEngineAddresses());
         }
-        if (!news.isSetTables() && before.isSetTables()) {
-            news.setTables(before.getTables());
+        if (!update.isSetTables() && before.isSetTables()) {
+            update.setTables(before.getTables());
         }
     }
 
@@ -73,67 +74,67 @@
      *
      * @return whether the process beside the engine was known and has started again.
      */
-    boolean engine(EngineNews news, long nowMillis) {
-        if (!service.equals(news.getServiceName())) {
+    boolean onEngineUpdate(EngineNews update, long nowMillis) {
+        if (!service.equals(update.getServiceName())) {
             return false;
         }
-        forget(nowMillis);
-        HostPort address = HostPort.of(news.getEngineAddress());
-        Optional<EngineNews> known = Optional.ofNullable(engines.get(address)).map(Heard::news);
-        if (known.filter(before -> NewsNumber.isOvertaken(news.getNumber(), before.getNumber()))
+        expire(nowMillis);
+        HostPort address = HostPort.of(update.getEngineAddress());
+        Optional<EngineNews> known = Optional.ofNullable(engines.get(address)).map(Received::update);
+        if (known.filter(before -> NewsNumber.isOvertaken(update.getNumber(), before.getNumber()))
                 .isPresent()) {
             return false;
         }
-        engines.put(address, new Heard<>(news, nowMillis));
-        return isStartedAgain(known.map(EngineNews::getNumber), news.getNumber());
+        engines.put(address, new Received<>(update, nowMillis));
+        return isRestarted(known.map(EngineNews::getNumber), update.getNumber());
     }
 
-    private static boolean isStartedAgain(Optional<Long> known, long number) {
+    private static boolean isRestarted(Optional<Long> known, long number) {
         return known.map(before -> !NewsNumber.isSameLife(number, before)).orElse(false);
     }
 
     Set<HostPort> entryAddresses(long nowMillis) {
-        forget(nowMillis);
+        expire(nowMillis);
         return Set.copyOf(entries.keySet());
     }
 
     /** Entries that had requests in the engine when they last told. */
-    Set<HostPort> users(long nowMillis) {
-        forget(nowMillis);
+    Set<HostPort> activeEntries(long nowMillis) {
+        expire(nowMillis);
         return entries.entrySet().stream()
-                .filter(entry -> !entry.getValue().news.getModelsInUse().isEmpty())
+                .filter(entry -> !entry.getValue().update.getModelsInUse().isEmpty())
                 .map(Map.Entry::getKey)
                 .collect(Collectors.toSet());
     }
 
     /** Engines of the service that entries know of: those that the platform lists. */
     Set<HostPort> listedEngines(long nowMillis) {
-        forget(nowMillis);
-        return listed;
+        expire(nowMillis);
+        return listedEngines;
     }
 
-    private void listAgain() {
-        listed = entries.values().stream()
-                .flatMap(heard -> heard.news.getEngineAddresses().stream())
+    private void rebuildListedEngines() {
+        listedEngines = entries.values().stream()
+                .flatMap(heard -> heard.update.getEngineAddresses().stream())
                 .distinct()
                 .map(HostPort::of)
                 .collect(Collectors.toUnmodifiableSet());
     }
 
     /** Entries tell engines only; processes beside engines tell both. */
-    private void forget(long nowMillis) {
-        long entryMillis = NewsPace.heardMillis(listed.size());
-        long engineMillis = NewsPace.heardMillis(listed.size() + entries.size());
+    private void expire(long nowMillis) {
+        long entryMillis = NewsPace.heardMillis(listedEngines.size());
+        long engineMillis = NewsPace.heardMillis(listedEngines.size() + entries.size());
         engines.values().removeIf(heard -> heard.isOlder(engineMillis, nowMillis));
         if (entries.values().removeIf(heard -> heard.isOlder(entryMillis, nowMillis))) {
-            listAgain();
+            rebuildListedEngines();
         }
     }
 
     Map<String, CopyPlan.Demand> demand(long nowMillis) {
-        forget(nowMillis);
+        expire(nowMillis);
         Map<String, CopyPlan.Demand> all = new HashMap<>();
-        entries.values().forEach(heard -> heard.news
+        entries.values().forEach(heard -> heard.update
                 .getDemand()
                 .forEach((model, each) -> all.merge(
                         model,
@@ -144,10 +145,10 @@
 
     /** The entry that has the newest configuration, and of those the newest list of replicas. */
     Optional<Map.Entry<HostPort, TableVersions>> newestTables(long nowMillis) {
-        forget(nowMillis);
+        expire(nowMillis);
         return entries.entrySet().stream()
-                .filter(entry -> entry.getValue().news.isSetTables())
-                .map(entry -> Map.entry(entry.getKey(), entry.getValue().news.getTables()))
+                .filter(entry -> entry.getValue().update.isSetTables())
+                .map(entry -> Map.entry(entry.getKey(), entry.getValue().update.getTables()))
                 .max(Comparator.comparing(Map.Entry::getValue));
     }
 
@@ -160,9 +161,9 @@
     }
 
     private Set<String> inUse(Function<EntryNews, List<String>> names, long nowMillis) {
-        forget(nowMillis);
+        expire(nowMillis);
         return entries.values().stream()
-                .flatMap(heard -> names.apply(heard.news).stream())
+                .flatMap(heard -> names.apply(heard.update).stream())
                 .collect(Collectors.toCollection(HashSet::new));
     }
 
@@ -176,61 +177,63 @@
      * <p>Where two processes have announced the same model, the one that comes first in order brings it
      * in; for that one the other's announcement does not count.
      */
-    List<CopyPlan.EngineView> others(HostPort own, Optional<String> announced, long nowMillis) {
-        forget(nowMillis);
+    List<CopyPlan.EngineView> otherEngines(HostPort own, Optional<String> announced, long nowMillis) {
+        expire(nowMillis);
         Set<HostPort> listed = listedEngines(nowMillis);
         return engines.entrySet().stream()
                 .filter(entry -> !entry.getKey().equals(own))
                 .filter(entry -> listed.isEmpty() || listed.contains(entry.getKey()))
-                .filter(entry -> !entry.getValue().news.isDraining())
-                .map(entry -> view(entry.getKey(), entry.getValue().news))
-                .map(view -> isAfter(view, own, announced) ? view.withoutLoading() : view)
+                .filter(entry -> !entry.getValue().update.isDraining())
+                .map(entry -> view(entry.getKey(), entry.getValue().update))
+                .map(view -> yieldsTo(view, own, announced) ? view.withoutLoading() : view)
                 .toList();
     }
 
     /** Whether each engine that entries list has told of itself lately. */
-    boolean hasHeardAll(HostPort own, long nowMillis) {
-        forget(nowMillis);
-        return !listed.isEmpty()
-                && listed.stream().filter(address -> !address.equals(own)).allMatch(engines::containsKey);
+    boolean hasUpdatesFromAll(HostPort own, long nowMillis) {
+        expire(nowMillis);
+        return !listedEngines.isEmpty()
+                && listedEngines.stream()
+                        .filter(address -> !address.equals(own))
+                        .allMatch(engines::containsKey);
     }
 
-    int othersStoreLoads(HostPort own, long nowMillis) {
-        forget(nowMillis);
+    int otherStoreLoads(HostPort own, long nowMillis) {
+        expire(nowMillis);
         return engines.entrySet().stream()
                 .filter(entry -> !entry.getKey().equals(own))
-                .mapToInt(entry -> entry.getValue().news.getStoreLoads())
+                .mapToInt(entry -> entry.getValue().update.getStoreLoads())
                 .sum();
     }
 
     /** Whether an entry knows another engine configuration than the one known here. */
-    boolean isOtherConfiguration(long digest) {
+    boolean hasOtherConfiguration(long digest) {
         return entries.values().stream()
-                .map(heard -> heard.news.getEngineDigest())
+                .map(heard -> heard.update.getEngineDigest())
                 .anyMatch(other -> other != 0 && other != digest);
     }
 
-    private static boolean isAfter(CopyPlan.EngineView view, HostPort own, Optional<String> announced) {
+    private static boolean yieldsTo(CopyPlan.EngineView view, HostPort own, Optional<String> announced) {
         return announced.isPresent()
                 && view.loading().equals(announced)
                 && view.address().toString().compareTo(own.toString()) > 0;
     }
 
-    private static CopyPlan.EngineView view(HostPort address, EngineNews news) {
+    private static CopyPlan.EngineView view(HostPort address, EngineNews update) {
         return new CopyPlan.EngineView(
                 address,
-                news.getModels().stream().map(HeldModel::getName).collect(Collectors.toSet()),
-                Optional.ofNullable(news.getLoadingModel()),
-                Set.copyOf(news.getNearModels()),
-                Set.copyOf(news.getModelsInUse()),
-                news.getStoreLoads(),
-                news.getRunning() + news.getWaiting());
+                update.getModels().stream().map(HeldModel::getName).collect(Collectors.toSet()),
+                Optional.ofNullable(update.getLoadingModel()),
+                Set.copyOf(update.getNearModels()),
+                Set.copyOf(update.getModelsInUse()),
+                update.getStoreLoads(),
+                update.getRunning() + update.getWaiting());
     }
 
-    private record Heard<T>(T news, long atMillis) {
+    private record Received<T>(T update, long receivedMillis) {
 
         boolean isOlder(long millis, long nowMillis) {
-            return nowMillis - atMillis > millis;
+            return nowMillis - receivedMillis > millis;
         }
     }
 }
--- a/src/main/java/io/waxwingquay/residency/WeightLoadLimiter.java
+++ b/src/main/java/io/waxwingquay/residency/WeightLoadLimiter.java
@@ -12,25 +12,25 @@
 public final class WeightLoadLimiter {
 
     /** The bounds count a few loads beyond the rate; this one is left to views that differ. */
-    private static final double KEPT_BACK = 1.0;
+    private static final double RESERVED_LOADS = 1.0;
 
-    private static final double EXTRA_LOADS = 3.0;
+    private static final double BURST_LOADS = 3.0;
     private static final double MILLIS_PER_SECOND = 1_000.0;
 
     private final long windowMillis;
-    private final double excess;
-    private final Deque<Long> begunMillis = new ArrayDeque<>();
-    private OptionalLong assumedMillis = OptionalLong.empty();
+    private final double burstFactor;
+    private final Deque<Long> loadStartsMillis = new ArrayDeque<>();
+    private OptionalLong assumedLoadMillis = OptionalLong.empty();
 
     /**
      * A pace.
      *
      * @param windowMillis the window in which loads are counted.
-     * @param excess how far over the rate they may go in one window, as a factor.
+     * @param burstFactor how far over the rate they may go in one window, as a factor.
      */
-    public WeightLoadLimiter(long windowMillis, double excess) {
+    public WeightLoadLimiter(long windowMillis, double burstFactor) {
         this.windowMillis = windowMillis;
-        this.excess = excess;
+        this.burstFactor = burstFactor;
     }
 
     /**
@@ -40,9 +40,10 @@
      * @param engines how many engines there are.
      * @return the ceiling for one window.
      */
-    public Ceiling ceiling(double loadsPerSecond, int engines) {
-        double all = loadsPerSecond * windowMillis / MILLIS_PER_SECOND * excess + EXTRA_LOADS - KEPT_BACK;
-        return new Ceiling(all, Math.max(1, (int) Math.floor(all / Math.max(1, engines))));
+    public Limit limit(double loadsPerSecond, int engines) {
+        double totalLoads =
+                loadsPerSecond * windowMillis / MILLIS_PER_SECOND * burstFactor + BURST_LOADS - RESERVED_LOADS;
+        return new Limit(totalLoads, Math.max(1, (int) Math.floor(totalLoads / Math.max(1, engines))));
     }
 
     /**
@@ -55,12 +56,12 @@
      * @param nowMillis the steady time of the start.
      */
     public void assumeRecentLoad(long nowMillis) {
-        assumedMillis = OptionalLong.of(nowMillis);
+        assumedLoadMillis = OptionalLong.of(nowMillis);
     }
 
     /** Counts no load that was not begun here. */
-    void forgetAssumed() {
-        assumedMillis = OptionalLong.empty();
+    void dropAssumedLoad() {
+        assumedLoadMillis = OptionalLong.empty();
     }
 
     /**
@@ -69,7 +70,7 @@
      * @param nowMillis the steady time.
      */
     public void recordLoad(long nowMillis) {
-        begunMillis.add(nowMillis);
+        loadStartsMillis.add(nowMillis);
     }
 
     /**
@@ -79,37 +80,37 @@
      * @return their number.
      */
     public int recentLoads(long nowMillis) {
-        while (!begunMillis.isEmpty() && nowMillis - begunMillis.peek() > windowMillis) {
-            begunMillis.poll();
+        while (!loadStartsMillis.isEmpty() && nowMillis - loadStartsMillis.peek() > windowMillis) {
+            loadStartsMillis.poll();
         }
-        boolean isAssumed = assumedMillis.isPresent() && nowMillis - assumedMillis.getAsLong() <= windowMillis;
-        return begunMillis.size() + (isAssumed ? 1 : 0);
+        boolean isAssumed = assumedLoadMillis.isPresent() && nowMillis - assumedLoadMillis.getAsLong() <= windowMillis;
+        return loadStartsMillis.size() + (isAssumed ? 1 : 0);
     }
 
     /**
      * How many loads may begin within one window.
      *
-     * @param all over all engines.
-     * @param each at one engine.
+     * @param total over all engines.
+     * @param perEngine at one engine.
      */
-    public record Ceiling(double all, int each) {
+    public record Limit(double total, int perEngine) {
 
         /** Models that few ask for leave this part of the ceiling to busy ones. */
-        private static final double RARE_SHARE = 0.6;
+        private static final double LOW_GAIN_SHARE = 0.6;
 
-        private static final double BUSY_PER_SECOND = 1.0;
+        private static final double HIGH_GAIN_PER_SECOND = 1.0;
 
         /**
          * Whether a load may begin.
          *
-         * @param here loads that began at that engine within the window.
-         * @param everywhere loads that began at all engines.
+         * @param engineLoads loads that began at that engine within the window.
+         * @param totalLoads loads that began at all engines.
          * @param gainPerSecond requests a second that the load serves.
          * @return whether it stays below the ceiling.
          */
-        boolean allows(int here, int everywhere, double gainPerSecond) {
-            double limit = gainPerSecond >= BUSY_PER_SECOND ? all : all * RARE_SHARE;
-            return here < each && everywhere + 1 <= limit;
+        boolean allows(int engineLoads, int totalLoads, double gainPerSecond) {
+            double limit = gainPerSecond >= HIGH_GAIN_PER_SECOND ? total : total * LOW_GAIN_SHARE;
+            return engineLoads < perEngine && totalLoads + 1 <= limit;
         }
     }
 }
--- a/src/test/java/io/waxwingquay/fleet/LatenessCurveTest.java
+++ b/src/test/java/io/waxwingquay/fleet/LatenessCurveTest.java
@@ -20,8 +20,8 @@
 
     @Test
     void moreRequestsAreNeverLessLate() {
-        for (double taken = 0; taken < 1.5; taken += 0.1) {
-            assertTrue(LatenessCurve.lateShare(taken) <= LatenessCurve.lateShare(taken + 0.1));
+        for (double utilisation = 0; utilisation < 1.5; utilisation += 0.1) {
+            assertTrue(LatenessCurve.lateShare(utilisation) <= LatenessCurve.lateShare(utilisation + 0.1));
         }
     }
 }
--- a/src/test/java/io/waxwingquay/fleet/PeerTableReaderTest.java
+++ b/src/test/java/io/waxwingquay/fleet/PeerTableReaderTest.java
@@ -14,13 +14,13 @@
     private static final HostPort OTHER = new HostPort("10.0.0.2", 81);
     private static final HostPort SEED = new HostPort("10.0.0.3", 81);
 
-    private final List<HostPort> asked = new ArrayList<>();
-    private long patienceMillis = 500;
+    private final List<HostPort> peersRead = new ArrayList<>();
+    private long stalenessLimitMillis = 500;
     private long ownVersion;
     private long copyVersion = 7;
     private final PeerTableReader<String> reader = new PeerTableReader<>(
             "test",
-            () -> patienceMillis,
+            () -> stalenessLimitMillis,
             this::tableAt,
             () -> ownVersion,
             page -> ownVersion = Math.max(ownVersion, page.version()));
@@ -36,7 +36,7 @@
         ownVersion = 7;
         reader.readIfStale(600);
         reader.readIfStale(2_000);
-        assertTrue(asked.isEmpty());
+        assertTrue(peersRead.isEmpty());
     }
 
     @Test
@@ -45,20 +45,20 @@
         reader.recordPeerVersion(7, OTHER);
         reader.readIfStale(0);
         reader.readIfStale(500);
-        assertEquals(List.of(OTHER), asked);
+        assertEquals(List.of(OTHER), peersRead);
         assertEquals(7, ownVersion);
         reader.readIfStale(5_000);
-        assertEquals(1, asked.size());
+        assertEquals(1, peersRead.size());
     }
 
     // Guards against requests to replicas that left while the store turned this entry away.
     @Test
     void newerVersionIsReadAtOnceWhileTheStoreIsLost() {
         ownVersion = 6;
-        patienceMillis = 0;
+        stalenessLimitMillis = 0;
         reader.recordPeerVersion(7, OTHER);
         reader.readIfStale(0);
-        assertEquals(List.of(OTHER), asked);
+        assertEquals(List.of(OTHER), peersRead);
     }
 
     @Test
@@ -66,7 +66,7 @@
         reader.addSeeds(List.of(SEED));
         reader.readIfStale(0);
         reader.readIfStale(500);
-        assertEquals(List.of(SEED), asked);
+        assertEquals(List.of(SEED), peersRead);
     }
 
     // The process that told is gone by the time it is asked. The reader waits until another one tells.
@@ -78,16 +78,16 @@
         reader.readIfStale(0);
         reader.readIfStale(500);
         reader.readIfStale(5_000);
-        assertEquals(1, asked.size());
+        assertEquals(1, peersRead.size());
         copyVersion = 7;
         reader.recordPeerVersion(7, SEED);
         reader.readIfStale(6_000);
         reader.readIfStale(6_500);
-        assertEquals(List.of(OTHER, SEED), asked);
+        assertEquals(List.of(OTHER, SEED), peersRead);
     }
 
     private WatchedTable<String> tableAt(HostPort process) {
-        asked.add(process);
+        peersRead.add(process);
         return new WatchedTable<>() {
             @Override
             public CompletableFuture<Page<String>> readAll() {
--- a/src/test/java/io/waxwingquay/fleet/ReplicaDirectoryTest.java
+++ b/src/test/java/io/waxwingquay/fleet/ReplicaDirectoryTest.java
@@ -12,31 +12,31 @@
 
 class ReplicaDirectoryTest {
 
-    private final List<String> gone = new ArrayList<>();
-    private final List<String> missing = new ArrayList<>();
+    private final List<String> removed = new ArrayList<>();
+    private final List<String> unlisted = new ArrayList<>();
     private long nowMillis = 1_000;
     private final ReplicaDirectory directory = new ReplicaDirectory(() -> nowMillis, new ReplicaDirectory.Listener() {
         @Override
         public void onListed(ReplicaRecord record, Optional<ReplicaRecord> before) {
-            missing.remove(record.id());
+            unlisted.remove(record.id());
         }
 
         @Override
         public void onUnlisted(ReplicaRecord record) {
-            missing.add(record.id());
+            unlisted.add(record.id());
         }
 
         @Override
         public void onRemoved(ReplicaRecord record) {
-            gone.add(record.id());
+            removed.add(record.id());
         }
     });
 
     @Test
     void droppedRowIsADepartureAtOnceWhileTheStoreIsSound() {
         directory.onSnapshot(page(row("r1"), row("r2")));
-        directory.onChanges(page(dropped("r1")));
-        assertEquals(List.of("r1"), gone);
+        directory.onChanges(page(removedRow("r1")));
+        assertEquals(List.of("r1"), removed);
     }
 
     // The store is away and rows lapse. Callers would be refused everywhere if each missing row were a departure, so
@@ -48,14 +48,14 @@
         nowMillis += 10_000;
         directory.onReachabilityChanged(true);
         directory.onSnapshot(page());
-        assertTrue(gone.isEmpty());
+        assertTrue(removed.isEmpty());
         nowMillis += 1_900;
         directory.onChanges(page(row("r2")));
         directory.removeExpired();
-        assertTrue(gone.isEmpty());
+        assertTrue(removed.isEmpty());
         nowMillis += 500;
         directory.removeExpired();
-        assertEquals(List.of("r1"), gone);
+        assertEquals(List.of("r1"), removed);
     }
 
     @Test
@@ -63,10 +63,10 @@
         directory.onSnapshot(page(row("r1")));
         directory.onHistoryLost();
         directory.onSnapshot(page());
-        assertTrue(gone.isEmpty());
+        assertTrue(removed.isEmpty());
         nowMillis += ReplicaDirectory.UNLISTED_GRACE_MILLIS;
         directory.removeExpired();
-        assertEquals(List.of("r1"), gone);
+        assertEquals(List.of("r1"), removed);
     }
 
     // Guards against use of a replica that left while the store was regained, for as long as its row may come back.
@@ -75,21 +75,21 @@
         directory.onSnapshot(page(row("r1"), row("r2")));
         directory.onReachabilityChanged(false);
         directory.onReachabilityChanged(true);
-        directory.onChanges(page(dropped("r1")));
-        assertEquals(List.of("r1"), missing);
+        directory.onChanges(page(removedRow("r1")));
+        assertEquals(List.of("r1"), unlisted);
         directory.onChanges(page(row("r1")));
-        assertTrue(missing.isEmpty());
-        assertTrue(gone.isEmpty());
+        assertTrue(unlisted.isEmpty());
+        assertTrue(removed.isEmpty());
     }
 
     @Test
     void nothingGoesWhileTheStoreIsAway() {
         directory.onSnapshot(page(row("r1")));
         directory.onReachabilityChanged(false);
-        directory.onChanges(page(dropped("r1")));
+        directory.onChanges(page(removedRow("r1")));
         nowMillis += 60_000;
         directory.removeExpired();
-        assertTrue(gone.isEmpty());
+        assertTrue(removed.isEmpty());
     }
 
     @SafeVarargs
@@ -103,7 +103,7 @@
         return new WatchedTable.Row<>(id, Optional.of(record));
     }
 
-    private static WatchedTable.Row<ReplicaRecord> dropped(String id) {
+    private static WatchedTable.Row<ReplicaRecord> removedRow(String id) {
         return new WatchedTable.Row<>(id, Optional.empty());
     }
 }
--- a/src/test/java/io/waxwingquay/fleet/TableWatchTest.java
+++ b/src/test/java/io/waxwingquay/fleet/TableWatchTest.java
@@ -17,21 +17,21 @@
 class TableWatchTest {
 
     /** The platform counts the store as sound again three seconds after its return, and gives two to follow a change. */
-    private static final long NOTICED_MILLIS = 3_000L + 2_000L;
+    private static final long CHANGE_DEADLINE_MILLIS = 3_000L + 2_000L;
 
     /** What the store's caller adds to the wait, and the time for a second call, its answer and its effect. */
-    private static final long LATE_ANSWER_MILLIS = 1_500L;
+    private static final long ANSWER_MARGIN_MILLIS = 1_500L;
 
     private static final long SECOND_CALL_MILLIS = 400L;
 
-    private final BlockingQueue<Follow> follows = new LinkedBlockingQueue<>();
-    private final BlockingQueue<String> told = new LinkedBlockingQueue<>();
+    private final BlockingQueue<ChangesCall> calls = new LinkedBlockingQueue<>();
+    private final BlockingQueue<String> events = new LinkedBlockingQueue<>();
     private EventLoop loop;
 
     @BeforeEach
     void start() {
         loop = EventLoop.start("test");
-        TableWatch<String> watch = new TableWatch<>(loop, "test", new Table(), 0, new Noting());
+        TableWatch<String> watch = new TableWatch<>(loop, "test", new Table(), 0, new RecordingListener());
         loop.execute(watch::start);
     }
 
@@ -46,8 +46,10 @@
     // answered within 1500 ms" stood in the log of each entry between 17.89 and 18.04 s, six seconds after the return.
     @Test
     void callThatASilenceCatchesEndsInTimeForTheNextChange() throws Exception {
-        long waitMillis = next().waitMillis;
-        assertTrue(waitMillis + LATE_ANSWER_MILLIS + SECOND_CALL_MILLIS < NOTICED_MILLIS, "it waits " + waitMillis);
+        long waitMillis = nextCall().waitMillis;
+        assertTrue(
+                waitMillis + ANSWER_MARGIN_MILLIS + SECOND_CALL_MILLIS < CHANGE_DEADLINE_MILLIS,
+                "it waits " + waitMillis);
     }
 
     // On the same day the configuration's call failed at 11.5 s, within the silence. The one after it waited in full,
@@ -55,30 +57,30 @@
     // caught too, and the log said "store regained table=configuration" only at 21.3 s.
     @Test
     void callAfterAFailureDoesNotWait() throws Exception {
-        next().answer.completeExceptionally(new StoreException("no answer"));
-        Follow second = next();
+        nextCall().answer.completeExceptionally(new StoreException("no answer"));
+        ChangesCall second = nextCall();
         assertEquals(0, second.waitMillis);
         second.answer.completeExceptionally(new StoreException("no answer"));
-        assertEquals(0, next().waitMillis);
+        assertEquals(0, nextCall().waitMillis);
     }
 
     @Test
     void answerAfterAFailureIsToldAndTheNextCallWaitsAgain() throws Exception {
-        next().answer.completeExceptionally(new StoreException("no answer"));
-        next().answer.complete(page(2, "second"));
-        assertTrue(next().waitMillis > 0);
-        assertEquals(List.of("first", "lost", "regained", "second"), List.copyOf(told));
+        nextCall().answer.completeExceptionally(new StoreException("no answer"));
+        nextCall().answer.complete(page(2, "second"));
+        assertTrue(nextCall().waitMillis > 0);
+        assertEquals(List.of("first", "lost", "regained", "second"), List.copyOf(events));
     }
 
-    private Follow next() throws InterruptedException {
-        return Optional.ofNullable(follows.poll(30, TimeUnit.SECONDS)).orElseThrow();
+    private ChangesCall nextCall() throws InterruptedException {
+        return Optional.ofNullable(calls.poll(30, TimeUnit.SECONDS)).orElseThrow();
     }
 
     private static WatchedTable.Page<String> page(long version, String value) {
         return new WatchedTable.Page<>(version, List.of(new WatchedTable.Row<>("key", Optional.of(value))));
     }
 
-    private record Follow(long waitMillis, CompletableFuture<WatchedTable.Page<String>> answer) {}
+    private record ChangesCall(long waitMillis, CompletableFuture<WatchedTable.Page<String>> answer) {}
 
     private final class Table implements WatchedTable<String> {
 
@@ -98,12 +100,12 @@
                     onLoop.completeExceptionally(failure);
                 }
             }));
-            follows.add(new Follow(waitMillis, answer));
+            calls.add(new ChangesCall(waitMillis, answer));
             return onLoop;
         }
     }
 
-    private final class Noting implements TableWatch.Listener<String> {
+    private final class RecordingListener implements TableWatch.Listener<String> {
 
         @Override
         public void onSnapshot(WatchedTable.Page<String> page) {
@@ -112,12 +114,12 @@
 
         @Override
         public void onChanges(WatchedTable.Page<String> page) {
-            page.rows().forEach(row -> row.value().ifPresent(told::add));
+            page.rows().forEach(row -> row.value().ifPresent(events::add));
         }
 
         @Override
         public void onReachabilityChanged(boolean reachable) {
-            told.add(reachable ? "regained" : "lost");
+            events.add(reachable ? "regained" : "lost");
         }
     }
 }
--- a/src/test/java/io/waxwingquay/manifest/EngineTest.java
+++ b/src/test/java/io/waxwingquay/manifest/EngineTest.java
@@ -13,22 +13,22 @@
 
     private static final int MODELS = 100;
 
-    private final CountedModels models = new CountedModels();
-    private final Engine engine = new Engine(8, 1_000, 200, 2, 1, models);
+    private final CountedModels countedModels = new CountedModels();
+    private final Engine engine = new Engine(8, 1_000, 200, 2, 1, countedModels);
 
     // A process beside an engine weighs each model against each engine ten times a second. With 102 models and 39
     // engines each question went through all models: 0.2 s of processor time a second in each process, with nothing
     // to serve.
     @Test
     void noQuestionGoesThroughAllModels() {
-        long before = models.read;
+        long before = countedModels.reads;
         IntStream.range(0, MODELS).forEach(each -> {
             assertEquals(each, engine.modelWeightsMegabytes("m" + each));
             assertTrue(engine.model("m" + each).isPresent());
             assertEquals(200 - 2 * 3.0, engine.modelMemoryMegabytes());
             engine.digest();
         });
-        assertEquals(before, models.read);
+        assertEquals(before, countedModels.reads);
     }
 
     @Test
@@ -39,20 +39,20 @@
 
     @Test
     void digestTellsConfigurationsApart() {
-        assertEquals(engine.digest(), new Engine(8, 1_000, 200, 2, 1, List.copyOf(models)).digest());
-        assertNotEquals(engine.digest(), new Engine(9, 1_000, 200, 2, 1, models).digest());
-        assertEquals(engine, new Engine(8, 1_000, 200, 2, 1, models));
+        assertEquals(engine.digest(), new Engine(8, 1_000, 200, 2, 1, List.copyOf(countedModels)).digest());
+        assertNotEquals(engine.digest(), new Engine(9, 1_000, 200, 2, 1, countedModels).digest());
+        assertEquals(engine, new Engine(8, 1_000, 200, 2, 1, countedModels));
         assertNotEquals(engine, new Engine(8, 1_000, 200, 2, 1, List.of()));
     }
 
     private static final class CountedModels extends AbstractList<Engine.Model> {
 
-        private long read;
+        private long reads;
 
         /** {@inheritDoc} */
         @Override
         public Engine.Model get(int index) {
-            read++;
+            reads++;
             return new Engine.Model("m" + index, index, 6_000, 1_300, 600, 3);
         }
 
--- a/src/test/java/io/waxwingquay/residency/CopyPlanTest.java
+++ b/src/test/java/io/waxwingquay/residency/CopyPlanTest.java
@@ -18,7 +18,7 @@
     private static final HostPort FIRST = new HostPort("10.0.0.1", 80);
     private static final HostPort SECOND = new HostPort("10.0.0.2", 80);
     private static final HostPort THIRD = new HostPort("10.0.0.3", 80);
-    private static final WeightLoadLimiter.Ceiling OPEN = new WeightLoadLimiter.Ceiling(100, 100);
+    private static final WeightLoadLimiter.Limit UNLIMITED = new WeightLoadLimiter.Limit(100, 100);
     private static final Engine ENGINE = new Engine(
             64,
             100_000,
@@ -35,10 +35,10 @@
     void overloadedModelGetsACopyInPlaceOfOneThatNobodyAsksFor() {
         List<CopyPlan.EngineView> engines =
                 List.of(view(FIRST, "busy", "rare", "more"), view(SECOND, "idle", "other", "more"));
-        CopyPlan plan = new CopyPlan(ENGINE, engines, Map.of("busy", demand(60, 120)), OPEN);
+        CopyPlan plan = new CopyPlan(ENGINE, engines, Map.of("busy", demand(60, 120)), UNLIMITED);
         CopyPlan.Step step = plan.stepFor(SECOND).orElseThrow();
         assertEquals("busy", step.model());
-        assertEquals(List.of("more"), step.makesWay());
+        assertEquals(List.of("more"), step.evictions());
     }
 
     // Guards against a choice by name among models that are silent now: the one asked for least over a longer time
@@ -52,8 +52,8 @@
                 "other", new CopyPlan.Demand(0, 0.05, 0),
                 "more", new CopyPlan.Demand(0, 0.3, 0));
         CopyPlan.Step step =
-                new CopyPlan(ENGINE, engines, demand, OPEN).stepFor(SECOND).orElseThrow();
-        assertEquals(List.of("other"), step.makesWay());
+                new CopyPlan(ENGINE, engines, demand, UNLIMITED).stepFor(SECOND).orElseThrow();
+        assertEquals(List.of("other"), step.evictions());
     }
 
     // At a start no entry has told yet what callers ask for. If copies moved then, the platform's own placement would
@@ -63,7 +63,7 @@
     void nothingIsMovedBeforeAnythingIsAskedFor() {
         List<CopyPlan.EngineView> engines =
                 List.of(view(FIRST, "busy", "rare", "more"), view(SECOND, "busy", "idle", "more"));
-        CopyPlan plan = new CopyPlan(ENGINE, engines, Map.of(), OPEN);
+        CopyPlan plan = new CopyPlan(ENGINE, engines, Map.of(), UNLIMITED);
         assertTrue(plan.stepFor(FIRST).isEmpty());
         assertTrue(plan.stepFor(SECOND).isEmpty());
     }
@@ -73,7 +73,10 @@
         List<CopyPlan.EngineView> engines =
                 List.of(view(FIRST, "busy", "rare", "more"), view(SECOND, "busy", "idle", "more"));
         CopyPlan plan = new CopyPlan(
-                ENGINE, engines, Map.of("other", demand(0.5, 1), "rare", demand(0.3, 1), "idle", demand(0.3, 1)), OPEN);
+                ENGINE,
+                engines,
+                Map.of("other", demand(0.5, 1), "rare", demand(0.3, 1), "idle", demand(0.3, 1)),
+                UNLIMITED);
         Optional<CopyPlan.Step> step = plan.stepFor(FIRST).or(() -> plan.stepFor(SECOND));
         assertEquals("other", step.orElseThrow().model());
     }
@@ -81,7 +84,7 @@
     @Test
     void freeRoomIsFilledWithWhatNoEngineHolds() {
         List<CopyPlan.EngineView> engines = List.of(view(FIRST, "busy", "rare", "more"), view(SECOND, "idle"));
-        CopyPlan plan = new CopyPlan(ENGINE, engines, Map.of(), OPEN);
+        CopyPlan plan = new CopyPlan(ENGINE, engines, Map.of(), UNLIMITED);
         assertEquals("other", plan.stepFor(SECOND).orElseThrow().model());
     }
 
@@ -91,7 +94,7 @@
     void processesWithTheSameViewDoNotChooseTheSameModel() {
         List<CopyPlan.EngineView> engines =
                 List.of(view(FIRST, "busy", "rare"), view(SECOND, "busy", "idle"), view(THIRD, "busy", "more"));
-        CopyPlan plan = new CopyPlan(ENGINE, engines, Map.of("other", demand(1, 1)), OPEN);
+        CopyPlan plan = new CopyPlan(ENGINE, engines, Map.of("other", demand(1, 1)), UNLIMITED);
         long loading = Stream.of(FIRST, SECOND, THIRD)
                 .map(plan::stepFor)
                 .flatMap(Optional::stream)
@@ -106,7 +109,8 @@
     @Test
     void emptyEnginesBringInSeveralCopiesOfABusyModelAtOnce() {
         List<CopyPlan.EngineView> engines = List.of(view(FIRST), view(SECOND), view(THIRD));
-        CopyPlan plan = new CopyPlan(ENGINE, engines, Map.of("busy", demand(60, 120), "rare", demand(0.3, 0.3)), OPEN);
+        CopyPlan plan =
+                new CopyPlan(ENGINE, engines, Map.of("busy", demand(60, 120), "rare", demand(0.3, 0.3)), UNLIMITED);
         assertEquals(
                 List.of("busy", "busy", "busy"),
                 Stream.of(FIRST, SECOND, THIRD)
@@ -122,11 +126,12 @@
     void copyOfABusyModelDoesNotMakeWayForARareOne() {
         List<CopyPlan.EngineView> engines = List.of(
                 view(FIRST, "busy", "rare", "more"), view(SECOND, "busy", "rare", "more"), view(THIRD, "busy", "idle"));
-        CopyPlan plan = new CopyPlan(ENGINE, engines, Map.of("busy", demand(75, 75), "other", demand(0.7, 0.7)), OPEN);
+        CopyPlan plan =
+                new CopyPlan(ENGINE, engines, Map.of("busy", demand(75, 75), "other", demand(0.7, 0.7)), UNLIMITED);
         Stream.of(FIRST, SECOND, THIRD)
                 .map(plan::stepFor)
                 .flatMap(Optional::stream)
-                .forEach(step -> assertFalse(step.makesWay().contains("busy"), step.toString()));
+                .forEach(step -> assertFalse(step.evictions().contains("busy"), step.toString()));
     }
 
     // Demand moves to a model that no engine holds. One engine could drop a model that is in the middle of long
@@ -139,7 +144,7 @@
                 new CopyPlan.EngineView(FIRST, waitedFor, Optional.empty(), Set.of(), waitedFor, 0, 3);
         Map<String, CopyPlan.Demand> asked =
                 Map.of("other", demand(5, 5), "idle", demand(1, 1), "rare", demand(1, 1), "busy", demand(90, 90));
-        CopyPlan plan = new CopyPlan(ENGINE, List.of(used, view(SECOND, "busy", "idle", "rare")), asked, OPEN);
+        CopyPlan plan = new CopyPlan(ENGINE, List.of(used, view(SECOND, "busy", "idle", "rare")), asked, UNLIMITED);
         assertTrue(plan.stepFor(FIRST).isEmpty());
         assertEquals("other", plan.stepFor(SECOND).orElseThrow().model());
     }
@@ -150,7 +155,7 @@
                 new CopyPlan.EngineView(FIRST, Set.of("busy"), Optional.empty(), Set.of(), Set.of(), 1, 0);
         List<CopyPlan.EngineView> engines = List.of(spent, view(SECOND, "busy", "idle", "rare"));
         CopyPlan plan =
-                new CopyPlan(ENGINE, engines, Map.of("other", demand(5, 5)), new WeightLoadLimiter.Ceiling(10, 1));
+                new CopyPlan(ENGINE, engines, Map.of("other", demand(5, 5)), new WeightLoadLimiter.Limit(10, 1));
         assertTrue(plan.stepFor(FIRST).isEmpty());
         assertEquals("other", plan.stepFor(SECOND).orElseThrow().model());
     }
--- a/src/test/java/io/waxwingquay/residency/OrderBookTest.java
+++ b/src/test/java/io/waxwingquay/residency/OrderTrackerTest.java
@@ -11,11 +11,11 @@
 import java.util.concurrent.CompletableFuture;
 import org.junit.jupiter.api.Test;
 
-class OrderBookTest {
+class OrderTrackerTest {
 
     private final CompletableFuture<EngineControl.Answer> answer = new CompletableFuture<>();
     private long nowMillis;
-    private final OrderBook orders = new OrderBook(
+    private final OrderTracker orders = new OrderTracker(
             new EngineControl() {
                 @Override
                 public CompletableFuture<EngineReport> report() {
@@ -33,39 +33,39 @@
     // would be ordered into the same room, and the engine would crash with both.
     @Test
     void modelOfAnUnansweredLoadCountsAsHeldUntilTheEngineTookAnotherOrder() {
-        give();
-        assertTrue(orders.isOpen());
+        issue();
+        assertTrue(orders.isAwaitingAnswer());
         answer.complete(EngineControl.Answer.UNKNOWN);
-        assertFalse(orders.isOpen());
-        orders.reported(report(3), false);
-        assertEquals(List.of("m"), orders.doubtfulLoads());
-        orders.reported(report(4), false);
-        assertTrue(orders.doubtfulLoads().isEmpty());
+        assertFalse(orders.isAwaitingAnswer());
+        orders.onReport(report(3), false);
+        assertEquals(List.of("m"), orders.unresolvedLoads());
+        orders.onReport(report(4), false);
+        assertTrue(orders.unresolvedLoads().isEmpty());
     }
 
     // The engine crashes and starts anew, and counts its orders from nothing: a late order of the life before may fit
     // the count again. So its model counts as held for as long as such an order is known to take.
     @Test
     void unansweredLoadOutlivesTheEnginesLife() {
-        give();
+        issue();
         answer.complete(EngineControl.Answer.UNKNOWN);
-        orders.reported(report(0), true);
-        orders.reported(report(9), false);
-        assertEquals(List.of("m"), orders.doubtfulLoads());
-        nowMillis += OrderBook.LATE_MILLIS + 1;
-        orders.reported(report(9), false);
-        assertTrue(orders.doubtfulLoads().isEmpty());
+        orders.onReport(report(0), true);
+        orders.onReport(report(9), false);
+        assertEquals(List.of("m"), orders.unresolvedLoads());
+        nowMillis += OrderTracker.LATE_EXECUTION_MILLIS + 1;
+        orders.onReport(report(9), false);
+        assertTrue(orders.unresolvedLoads().isEmpty());
     }
 
     @Test
     void answeredLoadIsNotInDoubt() {
-        give();
+        issue();
         answer.complete(EngineControl.Answer.TAKEN);
-        assertTrue(orders.doubtfulLoads().isEmpty());
+        assertTrue(orders.unresolvedLoads().isEmpty());
     }
 
-    private void give() {
-        orders.give(new EngineControl.Order(true, "m", Optional.empty(), 3), given -> {});
+    private void issue() {
+        orders.issue(new EngineControl.Order(true, "m", Optional.empty(), 3), given -> {});
     }
 
     private static EngineReport report(long ordersTaken) {
--- a/src/test/java/io/waxwingquay/residency/NeighboursTest.java
+++ b/src/test/java/io/waxwingquay/residency/PeerUpdatesTest.java
@@ -17,27 +17,27 @@
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 
-class NeighboursTest {
+class PeerUpdatesTest {
 
     private static final HostPort ENTRY = new HostPort("10.1.0.1", 7382);
     private static final HostPort OWN = new HostPort("10.0.0.1", 80);
 
-    private final Neighbours neighbours = new Neighbours("models");
+    private final PeerUpdates peers = new PeerUpdates("models");
 
     // A deployment has two services with engines. If engines of the other one took part in the plan, a model would be
     // left to one of them that can never hold it, and callers would find it nowhere.
     @Test
     void enginesOfAnotherServiceHaveNoPartInThePlan() {
-        neighbours.engine(news("other", "10.0.0.2:80"), 0);
-        assertTrue(neighbours.others(OWN, Optional.empty(), 0).isEmpty());
-        assertEquals(0, neighbours.othersStoreLoads(OWN, 0));
+        peers.onEngineUpdate(engineUpdate("other", "10.0.0.2:80"), 0);
+        assertTrue(peers.otherEngines(OWN, Optional.empty(), 0).isEmpty());
+        assertEquals(0, peers.otherStoreLoads(OWN, 0));
     }
 
     // Two processes announce the same model in the same instant. Exactly one of them may pass over the other's
     // announcement, or both would load it, or neither.
     @Test
     void onlyTheFirstInOrderPassesOverTheOthersAnnouncement() {
-        neighbours.engine(news("models", "10.0.0.2:80").setLoadingModel("m"), 0);
+        peers.onEngineUpdate(engineUpdate("models", "10.0.0.2:80").setLoadingModel("m"), 0);
         HostPort last = new HostPort("10.0.0.9", 80);
         assertEquals(Optional.empty(), loading(OWN));
         assertEquals(Optional.of("m"), loading(last));
@@ -45,9 +45,9 @@
 
     @Test
     void silentEngineIsForgotten() {
-        neighbours.engine(news("models", "10.0.0.2:80"), 0);
-        assertEquals(1, neighbours.others(OWN, Optional.empty(), 3_000).size());
-        assertTrue(neighbours.others(OWN, Optional.empty(), 3_001).isEmpty());
+        peers.onEngineUpdate(engineUpdate("models", "10.0.0.2:80"), 0);
+        assertEquals(1, peers.otherEngines(OWN, Optional.empty(), 3_000).size());
+        assertTrue(peers.otherEngines(OWN, Optional.empty(), 3_001).isEmpty());
     }
 
     // A busy model loses a copy that its callers need: 55 of them are refused for want of room within seven seconds. An
@@ -59,15 +59,15 @@
     //   14.95 side-mid-c-2 residency: model comes model=pura96786c makes_way=[rara464aea]
     @Test
     void engineThatNoEntryListsHasNoPartInThePlan() {
-        neighbours.engine(news("models", "10.0.0.2:80"), 0);
-        neighbours.engine(news("models", "10.0.0.3:80"), 0);
-        neighbours.entry(new HostPort("10.0.1.1", 90), listing("10.0.0.1:80", "10.0.0.3:80"), 0);
-        neighbours.entry(new HostPort("10.0.1.2", 90), listing("10.0.0.1:80"), 0);
-        List<HostPort> counted = neighbours.others(OWN, Optional.empty(), 0).stream()
+        peers.onEngineUpdate(engineUpdate("models", "10.0.0.2:80"), 0);
+        peers.onEngineUpdate(engineUpdate("models", "10.0.0.3:80"), 0);
+        peers.onEntryUpdate(new HostPort("10.0.1.1", 90), entryListing("10.0.0.1:80", "10.0.0.3:80"), 0);
+        peers.onEntryUpdate(new HostPort("10.0.1.2", 90), entryListing("10.0.0.1:80"), 0);
+        List<HostPort> counted = peers.otherEngines(OWN, Optional.empty(), 0).stream()
                 .map(CopyPlan.EngineView::address)
                 .toList();
         assertEquals(List.of(new HostPort("10.0.0.3", 80)), counted);
-        assertEquals(4, neighbours.othersStoreLoads(OWN, 0), "what it loaded still counts for the ceiling");
+        assertEquals(4, peers.otherStoreLoads(OWN, 0), "what it loaded still counts for the ceiling");
     }
 
     // A process tells in rounds that take the longer the more there are; in a large deployment one round takes longer
@@ -78,11 +78,11 @@
         List<String> addresses = IntStream.range(2, 302)
                 .mapToObj(each -> "10.0.0." + each + ":80")
                 .toList();
-        neighbours.entry(ENTRY, entry(new NewsNumber(0).next()).setEngineAddresses(addresses), 0);
-        neighbours.engine(news("models", "10.0.0.2:80"), 0);
+        peers.onEntryUpdate(ENTRY, entryUpdate(new NewsNumber(0).next()).setEngineAddresses(addresses), 0);
+        peers.onEngineUpdate(engineUpdate("models", "10.0.0.2:80"), 0);
         long roundMillis = NewsPace.periodMillis(300);
         assertEquals(
-                1, neighbours.others(OWN, Optional.empty(), 2 * roundMillis).size());
+                1, peers.otherEngines(OWN, Optional.empty(), 2 * roundMillis).size());
     }
 
     // A process that started again has heard nothing. It is told at once if it is noticed, though its address is known.
@@ -90,12 +90,12 @@
     void processThatStartedAgainIsNoticedOnce() {
         NewsNumber early = new NewsNumber(1_000);
         NewsNumber late = new NewsNumber(9_000);
-        assertFalse(neighbours.entry(ENTRY, entry(early.next()), 0));
-        assertFalse(neighbours.entry(ENTRY, entry(early.next()), 10));
-        assertTrue(neighbours.entry(ENTRY, entry(late.next()), 20));
-        assertFalse(neighbours.entry(ENTRY, entry(late.next()), 30));
-        assertFalse(neighbours.engine(news("models", "10.0.0.2:80").setNumber(early.next()), 0));
-        assertTrue(neighbours.engine(news("models", "10.0.0.2:80").setNumber(late.next()), 10));
+        assertFalse(peers.onEntryUpdate(ENTRY, entryUpdate(early.next()), 0));
+        assertFalse(peers.onEntryUpdate(ENTRY, entryUpdate(early.next()), 10));
+        assertTrue(peers.onEntryUpdate(ENTRY, entryUpdate(late.next()), 20));
+        assertFalse(peers.onEntryUpdate(ENTRY, entryUpdate(late.next()), 30));
+        assertFalse(peers.onEngineUpdate(engineUpdate("models", "10.0.0.2:80").setNumber(early.next()), 0));
+        assertTrue(peers.onEngineUpdate(engineUpdate("models", "10.0.0.2:80").setNumber(late.next()), 10));
     }
 
     // Datagrams overtake each other. What an engine announced before it gave up would keep the model from all others.
@@ -103,30 +103,31 @@
     void newsThatWasOvertakenIsPassedOver() {
         NewsNumber numbers = new NewsNumber(0);
         long early = numbers.next();
-        neighbours.engine(news("models", "10.0.0.2:80").setNumber(numbers.next()), 0);
-        neighbours.engine(news("models", "10.0.0.2:80").setNumber(early).setLoadingModel("m"), 10);
+        peers.onEngineUpdate(engineUpdate("models", "10.0.0.2:80").setNumber(numbers.next()), 0);
+        peers.onEngineUpdate(
+                engineUpdate("models", "10.0.0.2:80").setNumber(early).setLoadingModel("m"), 10);
         assertEquals(
                 Optional.empty(),
-                neighbours.others(OWN, Optional.empty(), 10).get(0).loading());
+                peers.otherEngines(OWN, Optional.empty(), 10).get(0).loading());
     }
 
     // An entry says at once what it uses here, and only now and then what is asked of it.
     @Test
     void newsOfUseLeavesWhatIsAskedFor() {
         NewsNumber numbers = new NewsNumber(0);
-        neighbours.entry(ENTRY, entry(numbers.next()), 0);
+        peers.onEntryUpdate(ENTRY, entryUpdate(numbers.next()), 0);
         EntryNews use = new EntryNews()
                 .setNumber(numbers.next())
                 .setAdaptersInUse(List.of("m/a1"))
                 .setModelsInUse(List.of("m"));
-        neighbours.entry(ENTRY, use, 10);
-        assertEquals(Set.of("m/a1"), neighbours.adaptersInUse(10));
-        assertEquals(Set.of(ENTRY), neighbours.users(10));
-        assertEquals(Set.of("m"), neighbours.demand(10).keySet());
-        assertEquals(Set.of(OWN), neighbours.listedEngines(10));
+        peers.onEntryUpdate(ENTRY, use, 10);
+        assertEquals(Set.of("m/a1"), peers.adaptersInUse(10));
+        assertEquals(Set.of(ENTRY), peers.activeEntries(10));
+        assertEquals(Set.of("m"), peers.demand(10).keySet());
+        assertEquals(Set.of(OWN), peers.listedEngines(10));
     }
 
-    private static EntryNews entry(long number) {
+    private static EntryNews entryUpdate(long number) {
         return new EntryNews()
                 .setNumber(number)
                 .setDemand(Map.of("m", new ModelDemand(1, 1, 1)))
@@ -136,14 +137,14 @@
     }
 
     private Optional<String> loading(HostPort own) {
-        return neighbours.others(own, Optional.of("m"), 0).get(0).loading();
+        return peers.otherEngines(own, Optional.of("m"), 0).get(0).loading();
     }
 
-    private static EntryNews listing(String... addresses) {
+    private static EntryNews entryListing(String... addresses) {
         return new EntryNews().setDemand(Map.of()).setEngineAddresses(List.of(addresses));
     }
 
-    private static EngineNews news(String service, String address) {
+    private static EngineNews engineUpdate(String service, String address) {
         return new EngineNews()
                 .setServiceName(service)
                 .setEngineAddress(address)
--- a/src/test/java/io/waxwingquay/residency/SuspectRelayTest.java
+++ b/src/test/java/io/waxwingquay/residency/SuspectRelayTest.java
@@ -14,7 +14,7 @@
 
 class SuspectRelayTest {
 
-    private static final long POISON = 7;
+    private static final long FINGERPRINT = 7;
 
     private final SuspectRelay relay = relay();
     private final SharedSuspects entry = suspects();
@@ -23,27 +23,27 @@
     // same.
     @Test
     void whatOneEntryTellsGoesOnFromEngineToEngineToTheOthers() {
-        entry.crashed("a", POISON);
-        entry.crashed("b", POISON);
+        entry.crashed("a", FINGERPRINT);
+        entry.crashed("b", FINGERPRINT);
         relay.receive(PeerDatagram.entry(new EntryNews().setSuspects(entry.page())));
         SuspectRelay next = relay();
-        next.receive(told(relay));
+        next.receive(attached(relay));
         SharedSuspects other = suspects();
-        other.take(told(next).getEngine().getSuspects());
-        assertEquals(Standing.QUARANTINED, other.standing(POISON));
+        other.take(attached(next).getEngine().getSuspects());
+        assertEquals(Standing.QUARANTINED, other.standing(FINGERPRINT));
     }
 
     @Test
     void newsWithoutSuspectsStaysAsItIs() {
         relay.receive(PeerDatagram.entry(new EntryNews()));
-        assertFalse(told(relay).getEngine().isSetSuspects());
+        assertFalse(attached(relay).getEngine().isSetSuspects());
         PeerDatagram reply = PeerDatagram.adapterReply(new AdapterReply(1, true));
         relay.receive(reply);
         relay.attachTo(reply);
         assertEquals(PeerDatagram.adapterReply(new AdapterReply(1, true)), reply);
     }
 
-    private static PeerDatagram told(SuspectRelay relay) {
+    private static PeerDatagram attached(SuspectRelay relay) {
         PeerDatagram datagram = PeerDatagram.engine(new EngineNews());
         relay.attachTo(datagram);
         return datagram;
--- /dev/null
+++ b/src/test/java/io/waxwingquay/residency/UpdateScheduleTest.java
@@ -0,0 +1,113 @@
+package io.waxwingquay.residency;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import io.waxwingquay.peer.NewsPace;
+import io.waxwingquay.residency.UpdateSchedule.EngineStatus;
+import io.waxwingquay.residency.UpdateSchedule.Update;
+import java.util.Optional;
+import java.util.Set;
+import java.util.stream.IntStream;
+import org.junit.jupiter.api.Test;
+
+class UpdateScheduleTest {
+
+    private static final int RECEIVERS = 70;
+    private static final int ACTIVE_ENTRIES = 10;
+    private static final long POLL_MILLIS = 100;
+    private static final EngineStatus UNCHANGED =
+            new EngineStatus(Set.of("m"), Set.of("m", "n"), Optional.empty(), 1, false, 3, Set.of("m/a1"), 4);
+
+    private final UpdateSchedule schedule = new UpdateSchedule();
+
+    @Test
+    void changeIsToldAtOnceAndOnceMore() {
+        assertEquals(Update.FULL_TO_ALL, nextUpdate(UNCHANGED, 0));
+        assertEquals(Update.NONE, nextUpdate(UNCHANGED, 100));
+        assertEquals(Update.FULL_TO_ALL, nextUpdate(UNCHANGED, UpdateSchedule.RESEND_MILLIS));
+        assertEquals(Update.NONE, nextUpdate(UNCHANGED, 400));
+        assertEquals(Update.FULL_TO_ALL, nextUpdate(withLoadingModel("n"), 500));
+        assertEquals(Update.FULL_TO_ALL, nextUpdate(UNCHANGED, 510));
+    }
+
+    @Test
+    void whatStaysIsSaidAgainInRounds() {
+        nextUpdate(UNCHANGED, 0);
+        nextUpdate(UNCHANGED, 200);
+        long period = NewsPace.periodMillis(RECEIVERS);
+        assertEquals(Update.NONE, nextUpdate(UNCHANGED, 200 + period - 1));
+        assertEquals(Update.FULL_TO_ALL, nextUpdate(UNCHANGED, 200 + period));
+        assertEquals(Update.NONE, nextUpdate(UNCHANGED, 200 + period + 250));
+    }
+
+    @Test
+    void loadIsToldToThoseWhoUseTheEngine() {
+        nextUpdate(UNCHANGED, 0);
+        nextUpdate(UNCHANGED, 200);
+        assertEquals(Update.NONE, nextUpdate(withRequests(5), 300));
+        assertEquals(Update.LOAD_TO_ACTIVE_ENTRIES, nextUpdate(withRequests(5), 450));
+        assertEquals(Update.NONE, nextUpdate(withRequests(5), 800));
+        assertEquals(Update.FULL_TO_ACTIVE_ENTRIES, nextUpdate(withAdapter("m/a2"), 900));
+        assertEquals(Update.NONE, schedule.nextUpdate(withRequests(9), RECEIVERS, 0, 1_300));
+    }
+
+    // A start of a load makes others wait for the ceiling and must be known at once; that one has lapsed frees room
+    // only.
+    @Test
+    void loadFromTheStoreIsToldAtOnceAndItsLapseLater() {
+        nextUpdate(UNCHANGED, 0);
+        nextUpdate(UNCHANGED, 200);
+        assertEquals(Update.FULL_TO_ALL, nextUpdate(withStoreLoads(2), 300));
+        nextUpdate(withStoreLoads(2), 500);
+        assertEquals(Update.NONE, nextUpdate(withStoreLoads(1), 510));
+    }
+
+    // Each process beside an engine told every entry and every other one five times a second: 13,000 datagrams a second
+    // with 31 entries and 39 engines, and more than the square of that growth at eight times the size. What one process
+    // sends must stay the same however many there are, while nothing but the load changes.
+    @Test
+    void whatIsSentDoesNotGrowWithTheFleet() {
+        IntStream.of(20, 70, 300, 2_720).forEach(receivers -> {
+            double perSecond = datagramsPerSecond(receivers);
+            assertTrue(perSecond <= 70, receivers + " receivers: " + perSecond);
+        });
+    }
+
+    private static double datagramsPerSecond(int receivers) {
+        UpdateSchedule schedule = new UpdateSchedule();
+        long seconds = 1_000;
+        long sent = 0;
+        for (long millis = 0; millis < seconds * 1_000; millis += POLL_MILLIS) {
+            Update update = schedule.nextUpdate(
+                    withRequests((int) (millis / POLL_MILLIS % 7)), receivers, ACTIVE_ENTRIES, millis);
+            sent += switch (update) {
+                case FULL_TO_ALL -> receivers;
+                case FULL_TO_ACTIVE_ENTRIES, LOAD_TO_ACTIVE_ENTRIES -> ACTIVE_ENTRIES;
+                case NONE -> 0;
+            };
+        }
+        return (double) sent / seconds;
+    }
+
+    private Update nextUpdate(EngineStatus matter, long nowMillis) {
+        return schedule.nextUpdate(matter, RECEIVERS, ACTIVE_ENTRIES, nowMillis);
+    }
+
+    private static EngineStatus withLoadingModel(String model) {
+        return new EngineStatus(Set.of("m"), Set.of("m", "n"), Optional.of(model), 1, false, 3, Set.of("m/a1"), 4);
+    }
+
+    private static EngineStatus withRequests(int requests) {
+        return new EngineStatus(Set.of("m"), Set.of("m", "n"), Optional.empty(), 1, false, 3, Set.of("m/a1"), requests);
+    }
+
+    private static EngineStatus withAdapter(String adapter) {
+        return new EngineStatus(Set.of("m"), Set.of("m", "n"), Optional.empty(), 1, false, 3, Set.of(adapter), 5);
+    }
+
+    private static EngineStatus withStoreLoads(int storeLoads) {
+        return new EngineStatus(
+                Set.of("m"), Set.of("m", "n"), Optional.empty(), storeLoads, false, 3, Set.of("m/a1"), 4);
+    }
+}
--- a/src/test/java/io/waxwingquay/residency/WeightLoadLimiterTest.java
+++ b/src/test/java/io/waxwingquay/residency/WeightLoadLimiterTest.java
@@ -14,11 +14,11 @@
 
     @Test
     void forgetsLoadsThatLeftTheWindow() {
-        WeightLoadLimiter pace = new WeightLoadLimiter(5_000, 1.1);
-        pace.recordLoad(0);
-        pace.recordLoad(3_000);
-        assertEquals(2, pace.recentLoads(5_000));
-        assertEquals(1, pace.recentLoads(5_001));
+        WeightLoadLimiter limiter = new WeightLoadLimiter(5_000, 1.1);
+        limiter.recordLoad(0);
+        limiter.recordLoad(3_000);
+        assertEquals(2, limiter.recentLoads(5_000));
+        assertEquals(1, limiter.recentLoads(5_001));
     }
 
     // Loads of all engines together have a ceiling in each window. With the platform's store away nobody counts them
@@ -27,12 +27,12 @@
     void sharesOfAllEnginesStayBelowTheCeiling(
             @ForAll @DoubleRange(min = 0.2, max = 9) double perSecond,
             @ForAll @IntRange(min = 1, max = 60) int engines) {
-        WeightLoadLimiter.Ceiling ceiling = new WeightLoadLimiter(5_000, 1.1).ceiling(perSecond, engines);
+        WeightLoadLimiter.Limit limit = new WeightLoadLimiter(5_000, 1.1).limit(perSecond, engines);
         double allowed = perSecond * 5 * 1.1 + 3;
         if (engines <= allowed - 1) {
-            assertTrue(engines * ceiling.each() <= allowed);
+            assertTrue(engines * limit.perEngine() <= allowed);
         }
-        assertTrue(ceiling.all() < allowed);
+        assertTrue(limit.total() < allowed);
     }
 
     // All processes beside engines are killed just after each engine began a load, and start again within the window.
@@ -40,19 +40,19 @@
     @Test
     void processesThatStartAgainStayBelowTheCeiling() {
         int engines = 13;
-        WeightLoadLimiter.Ceiling ceiling = new WeightLoadLimiter(5_000, 1.1).ceiling(2.1, engines);
+        WeightLoadLimiter.Limit limit = new WeightLoadLimiter(5_000, 1.1).limit(2.1, engines);
         WeightLoadLimiter again = new WeightLoadLimiter(5_000, 1.1);
         again.assumeRecentLoad(1_000);
-        assertFalse(ceiling.allows(again.recentLoads(1_100), engines, Double.MAX_VALUE));
-        assertTrue(ceiling.allows(again.recentLoads(6_001), 0, Double.MAX_VALUE));
+        assertFalse(limit.allows(again.recentLoads(1_100), engines, Double.MAX_VALUE));
+        assertTrue(limit.allows(again.recentLoads(6_001), 0, Double.MAX_VALUE));
     }
 
     @Test
     void rareModelsLeaveLoadsToBusyOnes() {
-        WeightLoadLimiter.Ceiling ceiling = new WeightLoadLimiter.Ceiling(10, 2);
-        assertTrue(ceiling.allows(0, 6, 40.0));
-        assertFalse(ceiling.allows(0, 6, 0.2));
-        assertFalse(ceiling.allows(2, 2, 40.0));
-        assertFalse(ceiling.allows(0, 10, 40.0));
+        WeightLoadLimiter.Limit limit = new WeightLoadLimiter.Limit(10, 2);
+        assertTrue(limit.allows(0, 6, 40.0));
+        assertFalse(limit.allows(0, 6, 0.2));
+        assertFalse(limit.allows(2, 2, 40.0));
+        assertFalse(limit.allows(0, 10, 40.0));
     }
 }
