--- a/src/main/java/io/waxwingquay/residency/AdapterScheduler.java
+++ b/src/main/java/io/waxwingquay/residency/AdapterScheduler.java
@@ -14,16 +14,22 @@
 import java.util.Optional;
 import java.util.Set;
 
-/** Adapters of one engine: those that entries wait for, and which of the others makes way for them. */
+/**
+ * Schedules the loading of adapters that entries have asked for, and the eviction of other adapters to free slots, for
+ * one engine.
+ */
 final class AdapterScheduler {
 
-    /** After this an entry has asked elsewhere, or its request has been given up. */
+    /** After this time the entry has asked another engine or has given up the request. */
     private static final long CALL_TIMEOUT_MILLIS = 400L;
 
-    /** An adapter that was just asked for is about to be used, though no entry has told so yet. */
+    /**
+     * An adapter that was asked for recently is about to be used, although no entry's update has reported it as in use
+     * yet.
+     */
     private static final long RECENT_USE_MILLIS = 500L;
 
-    /** Adapters that an engine takes at the same time. */
+    /** The maximum number of adapters that load at the same time. */
     private static final int MAX_LOADING_ADAPTERS = 4;
 
     private final Map<AdapterName, Waiters> waitersByAdapter = new LinkedHashMap<>();
@@ -43,7 +49,10 @@
         return !waitersByAdapter.isEmpty();
     }
 
-    /** Answers those whose adapter is there, and those who had better ask elsewhere: the engine takes no order now. */
+    /**
+     * Replies to the callers whose adapter is loaded, and to those that should ask another engine: the model is absent
+     * or the engine is executing an order and accepts no further one.
+     */
     void replyToWaiters(EngineReport report, ReplySender sender) {
         for (Iterator<Map.Entry<AdapterName, Waiters>> each =
                         waitersByAdapter.entrySet().iterator();
@@ -60,13 +69,13 @@
     }
 
     void rejectAll(ReplySender sender) {
-        waitersByAdapter.values().forEach(wait -> wait.reply(sender, false));
+        waitersByAdapter.values().forEach(waiters -> waiters.reply(sender, false));
         waitersByAdapter.clear();
     }
 
-    /** The next order that brings an adapter nearer. */
+    /** Returns the next order that loads a requested adapter or evicts another one for it. */
     Optional<EngineControl.Order> nextOrder(Engine engine, EngineReport report, Set<String> inUse, long nowMillis) {
-        waitersByAdapter.values().removeIf(wait -> nowMillis - wait.sinceMillis > CALL_TIMEOUT_MILLIS);
+        waitersByAdapter.values().removeIf(waiters -> nowMillis - waiters.sinceMillis > CALL_TIMEOUT_MILLIS);
         inUse.forEach(text -> lastUsedMillis.put(AdapterName.parse(text), nowMillis));
         Optional<AdapterName> nextToLoad = waitersByAdapter.keySet().stream()
                 .filter(name -> !report.loadingAdapters().contains(name.toString()))
@@ -92,11 +101,11 @@
         return new EngineControl.Order(load, name.model, Optional.of(name.adapter), report.ordersTaken());
     }
 
-    /** Takes the answers to calls. */
+    /** Sends the replies to adapter calls. */
     @FunctionalInterface
     interface ReplySender {
 
-        void send(HostPort entry, long id, boolean present);
+        void send(HostPort entry, long id, boolean loaded);
     }
 
     private record AdapterName(String model, String adapter) {
@@ -117,8 +126,8 @@
 
     private record Waiters(long sinceMillis, List<Caller> callers) {
 
-        void reply(ReplySender sender, boolean present) {
-            callers.forEach(caller -> sender.send(caller.entry, caller.id, present));
+        void reply(ReplySender sender, boolean loaded) {
+            callers.forEach(caller -> sender.send(caller.entry, caller.id, loaded));
         }
     }
 }
--- a/src/main/java/io/waxwingquay/residency/CopyPlan.java
+++ b/src/main/java/io/waxwingquay/residency/CopyPlan.java
@@ -15,49 +15,59 @@
 import java.util.stream.Collectors;
 
 /**
- * Decides what one engine is to load next, and what makes way for it. Pure: processes with the same view find the same
- * engine best for the same model, so each acts only on its own part and none has to lead. Different views cost a load
- * too many, never memory, as each process guards that of its own engine.
+ * Plans which model each engine loads next and which models are evicted for it. The plan is a pure function of its
+ * input: processes with the same view compute the same plan, so each carries out only its own engine's part and no
+ * leader is needed. Differing views may cost a superfluous load but never memory, as each process limits that of its
+ * own engine.
  *
- * <p>Each copy of a model has a worth in requests a second that would not be served in time without it. A copy is
- * loaded where that gains clearly more than what makes way for it is worth, so the last copy of a model goes only for
- * one that far more callers ask for, and what nobody asks for goes first.
+ * <p>The value of a copy is the number of requests a second that would not be served in time without it. A copy is
+ * loaded where it gains clearly more than the value of the copies evicted for it. So the last copy of a model is
+ * evicted only for a model with far higher demand, and models without demand are evicted first.
  */
 public final class CopyPlan {
 
-    /** What a second copy is worth besides: engines fail now and then, and seconds are lost then; and a further one. */
+    /**
+     * Additional value of a second and of a further copy, as a share of demand: engines fail occasionally, and without
+     * another copy requests fail for seconds.
+     */
     private static final double SECOND_COPY_SHARE = 0.02;
 
     private static final double FURTHER_COPY_SHARE = 0.003;
 
-    /** How much more a copy must gain than what makes way for it is worth; less would swap models to and fro. */
+    /**
+     * The minimum ratio of the gain of a copy to the value of the evicted copies; a lower ratio would swap models back
+     * and forth.
+     */
     private static final double MIN_GAIN_FACTOR = 2.0;
 
-    /** The last copy of a model that nobody asked for lately is still worth this. */
+    /** The value of the last copy of a model without recent demand. */
     private static final double IDLE_LAST_COPY_PER_SECOND = 0.12;
 
-    /** And this for each second that it takes to load: demand moves to silent models without a sign. */
+    /**
+     * The same for each second that the model takes to load, of which the greater applies: demand moves to idle models
+     * without warning.
+     */
     private static final double IDLE_LAST_COPY_PER_SECOND_OF_LOAD = 0.1;
 
     private static final double MILLIS_PER_SECOND = 1_000.0;
 
     /**
-     * What demand of long ago makes a last copy worth at the most: that of a model that is asked for seldom but
-     * steadily. A model that was busy and fell silent is worth no more than those.
+     * The limit on the value that a last copy derives from long-term demand, which is that of a model with low but
+     * steady demand. A model that was busy and became idle is worth no more than such a model.
      */
     private static final double MAX_LONG_TERM_VALUE_PER_SECOND = 0.5;
 
     private static final double MIN_GAIN_PER_SECOND = 0.01;
 
-    /** A model gets more than one new copy at the same time only if the further one gains this; others can wait. */
+    /** The minimum gain of a further new copy of a model while another one is being loaded; smaller gains can wait. */
     private static final double MIN_FURTHER_GAIN_PER_SECOND = 0.5;
 
     private static final double UTILISATION_COST = 30.0;
     private static final double LOST_VALUE_COST = 20.0;
 
     /**
-     * A model in use is waited for, up to three seconds and more, by {@link #MILLIS_PER_COST}. Meanwhile callers of the
-     * model that comes find no copy, or too few.
+     * Evicting a model in use means waiting for its requests, up to three seconds and more; converted with {@link
+     * #MILLIS_PER_COST}. Meanwhile the model to be loaded has no copy, or too few.
      */
     private static final double IN_USE_COST = 40.0;
 
@@ -70,19 +80,22 @@
     private final Map<String, Demand> demand;
     private final Map<HostPort, Double> freeMegabytes = new HashMap<>();
 
-    /** What each engine holds, what is least missed first; weighed for each model, and the same until a step is given. */
+    /**
+     * The models of each engine, the cheapest to evict first. Computed once and shared between candidates; cleared when
+     * a step is assigned.
+     */
     private final Map<HostPort, List<String>> evictionOrders = new HashMap<>();
 
     private final Map<String, Integer> copyCounts = new HashMap<>();
     private final Map<HostPort, Step> steps = new HashMap<>();
 
     /**
-     * A plan over one view.
+     * Creates a plan from one view of the engines.
      *
-     * @param engine what each engine is.
-     * @param engines the engines of the service that are there, leaving ones left out.
-     * @param demand what callers ask of each model.
-     * @param storeLoadLimit how many loads from the weight store may begin.
+     * @param engine the specification of each engine.
+     * @param engines the engines of the service, without draining ones.
+     * @param demand the demand for each model.
+     * @param storeLoadLimit the limit on loads from the weight store.
      */
     public CopyPlan(
             Engine engine,
@@ -98,10 +111,10 @@
                 .toList();
         this.demand = demand;
         this.engines.forEach(view -> {
-            double held = view.held().stream()
+            double heldMegabytes = view.held().stream()
                     .mapToDouble(engine::modelWeightsMegabytes)
                     .sum();
-            freeMegabytes.put(view.address(), engine.modelMemoryMegabytes() - held);
+            freeMegabytes.put(view.address(), engine.modelMemoryMegabytes() - heldMegabytes);
             Set<String> all = new HashSet<>(view.held());
             view.loading().ifPresent(all::add);
             all.forEach(model -> copyCounts.merge(model, 1, Integer::sum));
@@ -110,23 +123,26 @@
     }
 
     /**
-     * What one engine is to do next.
+     * Returns the next step of an engine.
      *
      * @param engineAddress the engine's address.
-     * @return the step, empty if there is nothing for it to do.
+     * @return the step, empty if the engine has nothing to load.
      */
     public Optional<Step> stepFor(HostPort engineAddress) {
         return Optional.ofNullable(steps.get(engineAddress));
     }
 
-    /** Gives engines their next steps, the greatest gain first, as if each were carried out before the next is weighed. */
+    /**
+     * Assigns steps to engines greedily, the greatest gain first; each step counts as carried out when the next is
+     * computed.
+     */
     private void plan() {
         PriorityQueue<Gain> gains = rankedGains();
         while (!gains.isEmpty()) {
             Engine.Model model = gains.poll().model;
             bestEngine(model).ifPresent(best -> {
                 assign(model, best);
-                // A busy model may be worth a second new copy more than others are worth their first.
+                // A second new copy of a busy model may be worth more than the first of other models.
                 Gain next = new Gain(model, gainPerSecond(model.name()));
                 if (next.perSecond >= MIN_FURTHER_GAIN_PER_SECOND) {
                     gains.add(next);
@@ -152,7 +168,7 @@
         candidate.evictions.forEach(evicted -> copyCounts.merge(evicted, -1, Integer::sum));
     }
 
-    /** Requests a second that one more copy would serve in time. */
+    /** Returns the requests a second that one more copy would serve in time. */
     double gainPerSecond(String model) {
         return copyCount(model) < engines.size() ? copyValuePerSecond(model, copyCount(model) + 1) : 0;
     }
@@ -180,7 +196,7 @@
         return Math.max(IDLE_LAST_COPY_PER_SECOND, IDLE_LAST_COPY_PER_SECOND_OF_LOAD * loadSeconds);
     }
 
-    /** The share of requests that an engine does not serve in time, by how many it would have to run at once. */
+    /** Estimates the share of requests that an engine serves late when it receives this many concurrent requests. */
     private double lateShare(double concurrentRequests) {
         double utilisation = concurrentRequests / engine.slots();
         if (utilisation > 1) {
@@ -199,7 +215,8 @@
     private Optional<Candidate> candidate(EngineView view, Engine.Model model) {
         double missingMegabytes = model.weightsMegabytes() - freeMegabytes.get(view.address());
         if (missingMegabytes > 0 && demandFor(model.name()).perSecond() < MIN_GAIN_PER_SECOND) {
-            // What nobody asks for takes free room only: at a start no demand is known, and what stands stands well.
+            // A model without demand only takes free memory: demand is unknown at startup, and existing copies should
+            // stay then.
             return Optional.empty();
         }
         boolean isCachedOnHost = view.cachedOnHost().contains(model.name());
@@ -233,15 +250,15 @@
     }
 
     private List<String> rankByEvictionCost(EngineView view) {
-        record Costed(String model, double cost, double rememberedPerSecond) {}
-        // Of silent models, which cost the same, the one goes that was asked for least over a longer time.
+        record RankedModel(String model, double cost, double longTermPerSecond) {}
+        // Among idle models, which have equal cost, the one with the lowest long-term demand is evicted.
         return view.held().stream()
-                .map(held -> new Costed(
+                .map(held -> new RankedModel(
                         held, evictionCost(view, List.of(held)), demandFor(held).longTermPerSecond()))
-                .sorted(Comparator.comparingDouble(Costed::cost)
-                        .thenComparingDouble(Costed::rememberedPerSecond)
-                        .thenComparingDouble(costed -> tieBreaker(view.address(), costed.model)))
-                .map(Costed::model)
+                .sorted(Comparator.comparingDouble(RankedModel::cost)
+                        .thenComparingDouble(RankedModel::longTermPerSecond)
+                        .thenComparingDouble(ranked -> tieBreaker(view.address(), ranked.model)))
+                .map(RankedModel::model)
                 .toList();
     }
 
@@ -262,7 +279,7 @@
         return demand.getOrDefault(model, Demand.NONE);
     }
 
-    /** Parts engines that cost the same, the same way in every process. */
+    /** Breaks ties between engines of equal cost, in the same way in every process. */
     private static double tieBreaker(HostPort address, String model) {
         int hash = (address + "/" + model).hashCode() * 0x9E3779B1;
         return (hash >>> 8) / (double) (1 << 24);
@@ -270,7 +287,7 @@
 
     private record Candidate(EngineView view, List<String> evictions, double cost) {}
 
-    /** What one more copy of a model gains; the greatest comes first, in the same order in every process. */
+    /** The gain of one more copy of a model, ordered with the greatest first and in the same way in every process. */
     private record Gain(Engine.Model model, double perSecond) implements Comparable<Gain> {
 
         private static final Comparator<Gain> ORDER =
@@ -288,15 +305,15 @@
     }
 
     /**
-     * An engine as the plan sees it.
+     * An engine as seen by the plan.
      *
-     * @param address the engine.
+     * @param address the engine's address.
      * @param held models that it holds.
-     * @param loading the model that it loads, or makes way for.
-     * @param cachedOnHost models whose weights lie in its host's memory or on its disk.
-     * @param inUse models that requests in it use; they would have to be waited for.
-     * @param recentStoreLoads loads from the weight store that began there within the window of their ceiling.
-     * @param requests requests in it.
+     * @param loading the model that is loading, or for which others are being evicted.
+     * @param cachedOnHost models whose weights are in its host's memory or on its disk.
+     * @param inUse models in use by its requests; eviction would have to wait for those.
+     * @param recentStoreLoads loads from the weight store that it started within the window of the limit.
+     * @param requests requests that it runs or queues.
      */
     public record EngineView(
             HostPort address,
@@ -313,22 +330,22 @@
     }
 
     /**
-     * What callers ask of a model, over all entries.
+     * The demand for a model across all entries.
      *
-     * @param perSecond requests a second, over the last seconds.
-     * @param longTermPerSecond requests a second, over a longer time: what is asked for seldom is still asked for.
-     * @param concurrentRequests requests that are, or would be, under way at the same time.
+     * @param perSecond requests a second over the last seconds.
+     * @param longTermPerSecond requests a second over a longer period, which still shows rarely used models.
+     * @param concurrentRequests requests that are, or would be, in flight at the same time.
      */
     public record Demand(double perSecond, double longTermPerSecond, double concurrentRequests) {
 
-        /** Nothing. */
+        /** No demand. */
         public static final Demand NONE = new Demand(0, 0, 0);
 
         /**
-         * Adds another entry's demand.
+         * Adds the demand of another entry.
          *
-         * @param other the other.
-         * @return both together.
+         * @param other the demand to add.
+         * @return the sum.
          */
         public Demand plus(Demand other) {
             return new Demand(
@@ -339,10 +356,10 @@
     }
 
     /**
-     * A step of one engine.
+     * The next step of one engine.
      *
      * @param model the model to load.
-     * @param evictions models that are to go first; empty if there is room.
+     * @param evictions models to evict first; empty if there is free memory.
      */
     public record Step(String model, List<String> evictions) {}
 }
--- a/src/main/java/io/waxwingquay/residency/EngineControl.java
+++ b/src/main/java/io/waxwingquay/residency/EngineControl.java
@@ -4,47 +4,46 @@
 import java.util.Optional;
 import java.util.concurrent.CompletableFuture;
 
-/**
- * Asks one engine for its state and gives it orders. All futures complete on the loop.
- */
+/** Polls one engine for its state and issues orders to it. All futures complete on the loop. */
 public interface EngineControl {
 
     /**
-     * Asks for the engine's state.
+     * Polls the engine for its state.
      *
-     * @return the state as of now; fails if there is no answer.
+     * @return the current state; fails if the engine does not answer.
      */
     CompletableFuture<EngineReport> report();
 
     /**
-     * Gives an order.
+     * Issues an order.
      *
      * @param order the order.
-     * @return what the engine answered, {@link Answer#UNKNOWN} if nothing: the order may still be carried out.
+     * @return the engine's answer, {@link Answer#UNKNOWN} if there is none: the order may still be executed.
      */
     CompletableFuture<Answer> issue(Order order);
 
-    /** What an engine answers to an order. */
+    /** The answer of an engine to an order. */
     enum Answer {
-        /** It is being carried out. */
+        /** The engine has accepted the order and is executing it. */
         TAKEN,
-        /** What it asks for holds already. */
+        /** The requested state holds already. */
         HOLDS,
-        /** Another order is under way, or one that this process does not know of came before. */
+        /** Another order is being executed, or an order that this process does not know of was accepted before. */
         CONFLICT,
-        /** It was refused. */
+        /** The engine has refused the order. */
         REFUSED,
-        /** No answer: it may have been taken, or may be carried out later. */
+        /** There was no answer: the order may have been accepted, or may be executed later. */
         UNKNOWN
     }
 
     /**
-     * An order.
+     * An order to load or unload a model or an adapter.
      *
-     * @param load whether to load; else to unload.
+     * @param load whether to load; otherwise to unload.
      * @param model the model.
-     * @param adapter the adapter of that model, if it is about one.
-     * @param expectedOrdersTaken the number of orders that the engine must have taken before, and no more.
+     * @param adapter the adapter of that model, if the order is for one.
+     * @param expectedOrdersTaken precondition of the order: the exact number of orders that the engine has accepted
+     *     before.
      */
     record Order(boolean load, String model, Optional<String> adapter, long expectedOrdersTaken) {}
 }
--- a/src/main/java/io/waxwingquay/residency/EngineManager.java
+++ b/src/main/java/io/waxwingquay/residency/EngineManager.java
@@ -18,25 +18,23 @@
 import java.util.stream.Collectors;
 import java.util.stream.Stream;
 
-/**
- * Looks after one engine: asks it for its state, tells the others, and gives it orders, one after the other.
- */
+/** Manages one engine: polls its state, sends status updates about it, and issues orders to it one at a time. */
 public final class EngineManager {
 
     private static final long POLL_MILLIS = 100L;
 
-    /** While the engine has nothing to do, and nothing is asked of it, less can change. */
+    /** The interval while the engine is idle and nothing is requested of it, since less can change. */
     private static final long IDLE_POLL_MILLIS = 200L;
 
-    /** While adapters are under way it looks this often, as callers wait for them. */
+    /** The interval while adapters are loading, as callers wait for them. */
     private static final long ADAPTER_POLL_MILLIS = 4L;
 
-    /** While a model is being brought in each step follows soon. */
+    /** The interval while a model is being loaded or evicted, so that each step follows soon after the one before. */
     private static final long MOVE_POLL_MILLIS = 30L;
 
     private static final System.Logger LOG = System.getLogger("waxwingquay.residency");
 
-    /** How often the engine's state is logged. */
+    /** The interval at which the engine's state is logged. */
     private static final long STATE_LOG_MILLIS = 2_000L;
 
     private final EventLoop loop;
@@ -60,14 +58,14 @@
     private Set<HostPort> lastRecipients = Set.of();
 
     /**
-     * A keeper that has not begun.
+     * Creates a manager; {@link #start} starts it.
      *
-     * @param loop where everything runs.
-     * @param address the engine.
-     * @param service the service that it belongs to.
-     * @param control asks and orders the engine.
-     * @param sender tells others.
-     * @param loadLimiter keeps loads from the weight store below their ceiling.
+     * @param loop the event loop on which everything runs.
+     * @param address the engine's address.
+     * @param service the service that the engine belongs to.
+     * @param control polls the engine and issues orders to it.
+     * @param sender sends datagrams.
+     * @param loadLimiter limits loads from the weight store.
      */
     public EngineManager(
             EventLoop loop,
@@ -87,7 +85,7 @@
         this.planner = new EnginePlanner(address, peers, orders, loadLimiter);
     }
 
-    /** Begins; called on the loop. */
+    /** Starts polling; called on the loop. */
     public void start() {
         planner.start(EventLoop.nowMillis());
         loop.every(STATE_LOG_MILLIS, this::logState);
@@ -100,7 +98,8 @@
     }
 
     private boolean isIdle() {
-        boolean isEngineIdle = report.filter(now -> now.running() + now.waiting() == 0 && !now.executingOrder())
+        boolean isEngineIdle = report.filter(
+                        current -> current.running() + current.waiting() == 0 && !current.executingOrder())
                 .isPresent();
         return isEngineIdle
                 && !orders.isAwaitingAnswer()
@@ -108,29 +107,29 @@
                 && mover.loadingModel().isEmpty();
     }
 
-    /** So that a late answer can be told from a crowded engine afterwards. */
+    /** Logs the engine's state, so that a late answer can later be distinguished from an overloaded engine. */
     private void logState() {
-        report.ifPresent(now -> LOG.log(
+        report.ifPresent(current -> LOG.log(
                 System.Logger.Level.INFO,
                 "residency: state running={0} waiting={1} kv_tokens={2} ordering={3} models={4}",
-                now.running(),
-                now.waiting(),
-                now.kvUsedTokens(),
-                now.executingOrder(),
-                now.modelNames()));
+                current.running(),
+                current.waiting(),
+                current.kvUsedTokens(),
+                current.executingOrder(),
+                current.modelNames()));
     }
 
     /**
-     * Sets what the engine is.
+     * Sets the engine's specification.
      *
-     * @param newer the engine of the configuration in force.
+     * @param newer the specification in the configuration in force.
      */
     public void configure(Optional<Engine> newer) {
         engine = newer;
     }
 
     /**
-     * Tells what the engine held before this process started.
+     * Sets the models that the previous incarnation of the engine held.
      *
      * @param models the models.
      */
@@ -139,7 +138,7 @@
     }
 
     /**
-     * Whether entries know another configuration of the engine than this process.
+     * Returns whether an entry has another configuration of the engine than this process.
      *
      * @return whether the configuration should be read again.
      */
@@ -148,9 +147,9 @@
     }
 
     /**
-     * The VM of the entry that has the newest configuration.
+     * Returns the VM of the entry that has the newest configuration.
      *
-     * @return its IP number; empty while no entry is heard.
+     * @return its IP address; empty while no entry sends updates.
      */
     public Optional<String> newestConfigurationHost() {
         return peers.newestTables(EventLoop.nowMillis())
@@ -158,10 +157,10 @@
     }
 
     /**
-     * Takes in a datagram.
+     * Handles a datagram.
      *
-     * @param from who sent it.
-     * @param datagram what it says.
+     * @param from the sender.
+     * @param datagram the datagram.
      */
     public void onDatagram(HostPort from, PeerDatagram datagram) {
         long nowMillis = EventLoop.nowMillis();
@@ -179,12 +178,14 @@
     }
 
     /**
-     * Failure: a process starts again while nothing changes here. Symptom: it takes models for missing that are held here,
-     * until the next round. So it is told at once when it is heard; those that were not there before are told by
-     * {@link #sendUpdate}.
+     * Sends a full update at once to a process that has restarted.
+     *
+     * <p>Failure: a process restarts while nothing changes here. Symptom: it assumes that the models held here have
+     * no copy, until the next periodic update. So it is sent a full update as soon as its restart is noticed; processes
+     * that were not known before are covered by {@link #sendUpdate}.
      */
     private void sendFullUpdate(HostPort recipient) {
-        report.ifPresent(now -> sender.send(recipient, fullUpdate(now, EventLoop.nowMillis())));
+        report.ifPresent(current -> sender.send(recipient, fullUpdate(current, EventLoop.nowMillis())));
     }
 
     private void onAdapterCall(HostPort from, AdapterCall call) {
@@ -224,10 +225,11 @@
         sendUpdate();
     }
 
-    /** An engine begins empty, with no order taken. */
-    private static boolean hasRestarted(EngineReport before, EngineReport now) {
-        boolean isEmptied = now.models().isEmpty() && !before.models().isEmpty();
-        return now.ordersTaken() < before.ordersTaken() || isEmptied && now.ordersTaken() == before.ordersTaken();
+    /** A restarted engine is empty and has accepted no order. */
+    private static boolean hasRestarted(EngineReport before, EngineReport current) {
+        boolean isEmptied = current.models().isEmpty() && !before.models().isEmpty();
+        return current.ordersTaken() < before.ordersTaken()
+                || isEmptied && current.ordersTaken() == before.ordersTaken();
     }
 
     private void onReportFailed(Throwable failure) {
@@ -238,20 +240,20 @@
         report = Optional.empty();
     }
 
-    /** Gives the next order, if there is one. */
+    /** Issues the next order, if there is one. */
     private void issueNextOrder() {
         if (report.isEmpty() || engine.isEmpty() || orders.isAwaitingAnswer()) {
             return;
         }
-        EngineReport now = report.get();
+        EngineReport current = report.get();
         long nowMillis = EventLoop.nowMillis();
-        adapterScheduler.replyToWaiters(now, this::sendAdapterReply);
+        adapterScheduler.replyToWaiters(current, this::sendAdapterReply);
         Optional<EngineControl.Order> adapterOrder =
-                adapterScheduler.nextOrder(engine.get(), now, peers.adaptersInUse(nowMillis), nowMillis);
+                adapterScheduler.nextOrder(engine.get(), current, peers.adaptersInUse(nowMillis), nowMillis);
         if (adapterOrder.isPresent()) {
             issue(adapterOrder.get());
-        } else if (!now.executingOrder() && !now.draining()) {
-            nextModelOrder(now, nowMillis).ifPresent(this::issue);
+        } else if (!current.executingOrder() && !current.draining()) {
+            nextModelOrder(current, nowMillis).ifPresent(this::issue);
         }
         scheduleEarlyPoll();
     }
@@ -268,10 +270,10 @@
         }
     }
 
-    private Optional<EngineControl.Order> nextModelOrder(EngineReport now, long nowMillis) {
+    private Optional<EngineControl.Order> nextModelOrder(EngineReport current, long nowMillis) {
         Optional<String> loadingBefore = mover.loadingModel();
         Optional<EngineControl.Order> order = mover.nextOrder(
-                now, planner.plannerFor(engine.get(), now, nowMillis), peers.modelsInUse(nowMillis), nowMillis);
+                current, planner.plannerFor(engine.get(), current, nowMillis), peers.modelsInUse(nowMillis), nowMillis);
         if (!loadingBefore.equals(mover.loadingModel())) {
             sendUpdate();
         }
@@ -298,7 +300,7 @@
     }
 
     private void sendUpdate() {
-        report.ifPresent(now -> {
+        report.ifPresent(current -> {
             long nowMillis = EventLoop.nowMillis();
             Set<HostPort> recipients = allRecipients(nowMillis);
             Set<HostPort> activeEntries = peers.activeEntries(nowMillis);
@@ -306,17 +308,18 @@
                     .filter(each -> !lastRecipients.contains(each))
                     .collect(Collectors.toSet());
             lastRecipients = recipients;
-            switch (schedule.nextUpdate(status(now, nowMillis), recipients.size(), activeEntries.size(), nowMillis)) {
-                case FULL_TO_ALL -> sender.send(recipients, fullUpdate(now, nowMillis));
+            switch (schedule.nextUpdate(
+                    status(current, nowMillis), recipients.size(), activeEntries.size(), nowMillis)) {
+                case FULL_TO_ALL -> sender.send(recipients, fullUpdate(current, nowMillis));
                 case FULL_TO_ACTIVE_ENTRIES -> {
                     newRecipients.addAll(activeEntries);
-                    sender.send(newRecipients, fullUpdate(now, nowMillis));
+                    sender.send(newRecipients, fullUpdate(current, nowMillis));
                 }
                 case LOAD_TO_ACTIVE_ENTRIES -> {
-                    sender.send(activeEntries, PeerDatagram.engine(loadUpdate(now, nowMillis)));
-                    sender.send(newRecipients, fullUpdate(now, nowMillis));
+                    sender.send(activeEntries, PeerDatagram.engine(loadUpdate(current, nowMillis)));
+                    sender.send(newRecipients, fullUpdate(current, nowMillis));
                 }
-                default -> sender.send(newRecipients, fullUpdate(now, nowMillis));
+                default -> sender.send(newRecipients, fullUpdate(current, nowMillis));
             }
         });
     }
@@ -329,92 +332,92 @@
         return all;
     }
 
-    private UpdateSchedule.EngineStatus status(EngineReport now, long nowMillis) {
-        List<HeldModel> routable = routableModels(now);
+    private UpdateSchedule.EngineStatus status(EngineReport current, long nowMillis) {
+        List<HeldModel> routable = routableModels(current);
         return new UpdateSchedule.EngineStatus(
                 routable.stream().map(HeldModel::getName).collect(Collectors.toSet()),
-                Set.copyOf(hostCachedModels(now)),
+                Set.copyOf(hostCachedModels(current)),
                 mover.loadingModel(),
                 loadLimiter.recentLoads(nowMillis),
-                now.draining(),
+                current.draining(),
                 peers.newestTables(nowMillis)
                         .map(newest -> newest.getValue().getConfiguration())
                         .orElse(0L),
                 routable.stream()
                         .flatMap(model -> model.getAdapters().stream().map(name -> model.getName() + "/" + name))
                         .collect(Collectors.toSet()),
-                now.running() + now.waiting());
+                current.running() + current.waiting());
     }
 
-    private static List<String> hostCachedModels(EngineReport now) {
-        return Stream.concat(now.onDisk().stream(), now.inHostMemory().stream())
+    private static List<String> hostCachedModels(EngineReport current) {
+        return Stream.concat(current.onDisk().stream(), current.inHostMemory().stream())
                 .distinct()
                 .toList();
     }
 
-    private PeerDatagram fullUpdate(EngineReport now, long nowMillis) {
-        return PeerDatagram.engine(loadUpdate(now, nowMillis)
+    private PeerDatagram fullUpdate(EngineReport current, long nowMillis) {
+        return PeerDatagram.engine(loadUpdate(current, nowMillis)
                 .setServiceName(service)
-                .setModels(routableModels(now))
-                .setNearModels(hostCachedModels(now))
+                .setModels(routableModels(current))
+                .setNearModels(hostCachedModels(current))
                 .setModelsInUse(new ArrayList<>(peers.modelsInUse(nowMillis))));
     }
 
-    /** News without models: how busy the engine is. */
-    private EngineNews loadUpdate(EngineReport now, long nowMillis) {
+    /** Creates an update without models, which reports the engine's load. */
+    private EngineNews loadUpdate(EngineReport current, long nowMillis) {
         EngineNews update = new EngineNews()
                 .setEngineAddress(address.toString())
-                .setBornMillis(now.bornMillis())
+                .setBornMillis(current.bornMillis())
                 .setNumber(updateNumber.next())
-                .setRunning(now.running())
-                .setWaiting(now.waiting())
-                .setKvUsedTokens(now.kvUsedTokens())
-                .setKvTotalTokens(now.kvTotalTokens())
+                .setRunning(current.running())
+                .setWaiting(current.waiting())
+                .setKvUsedTokens(current.kvUsedTokens())
+                .setKvTotalTokens(current.kvTotalTokens())
                 .setStoreLoads(loadLimiter.recentLoads(nowMillis))
-                .setDraining(now.draining())
+                .setDraining(current.draining())
                 .setEntries(peers.entryAddresses(nowMillis).size());
         peers.newestTables(nowMillis).ifPresent(newest -> update.setNewestTables(newest.getValue())
                 .setNewestTablesHost(newest.getKey().host()));
         mover.loadingModel().ifPresent(model -> {
             update.setLoadingModel(model);
-            update.setLoadingMillis(engine.map(known -> mover.remainingMillis(known, now, nowMillis))
+            update.setLoadingMillis(engine.map(known -> mover.remainingMillis(known, current, nowMillis))
                     .orElse(0L));
         });
         return update;
     }
 
-    /** What requests may be sent for: all that is held, but for a model that is about to go. */
-    private List<HeldModel> routableModels(EngineReport now) {
-        return now.models().stream()
+    /** Returns the models that requests may be routed to: all models held except those being evicted. */
+    private List<HeldModel> routableModels(EngineReport current) {
+        return current.models().stream()
                 .filter(model -> !mover.modelsBeingEvicted().contains(model.name()))
                 .map(model -> new HeldModel(model.name(), new ArrayList<>(model.adapters())))
                 .toList();
     }
 
-    /** Sends datagrams. */
+    /** Sends datagrams to other processes. */
     public interface Sender {
 
         /**
-         * Sends one to a process.
+         * Sends a datagram to one process.
          *
-         * @param target where to.
-         * @param datagram what.
+         * @param target the receiver.
+         * @param datagram the datagram.
          */
         void send(HostPort target, PeerDatagram datagram);
 
         /**
-         * Sends one to many.
+         * Sends a datagram to several processes.
          *
-         * @param targets where to.
-         * @param datagram what.
+         * @param targets the receivers.
+         * @param datagram the datagram.
          */
         void send(Set<HostPort> targets, PeerDatagram datagram);
 
         /**
-         * Where the process beside an engine takes datagrams.
+         * Returns the address at which the side of an engine receives datagrams.
          *
-         * @param engine the engine.
-         * @return the address of the process beside it.
+         * @param engine the engine's address.
+         * @return the address of its side.
          */
         HostPort sideAddress(HostPort engine);
     }
--- a/src/main/java/io/waxwingquay/residency/EnginePlanner.java
+++ b/src/main/java/io/waxwingquay/residency/EnginePlanner.java
@@ -10,22 +10,22 @@
 import java.util.Optional;
 import java.util.Set;
 
-/** Puts together what this process knows of all engines, and asks the plan what its own engine is to do. */
+/** Combines the updates received about all engines and asks the plan for the next step of its own engine. */
 final class EnginePlanner {
 
     /**
-     * Before this process has heard the others, it would take their models for missing. It waits for all that are
-     * listed, but for no longer than this, as some of them may be gone.
+     * Until updates from the other sides have arrived, their models would seem to have no copy. The planner waits for
+     * updates about all listed engines, but no longer than this, as some of them may be gone.
      */
     private static final long PEER_UPDATES_TIMEOUT_MILLIS = 1_500L;
 
     /**
-     * An empty engine waits this long for the first requests. Those of a few tenths of a second show what is busy; without
-     * them it would load what nobody asks for first.
+     * An empty engine waits this long for the first requests. A few tenths of a second of requests show which models
+     * are busy; without them the engine would first load models without demand.
      */
     private static final long DEMAND_TIMEOUT_MILLIS = 3_000L;
 
-    /** The part of the engines that may bring in a model at once though all processes may have started again. */
+    /** The share of engines that may load a model immediately even if all processes may have restarted. */
     private static final double EXEMPT_SHARE = 0.3;
 
     private final HostPort address;
@@ -50,11 +50,11 @@
         previousModels = models;
     }
 
-    ModelMover.Planner plannerFor(Engine engine, EngineReport now, long nowMillis) {
-        return new Snapshot(engine, now, nowMillis);
+    ModelMover.Planner plannerFor(Engine engine, EngineReport report, long nowMillis) {
+        return new Snapshot(engine, report, nowMillis);
     }
 
-    /** The plan over what this process knows at one moment. */
+    /** Plans from the state known at one moment. */
     private final class Snapshot implements ModelMover.Planner {
 
         private final Engine engine;
@@ -89,7 +89,9 @@
             return new CopyPlan(engine, views, peers.demand(nowMillis), storeLoadLimit()).stepFor(address);
         }
 
-        /** The next model of the engine's earlier life that lies at hand and has room. */
+        /**
+         * Returns a step for the next model of the engine's previous incarnation that is cached on the host and fits.
+         */
         private Optional<CopyPlan.Step> restoreStep() {
             double heldMegabytes = report.models().stream()
                     .mapToDouble(this::modelWeightsMegabytes)
@@ -110,11 +112,11 @@
         }
 
         private boolean isWarmingUp() {
-            long sinceMillis = nowMillis - startMillis;
+            long elapsedMillis = nowMillis - startMillis;
             boolean hasPeerUpdates =
-                    peers.hasUpdatesFromAll(address, nowMillis) || sinceMillis >= PEER_UPDATES_TIMEOUT_MILLIS;
+                    peers.hasUpdatesFromAll(address, nowMillis) || elapsedMillis >= PEER_UPDATES_TIMEOUT_MILLIS;
             boolean lacksDemand = report.models().isEmpty()
-                    && sinceMillis < DEMAND_TIMEOUT_MILLIS
+                    && elapsedMillis < DEMAND_TIMEOUT_MILLIS
                     && peers.demand(nowMillis).isEmpty();
             return !hasPeerUpdates
                     || lacksDemand
@@ -122,9 +124,11 @@
         }
 
         /**
-         * Failure: all processes have started again, and none brings anything in for a window, so as not to go over the
-         * ceiling. Symptom: demand that moved before they ended is not followed. A few engines, the same in every process,
-         * need not wait: the rest of the ceiling is left to what was begun before.
+         * Drops the assumed load if this engine is exempt.
+         *
+         * <p>Failure: all processes have restarted, and none loads anything for one window, in order to stay below
+         * the limit. Symptom: a change of demand before the restart is not followed. A few engines, the same in every
+         * process, need not wait: the rest of the limit covers the loads that were started before.
          */
         private void dropAssumedLoadIfExempt(Set<HostPort> engines) {
             long lowerRanked = engines.stream()
--- a/src/main/java/io/waxwingquay/residency/ModelMover.java
+++ b/src/main/java/io/waxwingquay/residency/ModelMover.java
@@ -7,29 +7,32 @@
 import java.util.Set;
 
 /**
- * Brings one model at a time into an engine: tells the others, looks at the plan once more, lets other models go, and
- * orders the load. What has begun to go is always followed by the model that it went for.
+ * Moves one model at a time into an engine: announces it, asks the plan again, evicts other models, and orders the
+ * load. Once an eviction has started, the model that it was for is always loaded.
  */
 final class ModelMover {
 
     /**
-     * Time for an announcement to reach the others before it is acted on.
+     * Time for an announcement to reach the other processes before it is acted on.
      *
-     * <p>Failure: demand for a model rises and every process finds in the same instant that a copy is missing. Symptom:
-     * all engines drop what they hold for the same model. With the pause each hears of the others first.
+     * <p>Failure: demand for a model rises and every process finds at the same moment that a copy is missing.
+     * Symptom: all engines evict models in order to load the same one. During this delay each process receives the
+     * others' announcements.
      */
     private static final long ANNOUNCEMENT_MILLIS = 130L;
 
-    /** Time for entries to hear that a model goes, before its unload is ordered. */
+    /** Time for entries to learn that a model is being evicted, before its unload is ordered. */
     private static final long EVICTION_NOTICE_MILLIS = 130L;
 
-    /** Requests that still use a model that goes are waited for this long; its unload would wait for them anyway. */
+    /**
+     * How long an eviction waits for requests that still use the model; after that the engine itself waits for them.
+     */
     private static final long EVICTION_WAIT_LIMIT_MILLIS = 3_000L;
 
-    /** A load that the engine does not show after this was lost. */
+    /** A load that the engine does not report after this time was lost. */
     private static final long LOAD_VISIBLE_TIMEOUT_MILLIS = 600L;
 
-    /** A load that should be over has at least this to go. */
+    /** The minimum remaining time reported for a load that should be complete. */
     private static final long MIN_REMAINING_MILLIS = 50L;
 
     private static final System.Logger LOG = System.getLogger("waxwingquay.residency");
@@ -40,17 +43,17 @@
     private long phaseStartMillis;
     private boolean storeLoadCounted;
 
-    /** The model that is being brought in. */
+    /** Returns the model that is being moved in. */
     Optional<String> loadingModel() {
         return state == MoveState.IDLE ? Optional.empty() : Optional.of(model);
     }
 
-    /** Models that requests should no longer be sent for. */
+    /** Returns the models that requests should no longer be routed to. */
     List<String> modelsBeingEvicted() {
         return state == MoveState.RETIRING ? evictions : List.of();
     }
 
-    /** How long until the model is expected to be there. */
+    /** Estimates the time until the model is loaded. */
     long remainingMillis(Engine engine, EngineReport report, long nowMillis) {
         long elapsedMillis = state == MoveState.LOADING ? nowMillis - phaseStartMillis : 0;
         return engine.model(model)
@@ -59,18 +62,18 @@
                 .orElse(0L);
     }
 
-    /** The engine has begun another life. */
+    /** Abandons the current move, as the engine has restarted. */
     void onEngineRestart() {
         transition(MoveState.Event.LOST);
     }
 
     /**
-     * The next order.
+     * Returns the next order.
      *
-     * @param report what the engine says.
-     * @param planner what the plan wants now.
-     * @param inUse models that requests use.
-     * @param nowMillis the steady time.
+     * @param report the state reported by the engine.
+     * @param planner the current plan.
+     * @param inUse models in use by requests.
+     * @param nowMillis the current monotonic time.
      */
     Optional<EngineControl.Order> nextOrder(EngineReport report, Planner planner, Set<String> inUse, long nowMillis) {
         switch (state) {
@@ -78,7 +81,7 @@
             case ANNOUNCED -> confirm(report, planner, nowMillis);
             case LOADING -> awaitLoad(report, nowMillis);
             default -> {
-                // The others give orders, below.
+                // The other states issue orders, below.
             }
         }
         return switch (state) {
@@ -88,7 +91,7 @@
         };
     }
 
-    /** What the engine answered to the order that {@link #nextOrder} gave. */
+    /** Handles the engine's answer to the order that {@link #nextOrder} returned. */
     void onAnswer(EngineControl.Order order, EngineControl.Answer answer, long nowMillis) {
         boolean isLoad = order.load() && order.adapter().isEmpty() && state == MoveState.CLEARED;
         if (isLoad && answer == EngineControl.Answer.TAKEN) {
@@ -114,7 +117,8 @@
     }
 
     private void confirm(EngineReport report, Planner planner, long nowMillis) {
-        // What costs others nothing needs no second look: a load into free room from the engine's own host.
+        // A load from the engine's own host into free memory costs other engines nothing and needs no second look at
+        // the plan.
         boolean isCheap = evictions.isEmpty() && isCachedOnHost(report, model);
         if (!isCheap && nowMillis - phaseStartMillis < ANNOUNCEMENT_MILLIS) {
             return;
@@ -152,7 +156,7 @@
             return Optional.empty();
         }
         if (!isCachedOnHost(report, model) && !storeLoadCounted) {
-            // Counted once: an order without an answer is given again, and is still the same load.
+            // Counted once: an order that is issued again after a missing answer is still the same load.
             if (!planner.tryStartStoreLoad()) {
                 return Optional.empty();
             }
@@ -161,7 +165,7 @@
         return Optional.of(new EngineControl.Order(true, model, Optional.empty(), report.ordersTaken()));
     }
 
-    /** Called while the engine carries out no order. */
+    /** Checks the load's completion; called while the engine executes no order. */
     private void awaitLoad(EngineReport report, long nowMillis) {
         if (report.model(model).isPresent() || nowMillis - phaseStartMillis > LOAD_VISIBLE_TIMEOUT_MILLIS) {
             transition(MoveState.Event.END);
@@ -172,18 +176,18 @@
         MoveState.CHART.next(state, event).ifPresent(next -> state = next);
     }
 
-    /** What the plan wants of this engine. */
+    /** Gives access to the plan for this engine. */
     interface Planner {
 
         /**
-         * The step that the plan wants now.
+         * Returns the step that the plan currently wants.
          *
          * @param announced the model that this process has announced; announcements of the same model by processes that
-         *     come after it in order are passed over.
+         *     rank behind it are ignored.
          */
         Optional<CopyPlan.Step> nextStep(Optional<String> announced);
 
-        /** Whether a load from the weight store stays below the ceiling; if so it is counted as begun. */
+        /** Returns whether a load from the weight store stays within the limit; if so, counts it as started. */
         boolean tryStartStoreLoad();
     }
 }
--- a/src/main/java/io/waxwingquay/residency/MoveState.java
+++ b/src/main/java/io/waxwingquay/residency/MoveState.java
@@ -2,40 +2,43 @@
 
 import io.waxwingquay.chart.StateChart;
 
-/** The states of bringing in a model; the moves between them are in {@code charts/model-move.chart}. */
+/**
+ * The states of a model move, which loads a model into an engine; transitions are defined in {@code
+ * charts/model-move.chart}.
+ */
 public enum MoveState {
-    /** Nothing is to be brought in. */
+    /** No move is in progress. */
     IDLE,
-    /** The others are told, and the plan is looked at once more. */
+    /** The model is announced to the other processes, and the plan is about to be asked again. */
     ANNOUNCED,
-    /** Other models are about to go. */
+    /** Other models are being evicted. */
     RETIRING,
-    /** There is room. */
+    /** There is enough free memory. */
     CLEARED,
-    /** The engine loads it. */
+    /** The engine is loading the model. */
     LOADING;
 
-    /** The chart's name. */
+    /** The name of the state chart. */
     public static final String CHART_NAME = "model-move";
 
-    /** The chart. */
+    /** The state chart. */
     static final StateChart<MoveState, Event> CHART = StateChart.load(CHART_NAME, MoveState.class, Event.class);
 
-    /** What happens. */
+    /** Events of a model move. */
     public enum Event {
-        /** The plan wants a model here. */
+        /** The plan assigns a model to this engine. */
         PLAN,
-        /** Others bring it in, or it is not wanted any more. */
+        /** Another engine loads the model, or it is no longer wanted. */
         WITHDRAW,
-        /** Other models have to go first. */
+        /** Other models have to be evicted first. */
         RETIRE,
-        /** There is room for it. */
+        /** There is enough free memory for the model. */
         CLEAR,
-        /** The engine has taken the order to load it. */
+        /** The engine has accepted the load order. */
         TAKE,
-        /** It is there, or will not come. */
+        /** The model is loaded or will not be loaded. */
         END,
-        /** The engine has begun another life. */
+        /** The engine has restarted. */
         LOST
     }
 }
--- a/src/main/java/io/waxwingquay/residency/OrderTracker.java
+++ b/src/main/java/io/waxwingquay/residency/OrderTracker.java
@@ -7,16 +7,16 @@
 import java.util.function.LongSupplier;
 
 /**
- * Orders given to one engine: one at a time, and those whose fate is not known.
+ * Tracks the orders issued to one engine: the current one, and those whose outcome is unknown.
  *
- * <p>Failure: an order gets no answer and is carried out seconds later, perhaps in the engine's next life. Symptom: a
- * model more than memory holds, and the engine crashes. Each order names how many the engine has taken before; once the
- * engine has taken another, a late one no longer fits and is void. Until then, and for {@link #LATE_EXECUTION_MILLIS} in a new
- * life, what a doubtful order would load counts as held.
+ * <p>Failure: an order gets no answer and is executed seconds later, possibly in the engine's next incarnation.
+ * Symptom: the models exceed the memory, and the engine crashes. Each order states how many orders the engine has
+ * accepted before; once the engine has accepted another one, a late order no longer matches and is void. Until then,
+ * and for {@link #LATE_EXECUTION_MILLIS} after a restart, the model that an unresolved order would load counts as held.
  */
 final class OrderTracker {
 
-    /** The longest that an unanswered order is known to take, and a margin. */
+    /** The longest known delay of an unanswered order, and a margin. */
     static final long LATE_EXECUTION_MILLIS = 13_000L;
 
     private final EngineControl control;
@@ -30,7 +30,7 @@
         this.clockMillis = clockMillis;
     }
 
-    /** Whether an order waits for its answer. */
+    /** Returns whether an order is waiting for its answer. */
     boolean isAwaitingAnswer() {
         return awaitingAnswer;
     }
@@ -57,7 +57,7 @@
                 each -> each.incarnation == incarnation && report.ordersTaken() > each.order.expectedOrdersTaken());
     }
 
-    /** Models that an order of unknown fate may still load. */
+    /** Returns the models that an order with an unknown outcome may still load. */
     List<String> unresolvedLoads() {
         return unresolved.stream()
                 .map(UnresolvedOrder::order)
--- a/src/main/java/io/waxwingquay/residency/PeerUpdates.java
+++ b/src/main/java/io/waxwingquay/residency/PeerUpdates.java
@@ -17,14 +17,14 @@
 import java.util.function.Function;
 import java.util.stream.Collectors;
 
-/** What this process hears from entries and from the processes beside other engines. */
+/** Keeps the latest status updates received from entries and from the sides of other engines. */
 final class PeerUpdates {
 
     private final String service;
     private final Map<HostPort, Received<EntryNews>> entries = new HashMap<>();
     private final Map<HostPort, Received<EngineNews>> engines = new HashMap<>();
 
-    /** What entries list, put together; kept, as it seldom changes and is asked for all the time. */
+    /** The union of the engines that entries list; cached, as it rarely changes and is read often. */
     private Set<HostPort> listedEngines = Set.of();
 
     PeerUpdates(String service) {
@@ -32,24 +32,24 @@
     }
 
     /**
-     * Takes in news of an entry. Parts that it leaves out are as they were.
+     * Handles an update from an entry. Fields that it leaves out keep their previous values.
      *
-     * @return whether the entry was known and has started again.
+     * @return whether the entry was known and has restarted.
      */
     boolean onEntryUpdate(HostPort sender, EntryNews update, long nowMillis) {
         expire(nowMillis);
         Optional<EntryNews> known = Optional.ofNullable(entries.get(sender)).map(Received::update);
-        if (known.filter(before -> NewsNumber.isOvertaken(update.getNumber(), before.getNumber()))
+        if (known.filter(previous -> NewsNumber.isOvertaken(update.getNumber(), previous.getNumber()))
                 .isPresent()) {
             return false;
         }
-        known.ifPresent(before -> carryOverUnset(update, before));
+        known.ifPresent(previous -> carryOverUnset(update, previous));
         if (!update.isSetDemand() || !update.isSetEngineAddresses()) {
             return false;
         }
         entries.put(sender, new Received<>(update, nowMillis));
         boolean isListUnchanged = known.map(
-                        before -> before.getEngineAddresses().equals(update.getEngineAddresses()))
+                        previous -> previous.getEngineAddresses().equals(update.getEngineAddresses()))
                 .orElse(false);
         if (!isListUnchanged) {
             rebuildListedEngines();
@@ -57,22 +57,22 @@
         return isRestarted(known.map(EntryNews::getNumber), update.getNumber());
     }
 
-    private static void carryOverUnset(EntryNews update, EntryNews before) {
+    private static void carryOverUnset(EntryNews update, EntryNews previous) {
         if (!update.isSetDemand()) {
-            update.setDemand(before.getDemand());
+            update.setDemand(previous.getDemand());
         }
         if (!update.isSetEngineAddresses()) {
-            update.setEngineAddresses(before.getEngineAddresses());
+            update.setEngineAddresses(previous.getEngineAddresses());
         }
-        if (!update.isSetTables() && before.isSetTables()) {
-            update.setTables(before.getTables());
+        if (!update.isSetTables() && previous.isSetTables()) {
+            update.setTables(previous.getTables());
         }
     }
 
     /**
-     * Takes in news of an engine; one of another service holds other models and has no part in the plan.
+     * Handles an update about an engine. Engines of other services hold other models and are ignored.
      *
-     * @return whether the process beside the engine was known and has started again.
+     * @return whether the side of the engine was known and has restarted.
      */
     boolean onEngineUpdate(EngineNews update, long nowMillis) {
         if (!service.equals(update.getServiceName())) {
@@ -81,7 +81,7 @@
         expire(nowMillis);
         HostPort address = HostPort.of(update.getEngineAddress());
         Optional<EngineNews> known = Optional.ofNullable(engines.get(address)).map(Received::update);
-        if (known.filter(before -> NewsNumber.isOvertaken(update.getNumber(), before.getNumber()))
+        if (known.filter(previous -> NewsNumber.isOvertaken(update.getNumber(), previous.getNumber()))
                 .isPresent()) {
             return false;
         }
@@ -90,7 +90,7 @@
     }
 
     private static boolean isRestarted(Optional<Long> known, long number) {
-        return known.map(before -> !NewsNumber.isSameLife(number, before)).orElse(false);
+        return known.map(previous -> !NewsNumber.isSameLife(number, previous)).orElse(false);
     }
 
     Set<HostPort> entryAddresses(long nowMillis) {
@@ -98,7 +98,7 @@
         return Set.copyOf(entries.keySet());
     }
 
-    /** Entries that had requests in the engine when they last told. */
+    /** Returns the entries that had requests in the engine as of their last update. */
     Set<HostPort> activeEntries(long nowMillis) {
         expire(nowMillis);
         return entries.entrySet().stream()
@@ -107,7 +107,7 @@
                 .collect(Collectors.toSet());
     }
 
-    /** Engines of the service that entries know of: those that the platform lists. */
+    /** Returns the engines of the service that entries know, which are those that the platform lists. */
     Set<HostPort> listedEngines(long nowMillis) {
         expire(nowMillis);
         return listedEngines;
@@ -115,18 +115,21 @@
 
     private void rebuildListedEngines() {
         listedEngines = entries.values().stream()
-                .flatMap(heard -> heard.update.getEngineAddresses().stream())
+                .flatMap(received -> received.update.getEngineAddresses().stream())
                 .distinct()
                 .map(HostPort::of)
                 .collect(Collectors.toUnmodifiableSet());
     }
 
-    /** Entries tell engines only; processes beside engines tell both. */
+    /**
+     * Drops updates that are too old. The validity period depends on the sender's number of receivers: entries send to
+     * engines only, sides send to engines and entries.
+     */
     private void expire(long nowMillis) {
         long entryMillis = NewsPace.heardMillis(listedEngines.size());
         long engineMillis = NewsPace.heardMillis(listedEngines.size() + entries.size());
-        engines.values().removeIf(heard -> heard.isOlder(engineMillis, nowMillis));
-        if (entries.values().removeIf(heard -> heard.isOlder(entryMillis, nowMillis))) {
+        engines.values().removeIf(received -> received.isOlder(engineMillis, nowMillis));
+        if (entries.values().removeIf(received -> received.isOlder(entryMillis, nowMillis))) {
             rebuildListedEngines();
         }
     }
@@ -134,7 +137,7 @@
     Map<String, CopyPlan.Demand> demand(long nowMillis) {
         expire(nowMillis);
         Map<String, CopyPlan.Demand> all = new HashMap<>();
-        entries.values().forEach(heard -> heard.update
+        entries.values().forEach(received -> received.update
                 .getDemand()
                 .forEach((model, each) -> all.merge(
                         model,
@@ -143,7 +146,7 @@
         return all;
     }
 
-    /** The entry that has the newest configuration, and of those the newest list of replicas. */
+    /** Returns the entry with the newest configuration, and among those the one with the newest replica list. */
     Optional<Map.Entry<HostPort, TableVersions>> newestTables(long nowMillis) {
         expire(nowMillis);
         return entries.entrySet().stream()
@@ -163,19 +166,20 @@
     private Set<String> inUse(Function<EntryNews, List<String>> names, long nowMillis) {
         expire(nowMillis);
         return entries.values().stream()
-                .flatMap(heard -> names.apply(heard.update).stream())
+                .flatMap(received -> names.apply(received.update).stream())
                 .collect(Collectors.toCollection(HashSet::new));
     }
 
     /**
-     * The other engines that get requests.
+     * Returns the other engines that can receive requests.
      *
-     * <p>Failure: an engine is taken off the platform's list and runs on, as does the process beside it. Symptom: copies
-     * that no request can reach count, and others make way for what is asked for seldom. Entries send only to what they
-     * list, so what none of them lists has no part; while no entry is heard, nothing is known of the list.
+     * <p>Failure: an engine is unlisted but keeps running, as does its side. Symptom: copies that no request can
+     * reach are counted, and reachable copies of rarely used models are evicted. Entries send requests only to listed
+     * engines, so an engine that no entry lists is ignored; while no entry sends updates, the list is unknown and no
+     * engine is ignored.
      *
-     * <p>Where two processes have announced the same model, the one that comes first in order brings it
-     * in; for that one the other's announcement does not count.
+     * <p>When two processes have announced the same model, the one that ranks first by address loads it and ignores
+     * the other's announcement.
      */
     List<CopyPlan.EngineView> otherEngines(HostPort own, Optional<String> announced, long nowMillis) {
         expire(nowMillis);
@@ -189,7 +193,7 @@
                 .toList();
     }
 
-    /** Whether each engine that entries list has told of itself lately. */
+    /** Returns whether there is a recent update about every engine that entries list. */
     boolean hasUpdatesFromAll(HostPort own, long nowMillis) {
         expire(nowMillis);
         return !listedEngines.isEmpty()
@@ -206,10 +210,10 @@
                 .sum();
     }
 
-    /** Whether an entry knows another engine configuration than the one known here. */
+    /** Returns whether an entry has another engine configuration than the given one. */
     boolean hasOtherConfiguration(long digest) {
         return entries.values().stream()
-                .map(heard -> heard.update.getEngineDigest())
+                .map(received -> received.update.getEngineDigest())
                 .anyMatch(other -> other != 0 && other != digest);
     }
 
--- a/src/main/java/io/waxwingquay/residency/PreviousModels.java
+++ b/src/main/java/io/waxwingquay/residency/PreviousModels.java
@@ -10,11 +10,12 @@
 import java.util.stream.Collectors;
 
 /**
- * What the engine at an address held in its earlier life, as the platform's list still tells for some seconds.
+ * Models that the previous incarnation of an engine held, read from the platform's replica list, which still contains
+ * its row for a few seconds after a restart.
  *
- * <p>Failure: all machines lose power, and engines come back empty with the weights on their disks. Symptom: until
- * requests have shown again what is busy, nothing is loaded, and callers are refused for a second or more. What stood
- * before is the best guess, the models with most copies first; once there is demand the plan takes over.
+ * <p>Failure: all machines lose power, and the engines restart empty with the weights on their disks. Symptom:
+ * nothing is loaded until requests show which models are busy, and callers are rejected for a second or more. The
+ * previous models are the best guess, those with the most copies first; the plan takes over as soon as there is demand.
  */
 public final class PreviousModels {
 
@@ -27,7 +28,7 @@
     }
 
     /**
-     * Nothing is known of an earlier life.
+     * Returns an instance without models, for an engine whose previous incarnation is unknown.
      *
      * @return no models.
      */
@@ -36,11 +37,11 @@
     }
 
     /**
-     * Reads the list.
+     * Creates an instance from the replica list.
      *
-     * @param records all replicas that are listed, of earlier lives too.
+     * @param records all listed replicas, including previous incarnations.
      * @param engine the engine's address.
-     * @return what it held, the model with most copies in the list first.
+     * @return the models that the engine held, the model with the most listed copies first.
      */
     public static PreviousModels fromListing(Collection<ReplicaRecord> records, HostPort engine) {
         Map<String, Long> copies = records.stream()
@@ -58,9 +59,9 @@
     }
 
     /**
-     * The models.
+     * Returns the models in the order in which they are to be loaded.
      *
-     * @return their names, those to be brought in first at the front.
+     * @return their names.
      */
     public List<String> models() {
         return models;
--- a/src/main/java/io/waxwingquay/residency/SuspectRelay.java
+++ b/src/main/java/io/waxwingquay/residency/SuspectRelay.java
@@ -6,26 +6,26 @@
 import java.util.List;
 
 /**
- * Passes suspects on: what entries and other processes beside engines tell goes with the news of this engine to all of
- * them.
+ * Relays suspects: what entries and other sides report is attached to the status updates about this engine, which go to
+ * all of them.
  */
 public final class SuspectRelay {
 
     private final SharedSuspects suspects;
 
     /**
-     * A relay that has heard nothing yet.
+     * Creates a relay.
      *
-     * @param suspects what it knows.
+     * @param suspects the known suspects.
      */
     public SuspectRelay(SharedSuspects suspects) {
         this.suspects = suspects;
     }
 
     /**
-     * Takes in what a datagram tells of suspects, if it does.
+     * Records the suspects that a datagram reports, if it reports any.
      *
-     * @param datagram a datagram that has come.
+     * @param datagram the received datagram.
      */
     public void receive(PeerDatagram datagram) {
         if (datagram.isSetEntry()) {
@@ -36,9 +36,9 @@
     }
 
     /**
-     * Adds what is known to the news of the engine.
+     * Attaches the known suspects to a datagram if it is an update about the engine.
      *
-     * @param datagram a datagram that is about to be sent.
+     * @param datagram the datagram that is about to be sent.
      */
     public void attachTo(PeerDatagram datagram) {
         if (datagram.isSetEngine()) {
--- a/src/main/java/io/waxwingquay/residency/UpdateSchedule.java
+++ b/src/main/java/io/waxwingquay/residency/UpdateSchedule.java
@@ -5,19 +5,20 @@
 import java.util.Set;
 
 /**
- * Decides when the process beside an engine tells whom. What the plan of copies and the choice of an engine turn on is
- * told to all at once when it changes, said once more soon, and then now and then. How busy the engine is changes all
- * the time and is told to the entries that use it.
+ * Decides when a side sends a status update about its engine, and to which processes. Changes that affect the placement
+ * of copies or replica selection are sent to all processes immediately, resent once soon afterwards, and then
+ * periodically. The engine's load changes constantly and is sent to the entries that use the engine.
  */
 final class UpdateSchedule {
 
     /**
-     * A change is said once more after this. Failure: a datagram is lost. Symptom: a process plans, or sends requests,
-     * by what an engine held before, until the next telling. Two in a row are rarely lost, and that one still comes.
+     * Delay after which a change is resent. Failure: a datagram is lost. Symptom: a process plans or routes by what an
+     * engine held before, until the next periodic update. Two datagrams in a row are rarely lost, and the periodic
+     * update still follows.
      */
     static final long RESEND_MILLIS = 200L;
 
-    /** The pause between two tellings of the load, for each entry that is told. */
+    /** The interval between two load updates, for each entry that receives them. */
     private static final long MILLIS_PER_ACTIVE_ENTRY = 25L;
 
     private static final long MIN_ACTIVE_ENTRIES_MILLIS = 200L;
@@ -29,12 +30,12 @@
     private boolean resendDue;
 
     /**
-     * What to send now; taken to be sent.
+     * Returns the update that is due now, and records it as sent.
      *
-     * @param status what there is to tell.
-     * @param receivers how many processes there are to tell.
-     * @param activeEntries how many entries have requests in the engine.
-     * @param nowMillis the steady time.
+     * @param status the current status of the engine.
+     * @param receivers number of processes that receive updates to all.
+     * @param activeEntries number of entries with requests in the engine.
+     * @param nowMillis the current monotonic time.
      */
     Update nextUpdate(EngineStatus status, int receivers, int activeEntries, long nowMillis) {
         long elapsedMillis = nowMillis - sentToAllMillis;
@@ -50,9 +51,9 @@
             sentToActiveEntriesMillis = nowMillis;
             return Update.FULL_TO_ALL;
         }
-        boolean isSoon = nowMillis - sentToActiveEntriesMillis
+        boolean isTooSoon = nowMillis - sentToActiveEntriesMillis
                 < Math.max(MIN_ACTIVE_ENTRIES_MILLIS, activeEntries * MILLIS_PER_ACTIVE_ENTRY);
-        if (activeEntries == 0 || isSoon || sentToActiveEntries.equals(Optional.of(status))) {
+        if (activeEntries == 0 || isTooSoon || sentToActiveEntries.equals(Optional.of(status))) {
             return Update.NONE;
         }
         boolean isLoadOnly = sentToActiveEntries
@@ -63,29 +64,29 @@
         return isLoadOnly ? Update.LOAD_TO_ACTIVE_ENTRIES : Update.FULL_TO_ACTIVE_ENTRIES;
     }
 
-    /** What is sent to whom. */
+    /** The content and receivers of an update. */
     enum Update {
-        /** Nothing is due. */
+        /** No update is due. */
         NONE,
-        /** How busy the engine is, to entries with requests in it. */
+        /** The engine's load, to entries with requests in it. */
         LOAD_TO_ACTIVE_ENTRIES,
-        /** All, to entries with requests in it. */
+        /** A full update, to entries with requests in the engine. */
         FULL_TO_ACTIVE_ENTRIES,
-        /** All, to all entries and to the processes beside the other engines. */
+        /** A full update, to all entries and to the sides of the other engines. */
         FULL_TO_ALL
     }
 
     /**
-     * What there is to tell of an engine.
+     * The status of an engine that updates report.
      *
-     * @param models what it holds.
-     * @param cachedOnHost what lies at hand.
-     * @param loadingModel what is brought in.
-     * @param recentStoreLoads loads from the weight store that began lately.
-     * @param draining whether it leaves.
-     * @param configurationVersion the newest version that entries have.
-     * @param adapters what it holds of adapters.
-     * @param requests requests in it.
+     * @param models models that the engine holds.
+     * @param cachedOnHost models whose weights are cached on its host.
+     * @param loadingModel the model that is loading.
+     * @param recentStoreLoads loads from the weight store that started recently.
+     * @param draining whether the engine is about to leave.
+     * @param configurationVersion the newest configuration version that entries have.
+     * @param adapters adapters that the engine holds.
+     * @param requests requests that it runs or queues.
      */
     record EngineStatus(
             Set<String> models,
@@ -97,7 +98,10 @@
             Set<String> adapters,
             int requests) {
 
-        /** Loads that lapse from their window can be told with the next telling: who has not heard waits too long. */
+        /**
+         * Returns whether a change must be sent to all at once. A load that leaves the window can wait for the periodic
+         * update: a process that has not learned of it only waits longer than necessary.
+         */
         private boolean isSignificantChange(EngineStatus newer) {
             return !models.equals(newer.models)
                     || !cachedOnHost.equals(newer.cachedOnHost)
--- a/src/main/java/io/waxwingquay/residency/WeightLoadLimiter.java
+++ b/src/main/java/io/waxwingquay/residency/WeightLoadLimiter.java
@@ -5,13 +5,15 @@
 import java.util.OptionalLong;
 
 /**
- * Counts loads from the weight store that began here, and tells how many may. Loads have a ceiling over all engines in a
- * sliding window; each process takes its part by the number of engines, so that it holds with the platform's store away
- * too, and looks at what the others told besides.
+ * Limits the loads from the weight store in a sliding window. The limit holds across all engines; each process takes
+ * its share by the number of engines, so that the limit holds without the platform's store, and also considers the
+ * loads that the others report.
  */
 public final class WeightLoadLimiter {
 
-    /** The bounds count a few loads beyond the rate; this one is left to views that differ. */
+    /**
+     * The limit allows a few loads in addition to the rate; this one is reserved for differing views of the processes.
+     */
     private static final double RESERVED_LOADS = 1.0;
 
     private static final double BURST_LOADS = 3.0;
@@ -23,10 +25,10 @@
     private OptionalLong assumedLoadMillis = OptionalLong.empty();
 
     /**
-     * A pace.
+     * Creates a limiter.
      *
-     * @param windowMillis the window in which loads are counted.
-     * @param burstFactor how far over the rate they may go in one window, as a factor.
+     * @param windowMillis the length of the window in which loads are counted.
+     * @param burstFactor the factor by which loads in one window may exceed the rate.
      */
     public WeightLoadLimiter(long windowMillis, double burstFactor) {
         this.windowMillis = windowMillis;
@@ -34,11 +36,11 @@
     }
 
     /**
-     * The ceiling over all engines.
+     * Returns the limit for one window.
      *
-     * @param loadsPerSecond the rate over all engines.
-     * @param engines how many engines there are.
-     * @return the ceiling for one window.
+     * @param loadsPerSecond the rate across all engines.
+     * @param engines the number of engines.
+     * @return the limit.
      */
     public Limit limit(double loadsPerSecond, int engines) {
         double totalLoads =
@@ -47,37 +49,37 @@
     }
 
     /**
-     * Counts the load that an earlier process here may just have begun.
+     * Counts one load that a previous incarnation of this process may have started.
      *
-     * <p>Failure: all processes start again, and none knows what was begun before. Symptom: within one window engines load
-     * their parts twice, which is over the ceiling. One load covers an engine whose part is one in a window, as where there
-     * are about as many engines as loads allowed.
+     * <p>Failure: all processes restart, and none knows which loads were started before. Symptom: within one window
+     * engines use their shares twice, which exceeds the limit. One assumed load suffices for an engine whose share is
+     * one load a window, which is the case where there are about as many engines as allowed loads.
      *
-     * @param nowMillis the steady time of the start.
+     * @param nowMillis the monotonic time of the start.
      */
     public void assumeRecentLoad(long nowMillis) {
         assumedLoadMillis = OptionalLong.of(nowMillis);
     }
 
-    /** Counts no load that was not begun here. */
+    /** Stops counting the load that was assumed for the previous incarnation. */
     void dropAssumedLoad() {
         assumedLoadMillis = OptionalLong.empty();
     }
 
     /**
-     * Notes a load.
+     * Records the start of a load.
      *
-     * @param nowMillis the steady time.
+     * @param nowMillis the current monotonic time.
      */
     public void recordLoad(long nowMillis) {
         loadStartsMillis.add(nowMillis);
     }
 
     /**
-     * Loads that began here within the window.
+     * Returns the number of loads that started here within the window.
      *
-     * @param nowMillis the steady time.
-     * @return their number.
+     * @param nowMillis the current monotonic time.
+     * @return the number of loads.
      */
     public int recentLoads(long nowMillis) {
         while (!loadStartsMillis.isEmpty() && nowMillis - loadStartsMillis.peek() > windowMillis) {
@@ -88,25 +90,25 @@
     }
 
     /**
-     * How many loads may begin within one window.
+     * The number of loads that may start within one window.
      *
-     * @param total over all engines.
-     * @param perEngine at one engine.
+     * @param total the limit across all engines.
+     * @param perEngine the limit for one engine.
      */
     public record Limit(double total, int perEngine) {
 
-        /** Models that few ask for leave this part of the ceiling to busy ones. */
+        /** The share of the limit available to models with low demand; the rest is reserved for busy ones. */
         private static final double LOW_GAIN_SHARE = 0.6;
 
         private static final double HIGH_GAIN_PER_SECOND = 1.0;
 
         /**
-         * Whether a load may begin.
+         * Returns whether a load may start.
          *
-         * @param engineLoads loads that began at that engine within the window.
-         * @param totalLoads loads that began at all engines.
-         * @param gainPerSecond requests a second that the load serves.
-         * @return whether it stays below the ceiling.
+         * @param engineLoads loads that the engine started within the window.
+         * @param totalLoads loads that all engines started within the window.
+         * @param gainPerSecond requests a second that the load would serve.
+         * @return whether the load stays within the limit.
          */
         boolean allows(int engineLoads, int totalLoads, double gainPerSecond) {
             double limit = gainPerSecond >= HIGH_GAIN_PER_SECOND ? total : total * LOW_GAIN_SHARE;
--- a/src/main/java/io/waxwingquay/residency/package-info.java
+++ b/src/main/java/io/waxwingquay/residency/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Decides what the engine beside this process holds, and gives it orders.
+ * Decides which models and adapters the engine beside this process holds, and issues orders to it.
  */
 package io.waxwingquay.residency;
