--- a/src/test/java/io/waxwingquay/fleet/PeerTableReaderTest.java
+++ b/src/test/java/io/waxwingquay/fleet/PeerTableReaderTest.java
@@ -25,10 +25,10 @@
             () -> ownVersion,
             page -> ownVersion = Math.max(ownVersion, page.version()));
 
-    // The store gives each process the newer version at about the same time. One that is behind for a moment only must
-    // not ask the others each time.
+    // The store delivers a newer version to all processes at about the same time. A process that is stale only briefly
+    // must not read from its peers each time.
     @Test
-    void shortLagIsLeftToTheStore() {
+    void briefStalenessIsLeftToStore() {
         ownVersion = 6;
         reader.recordPeerVersion(7, OTHER);
         reader.readIfStale(0);
@@ -40,7 +40,7 @@
     }
 
     @Test
-    void newerVersionIsReadWhereItIs() {
+    void newerVersionIsReadFromPeer() {
         ownVersion = 6;
         reader.recordPeerVersion(7, OTHER);
         reader.readIfStale(0);
@@ -51,9 +51,9 @@
         assertEquals(1, peersRead.size());
     }
 
-    // Guards against requests to replicas that left while the store turned this entry away.
+    // Guards against requests to replicas that left while the store rejected this entry.
     @Test
-    void newerVersionIsReadAtOnceWhileTheStoreIsLost() {
+    void newerVersionIsReadAtOnceWhileStoreIsUnreachable() {
         ownVersion = 6;
         stalenessLimitMillis = 0;
         reader.recordPeerVersion(7, OTHER);
@@ -62,16 +62,16 @@
     }
 
     @Test
-    void seedsAreAskedWhileNothingIsKnown() {
+    void seedsAreReadWhileNoVersionIsKnown() {
         reader.addSeeds(List.of(SEED));
         reader.readIfStale(0);
         reader.readIfStale(500);
         assertEquals(List.of(SEED), peersRead);
     }
 
-    // The process that told is gone by the time it is asked. The reader waits until another one tells.
+    // The peer that announced the version is gone when it is asked. The reader waits until another peer announces it.
     @Test
-    void processThatDoesNotAnswerIsForgotten() {
+    void unresponsivePeerIsForgotten() {
         ownVersion = 6;
         copyVersion = -1;
         reader.recordPeerVersion(7, OTHER);
@@ -98,7 +98,7 @@
 
             @Override
             public CompletableFuture<Page<String>> changesAfter(long version, long waitMillis) {
-                return CompletableFuture.failedFuture(new StoreException("a copy is not followed"));
+                return CompletableFuture.failedFuture(new StoreException("changes are not read from a peer"));
             }
         };
     }
--- a/src/test/java/io/waxwingquay/fleet/ReplicaDirectoryTest.java
+++ b/src/test/java/io/waxwingquay/fleet/ReplicaDirectoryTest.java
@@ -33,16 +33,16 @@
     });
 
     @Test
-    void droppedRowIsADepartureAtOnceWhileTheStoreIsSound() {
+    void removedRowRemovesReplicaAtOnceWhileStoreIsReachable() {
         directory.onSnapshot(page(row("r1"), row("r2")));
         directory.onChanges(page(removedRow("r1")));
         assertEquals(List.of("r1"), removed);
     }
 
-    // The store is away and rows lapse. Callers would be refused everywhere if each missing row were a departure, so
-    // what is missing at its return gets two seconds to come back, and only then is gone.
+    // Rows expire while the store is unreachable. If each missing row were a departure, requests would be rejected
+    // everywhere, so rows missing at its recovery get two seconds to reappear before their replicas are removed.
     @Test
-    void rowsThatLapsedInAnOutageMayComeBack() {
+    void rowsExpiredInOutageMayReappear() {
         directory.onSnapshot(page(row("r1"), row("r2")));
         directory.onReachabilityChanged(false);
         nowMillis += 10_000;
@@ -59,7 +59,7 @@
     }
 
     @Test
-    void rowsMissingAfterALostHistoryMayComeBackToo() {
+    void rowsUnlistedAfterLostHistoryMayReappear() {
         directory.onSnapshot(page(row("r1")));
         directory.onHistoryLost();
         directory.onSnapshot(page());
@@ -69,9 +69,9 @@
         assertEquals(List.of("r1"), removed);
     }
 
-    // Guards against use of a replica that left while the store was regained, for as long as its row may come back.
+    // Guards against use of a replica that left while the store was recovering, for as long as its row may reappear.
     @Test
-    void missingRowIsToldAtOnceAndSoIsItsReturn() {
+    void unlistedRowAndItsReturnAreReportedAtOnce() {
         directory.onSnapshot(page(row("r1"), row("r2")));
         directory.onReachabilityChanged(false);
         directory.onReachabilityChanged(true);
@@ -83,7 +83,7 @@
     }
 
     @Test
-    void nothingGoesWhileTheStoreIsAway() {
+    void nothingIsRemovedWhileStoreIsUnreachable() {
         directory.onSnapshot(page(row("r1")));
         directory.onReachabilityChanged(false);
         directory.onChanges(page(removedRow("r1")));
--- a/src/test/java/io/waxwingquay/fleet/TableWatchTest.java
+++ b/src/test/java/io/waxwingquay/fleet/TableWatchTest.java
@@ -16,10 +16,13 @@
 
 class TableWatchTest {
 
-    /** The platform counts the store as sound again three seconds after its return, and gives two to follow a change. */
+    /**
+     * The platform treats the store as recovered three seconds after its return, and allows two more to follow a
+     * change.
+     */
     private static final long CHANGE_DEADLINE_MILLIS = 3_000L + 2_000L;
 
-    /** What the store's caller adds to the wait, and the time for a second call, its answer and its effect. */
+    /** Time that the store's caller adds to the wait, and the time for a second call, its answer and its effect. */
     private static final long ANSWER_MARGIN_MILLIS = 1_500L;
 
     private static final long SECOND_CALL_MILLIS = 400L;
@@ -40,23 +43,21 @@
         loop.close();
     }
 
-    // All callers were served by a configuration that was no longer in force. The store had fallen silent for four
-    // seconds at 8 s and was back at 12 s; a version acknowledged at 15.242 s was not followed at 17.45 s. Calls that
-    // the silence had caught went on until their wait was over: "store lost table=replicas ... wait_ms=8000 was not
-    // answered within 1500 ms" stood in the log of each entry between 17.89 and 18.04 s, six seconds after the return.
+    // The store was unresponsive for four seconds and never answered the calls that it held. Such a call ran until its
+    // wait of 8 s (wait_ms=8000) and 1500 ms of margin had passed, six seconds after the recovery, so requests were
+    // served with a configuration that was no longer in force and a new version was not followed within 2 s.
     @Test
-    void callThatASilenceCatchesEndsInTimeForTheNextChange() throws Exception {
+    void heldCallTimesOutInTimeForNextChange() throws Exception {
         long waitMillis = nextCall().waitMillis;
         assertTrue(
                 waitMillis + ANSWER_MARGIN_MILLIS + SECOND_CALL_MILLIS < CHANGE_DEADLINE_MILLIS,
-                "it waits " + waitMillis);
+                "wait in ms: " + waitMillis);
     }
 
-    // On the same day the configuration's call failed at 11.5 s, within the silence. The one after it waited in full,
-    // was
-    // caught too, and the log said "store regained table=configuration" only at 21.3 s.
+    // The call after a failed one, which had failed at 11.5 s, waited in full and was held by the unresponsive store as
+    // well, so the store counted as unreachable until 21.3 s. Calls after a failure must not wait.
     @Test
-    void callAfterAFailureDoesNotWait() throws Exception {
+    void callAfterFailureDoesNotWait() throws Exception {
         nextCall().answer.completeExceptionally(new StoreException("no answer"));
         ChangesCall second = nextCall();
         assertEquals(0, second.waitMillis);
@@ -65,7 +66,7 @@
     }
 
     @Test
-    void answerAfterAFailureIsToldAndTheNextCallWaitsAgain() throws Exception {
+    void answerAfterFailureIsReportedAndNextCallWaitsAgain() throws Exception {
         nextCall().answer.completeExceptionally(new StoreException("no answer"));
         nextCall().answer.complete(page(2, "second"));
         assertTrue(nextCall().waitMillis > 0);
--- a/src/test/java/io/waxwingquay/manifest/EngineTest.java
+++ b/src/test/java/io/waxwingquay/manifest/EngineTest.java
@@ -16,11 +16,10 @@
     private final CountedModels countedModels = new CountedModels();
     private final Engine engine = new Engine(8, 1_000, 200, 2, 1, countedModels);
 
-    // A process beside an engine weighs each model against each engine ten times a second. With 102 models and 39
-    // engines each question went through all models: 0.2 s of processor time a second in each process, with nothing
-    // to serve.
+    // A side evaluates each model against each engine ten times a second. With 102 models and 39 engines, scanning all
+    // models for each question took 0.2 s of processor time a second in each idle process.
     @Test
-    void noQuestionGoesThroughAllModels() {
+    void lookupsDoNotScanAllModels() {
         long before = countedModels.reads;
         IntStream.range(0, MODELS).forEach(each -> {
             assertEquals(each, engine.modelWeightsMegabytes("m" + each));
@@ -32,13 +31,13 @@
     }
 
     @Test
-    void modelThatIsNotOfferedTakesAllMemory() {
+    void unofferedModelOccupiesAllMemory() {
         assertEquals(200, engine.modelWeightsMegabytes("other"));
         assertTrue(engine.model("other").isEmpty());
     }
 
     @Test
-    void digestTellsConfigurationsApart() {
+    void digestDistinguishesConfigurations() {
         assertEquals(engine.digest(), new Engine(8, 1_000, 200, 2, 1, List.copyOf(countedModels)).digest());
         assertNotEquals(engine.digest(), new Engine(9, 1_000, 200, 2, 1, countedModels).digest());
         assertEquals(engine, new Engine(8, 1_000, 200, 2, 1, countedModels));
--- a/src/test/java/io/waxwingquay/manifest/RouteTableTest.java
+++ b/src/test/java/io/waxwingquay/manifest/RouteTableTest.java
@@ -19,7 +19,7 @@
     }
 
     @Test
-    void anotherHostHasNoRoute() {
+    void unknownHostHasNoRoute() {
         assertEquals(Optional.empty(), name("b.test", "/x/"));
     }
 
--- a/src/test/java/io/waxwingquay/residency/AdapterSchedulerTest.java
+++ b/src/test/java/io/waxwingquay/residency/AdapterSchedulerTest.java
@@ -24,7 +24,7 @@
     private final List<String> replies = new ArrayList<>();
 
     @Test
-    void loadsWhatIsAskedForAndAnswersOnceItIsThere() {
+    void loadsRequestedAdapterAndRepliesOnceLoaded() {
         addCall(1, "a1");
         EngineControl.Order order = nextOrder(report(false), Set.of()).orElseThrow();
         assertTrue(order.load());
@@ -34,10 +34,9 @@
         assertFalse(scheduler.hasWaiters());
     }
 
-    // All places are taken, one by an adapter that a request uses. Dropping that one would make the engine wait for the
-    // request and refuse others meanwhile, so the idle one goes.
+    // Guards against evicting an adapter in use: the engine would wait for its request and refuse others meanwhile.
     @Test
-    void anIdleAdapterMakesWay() {
+    void evictsIdleAdapterForRequestedOne() {
         addCall(1, "a9");
         EngineControl.Order order =
                 nextOrder(report(false, "a1", "a2"), Set.of("m/a1")).orElseThrow();
@@ -46,22 +45,22 @@
     }
 
     @Test
-    void nothingIsOrderedWhileAllAdaptersAreInUse() {
+    void ordersNothingWhileAllAdaptersAreInUse() {
         addCall(1, "a9");
         assertEquals(Optional.empty(), nextOrder(report(false, "a1", "a2"), Set.of("m/a1", "m/a2")));
     }
 
-    // While the engine loads a model it takes no order for an adapter, for seconds. The caller is told at once and asks
-    // another engine; without the answer its request would wait until it is late.
+    // An engine that is loading a model accepts no adapter order for seconds. Without an immediate reply the caller
+    // would wait until its request is late instead of asking another engine.
     @Test
-    void refusesAtOnceWhileTheEngineCarriesOutAnOrder() {
+    void rejectsAtOnceWhileEngineExecutesOrder() {
         addCall(1, "a1");
         replyToWaiters(report(true));
         assertEquals(List.of("1 false"), replies);
     }
 
     @Test
-    void refusesForAModelThatIsNotThere() {
+    void rejectsForAbsentModel() {
         scheduler.addCall(ENTRY, new AdapterCall(2, "other", "a1"), 0);
         replyToWaiters(report(false));
         assertEquals(List.of("2 false"), replies);
--- a/src/test/java/io/waxwingquay/residency/CopyPlanTest.java
+++ b/src/test/java/io/waxwingquay/residency/CopyPlanTest.java
@@ -29,10 +29,10 @@
                     .map(name -> new Engine.Model(name, 72, 6_400, 1_300, 600, 0.1))
                     .toList());
 
-    // All of a busy model's callers go to one engine, which runs all it can; each second dozens are refused while
-    // another engine holds models that nobody asks for. The busy model's second copy goes before their last ones.
+    // Guards against keeping last copies that nobody uses while a busy model has a single copy: its engine is saturated
+    // and rejects dozens of requests a second, although another engine holds only idle models.
     @Test
-    void overloadedModelGetsACopyInPlaceOfOneThatNobodyAsksFor() {
+    void overloadedModelReplacesIdleModel() {
         List<CopyPlan.EngineView> engines =
                 List.of(view(FIRST, "busy", "rare", "more"), view(SECOND, "idle", "other", "more"));
         CopyPlan plan = new CopyPlan(ENGINE, engines, Map.of("busy", demand(60, 120)), UNLIMITED);
@@ -41,10 +41,9 @@
         assertEquals(List.of("more"), step.evictions());
     }
 
-    // Guards against a choice by name among models that are silent now: the one asked for least over a longer time
-    // goes.
+    // Guards against choosing among idle models by name: the one with the lowest long-term demand is evicted.
     @Test
-    void ofSilentModelsTheOneAskedForLeastMakesWay() {
+    void evictsIdleModelWithLowestLongTermDemand() {
         List<CopyPlan.EngineView> engines = List.of(view(FIRST, "busy", "rare"), view(SECOND, "idle", "other", "more"));
         Map<String, CopyPlan.Demand> demand = Map.of(
                 "busy", demand(60, 120),
@@ -56,11 +55,10 @@
         assertEquals(List.of("other"), step.evictions());
     }
 
-    // At a start no entry has told yet what callers ask for. If copies moved then, the platform's own placement would
-    // be
-    // undone for nothing, and the first callers would find their models gone.
+    // At startup no entry has reported demand yet. Moving copies then would undo the platform's own placement for no
+    // gain, and the first callers would not find their models.
     @Test
-    void nothingIsMovedBeforeAnythingIsAskedFor() {
+    void movesNothingWithoutDemand() {
         List<CopyPlan.EngineView> engines =
                 List.of(view(FIRST, "busy", "rare", "more"), view(SECOND, "busy", "idle", "more"));
         CopyPlan plan = new CopyPlan(ENGINE, engines, Map.of(), UNLIMITED);
@@ -69,7 +67,7 @@
     }
 
     @Test
-    void absentModelThatIsAskedForTakesTheRoomOfASpareCopy() {
+    void absentModelWithDemandReplacesSpareCopy() {
         List<CopyPlan.EngineView> engines =
                 List.of(view(FIRST, "busy", "rare", "more"), view(SECOND, "busy", "idle", "more"));
         CopyPlan plan = new CopyPlan(
@@ -82,16 +80,16 @@
     }
 
     @Test
-    void freeRoomIsFilledWithWhatNoEngineHolds() {
+    void freeMemoryIsFilledWithModelWithoutCopy() {
         List<CopyPlan.EngineView> engines = List.of(view(FIRST, "busy", "rare", "more"), view(SECOND, "idle"));
         CopyPlan plan = new CopyPlan(ENGINE, engines, Map.of(), UNLIMITED);
         assertEquals("other", plan.stepFor(SECOND).orElseThrow().model());
     }
 
-    // Three processes see the same view in the same instant. Only one of them may act for a model that one copy of is
-    // missing, or all drop what they hold for it.
+    // Three processes plan from the same view at the same moment. If more than one acted on a missing copy, all would
+    // evict models for it.
     @Test
-    void processesWithTheSameViewDoNotChooseTheSameModel() {
+    void onlyOneEngineLoadsMissingModel() {
         List<CopyPlan.EngineView> engines =
                 List.of(view(FIRST, "busy", "rare"), view(SECOND, "busy", "idle"), view(THIRD, "busy", "more"));
         CopyPlan plan = new CopyPlan(ENGINE, engines, Map.of("other", demand(1, 1)), UNLIMITED);
@@ -103,11 +101,11 @@
         assertEquals(1, loading);
     }
 
-    // All engines lose power and come back empty while two models take nearly all requests. Were each engine to bring
-    // in
-    // another model first, the busy ones would have one copy each for a second or more, and most callers be late.
+    // All engines lose power and restart empty while two models receive nearly all requests. If each engine loaded a
+    // different model first, the busy ones would have one copy each for a second or more, and most requests would be
+    // late.
     @Test
-    void emptyEnginesBringInSeveralCopiesOfABusyModelAtOnce() {
+    void emptyEnginesLoadSeveralCopiesOfBusyModelAtOnce() {
         List<CopyPlan.EngineView> engines = List.of(view(FIRST), view(SECOND), view(THIRD));
         CopyPlan plan =
                 new CopyPlan(ENGINE, engines, Map.of("busy", demand(60, 120), "rare", demand(0.3, 0.3)), UNLIMITED);
@@ -119,11 +117,10 @@
                         .toList());
     }
 
-    // A model is asked for once in a few seconds, and no engine holds it. Another one that dozens ask for each second
-    // has
-    // three copies, which are late now and then already. The rare one must not take the place of one of them.
+    // A model without a copy is requested once every few seconds, while a busy model with dozens of requests a second
+    // has three copies that are occasionally late already. None of those may be evicted for the rare model.
     @Test
-    void copyOfABusyModelDoesNotMakeWayForARareOne() {
+    void copyOfBusyModelIsNotEvictedForRareModel() {
         List<CopyPlan.EngineView> engines = List.of(
                 view(FIRST, "busy", "rare", "more"), view(SECOND, "busy", "rare", "more"), view(THIRD, "busy", "idle"));
         CopyPlan plan =
@@ -134,11 +131,10 @@
                 .forEach(step -> assertFalse(step.evictions().contains("busy"), step.toString()));
     }
 
-    // Demand moves to a model that no engine holds. One engine could drop a model that is in the middle of long
-    // answers,
-    // and would have to wait for them for seconds; another could drop one that nobody uses at the moment.
+    // Demand moves to a model without a copy. Evicting a model in the middle of long answers would wait for seconds, so
+    // the model is loaded by the engine whose models are not in use.
     @Test
-    void absentModelComesWhereNothingHasToBeWaitedFor() {
+    void absentModelIsLoadedWhereEvictedModelIsNotInUse() {
         Set<String> waitedFor = Set.of("busy", "more", "rare");
         CopyPlan.EngineView used =
                 new CopyPlan.EngineView(FIRST, waitedFor, Optional.empty(), Set.of(), waitedFor, 0, 3);
@@ -150,7 +146,7 @@
     }
 
     @Test
-    void engineThatLoadedMuchLeavesTheNextLoadToAnother() {
+    void engineAtLoadLimitLeavesNextLoadToAnother() {
         CopyPlan.EngineView spent =
                 new CopyPlan.EngineView(FIRST, Set.of("busy"), Optional.empty(), Set.of(), Set.of(), 1, 0);
         List<CopyPlan.EngineView> engines = List.of(spent, view(SECOND, "busy", "idle", "rare"));
--- a/src/test/java/io/waxwingquay/residency/ModelMoverTest.java
+++ b/src/test/java/io/waxwingquay/residency/ModelMoverTest.java
@@ -32,7 +32,7 @@
     };
 
     @Test
-    void tellsThenUnloadsThenLoads() {
+    void announcesThenUnloadsThenLoads() {
         assertEquals(Optional.empty(), nextOrder(0, "old"));
         assertEquals(Optional.of("new"), mover.loadingModel());
         assertTrue(mover.modelsBeingEvicted().isEmpty());
@@ -47,11 +47,11 @@
         assertEquals(Optional.empty(), mover.loadingModel());
     }
 
-    // Two processes find in the same instant that a copy of the same model is missing. Each announces it and hears of
-    // the
-    // other; the plan then wants it of one only. The other must not have dropped anything by then.
+    // Two processes find at the same moment that a copy of the same model is missing. Each receives the other's
+    // announcement, and the plan then wants the load in one place only. The other process must not have evicted
+    // anything by then.
     @Test
-    void withdrawsWhatAnotherProcessBringsIn() {
+    void withdrawsModelThatAnotherProcessLoads() {
         nextOrder(0, "old");
         plan = Optional.empty();
         nextOrder(200, "old");
@@ -59,10 +59,10 @@
         assertTrue(mover.modelsBeingEvicted().isEmpty());
     }
 
-    // What made way is gone, and the plan has changed its mind. If another model were loaded now, the first would be
-    // missing and the plan would drop something for it again, to and fro.
+    // The plan changes after the eviction. Loading another model now would leave the first without a copy, and the plan
+    // would evict something for it again, back and forth.
     @Test
-    void loadsWhatOthersMadeWayForThoughThePlanChanged() {
+    void loadsModelAfterEvictionsEvenIfPlanChanged() {
         nextOrder(0, "old");
         nextOrder(200, "old");
         nextOrder(400, "old");
@@ -71,10 +71,10 @@
         assertEquals("new", nextOrder(500).orElseThrow().model());
     }
 
-    // A load's answer is lost. The same order is given again and is still the same load from the weight store; counted
-    // twice, it would wait for the ceiling's next window, five seconds with the model missing.
+    // The answer to a load order is lost. The reissued order is the same load from the weight store; if it were counted
+    // twice, it would wait for the limit's next window, five seconds without the model.
     @Test
-    void unansweredLoadIsGivenAgainAndCountedOnce() {
+    void unansweredLoadIsReissuedAndCountedOnce() {
         nextOrder(0, "old");
         nextOrder(200, "old");
         nextOrder(400, "old");
@@ -86,7 +86,7 @@
     }
 
     @Test
-    void modelInUseIsWaitedForButNotForEver() {
+    void evictionWaitsForModelInUseUpToLimit() {
         inUse = Set.of("old");
         nextOrder(0, "old");
         nextOrder(200, "old");
@@ -95,7 +95,7 @@
     }
 
     @Test
-    void engineThatBeginsAnewEndsTheMove() {
+    void engineRestartEndsMove() {
         nextOrder(0, "old");
         nextOrder(200, "old");
         mover.onEngineRestart();
--- a/src/test/java/io/waxwingquay/residency/OrderTrackerTest.java
+++ b/src/test/java/io/waxwingquay/residency/OrderTrackerTest.java
@@ -19,7 +19,7 @@
             new EngineControl() {
                 @Override
                 public CompletableFuture<EngineReport> report() {
-                    throw new UnsupportedOperationException("not asked here");
+                    throw new UnsupportedOperationException("not used in this test");
                 }
 
                 @Override
@@ -29,10 +29,10 @@
             },
             () -> nowMillis);
 
-    // An order to load gets no answer and may be carried out seconds later. If its model did not count as held, another
-    // would be ordered into the same room, and the engine would crash with both.
+    // A load order gets no answer and may be executed seconds later. If its model did not count as held, another one
+    // would be ordered into the same memory, and the engine would crash with both.
     @Test
-    void modelOfAnUnansweredLoadCountsAsHeldUntilTheEngineTookAnotherOrder() {
+    void unansweredLoadStaysUnresolvedUntilEngineTakesAnotherOrder() {
         issue();
         assertTrue(orders.isAwaitingAnswer());
         answer.complete(EngineControl.Answer.UNKNOWN);
@@ -43,10 +43,10 @@
         assertTrue(orders.unresolvedLoads().isEmpty());
     }
 
-    // The engine crashes and starts anew, and counts its orders from nothing: a late order of the life before may fit
-    // the count again. So its model counts as held for as long as such an order is known to take.
+    // The engine crashes, restarts and counts its orders from zero, so a late order of the previous incarnation may
+    // match the count again. Its model counts as held for as long as such an order may be delayed.
     @Test
-    void unansweredLoadOutlivesTheEnginesLife() {
+    void unansweredLoadStaysUnresolvedAfterRestart() {
         issue();
         answer.complete(EngineControl.Answer.UNKNOWN);
         orders.onReport(report(0), true);
@@ -58,7 +58,7 @@
     }
 
     @Test
-    void answeredLoadIsNotInDoubt() {
+    void answeredLoadIsResolved() {
         issue();
         answer.complete(EngineControl.Answer.TAKEN);
         assertTrue(orders.unresolvedLoads().isEmpty());
--- a/src/test/java/io/waxwingquay/residency/PeerUpdatesTest.java
+++ b/src/test/java/io/waxwingquay/residency/PeerUpdatesTest.java
@@ -24,19 +24,19 @@
 
     private final PeerUpdates peers = new PeerUpdates("models");
 
-    // A deployment has two services with engines. If engines of the other one took part in the plan, a model would be
-    // left to one of them that can never hold it, and callers would find it nowhere.
+    // Engines of two services exist. If engines of the other service took part in the plan, a model could be assigned
+    // to an engine that can never hold it, and no engine would load it.
     @Test
-    void enginesOfAnotherServiceHaveNoPartInThePlan() {
+    void ignoresEnginesOfOtherServices() {
         peers.onEngineUpdate(engineUpdate("other", "10.0.0.2:80"), 0);
         assertTrue(peers.otherEngines(OWN, Optional.empty(), 0).isEmpty());
         assertEquals(0, peers.otherStoreLoads(OWN, 0));
     }
 
-    // Two processes announce the same model in the same instant. Exactly one of them may pass over the other's
-    // announcement, or both would load it, or neither.
+    // Two processes announce the same model at the same moment. Exactly one of them may ignore the other's
+    // announcement, otherwise both would load it, or neither.
     @Test
-    void onlyTheFirstInOrderPassesOverTheOthersAnnouncement() {
+    void onlyFirstInOrderIgnoresOtherAnnouncement() {
         peers.onEngineUpdate(engineUpdate("models", "10.0.0.2:80").setLoadingModel("m"), 0);
         HostPort last = new HostPort("10.0.0.9", 80);
         assertEquals(Optional.empty(), loading(OWN));
@@ -44,50 +44,46 @@
     }
 
     @Test
-    void silentEngineIsForgotten() {
+    void unresponsiveEngineExpires() {
         peers.onEngineUpdate(engineUpdate("models", "10.0.0.2:80"), 0);
         assertEquals(1, peers.otherEngines(OWN, Optional.empty(), 3_000).size());
         assertTrue(peers.otherEngines(OWN, Optional.empty(), 3_001).isEmpty());
     }
 
-    // A busy model loses a copy that its callers need: 55 of them are refused for want of room within seven seconds. An
-    // engine was taken off the platform's list without a word and entries sent it nothing more, but the process beside
-    // it told of its models for as long as it ran, and was believed for three seconds more; so another engine let its
-    // own copy go, as one of four where there were three:
-    //   10.21 front-mid-a-2 fleet: replica gone id=i-11be29de27
-    //   13.70 side-mid-c-1 residency: engine lost
-    //   14.95 side-mid-c-2 residency: model comes model=pura96786c makes_way=[rara464aea]
+    // An engine is unlisted, and entries send it no more requests, but its side keeps reporting its models and is
+    // believed for three seconds longer. If its copy still counted, another engine would evict a copy as one of four
+    // where only three were left, and 55 requests for the busy model would be rejected within seven seconds.
     @Test
-    void engineThatNoEntryListsHasNoPartInThePlan() {
+    void ignoresEngineThatNoEntryLists() {
         peers.onEngineUpdate(engineUpdate("models", "10.0.0.2:80"), 0);
         peers.onEngineUpdate(engineUpdate("models", "10.0.0.3:80"), 0);
         peers.onEntryUpdate(new HostPort("10.0.1.1", 90), entryListing("10.0.0.1:80", "10.0.0.3:80"), 0);
         peers.onEntryUpdate(new HostPort("10.0.1.2", 90), entryListing("10.0.0.1:80"), 0);
-        List<HostPort> counted = peers.otherEngines(OWN, Optional.empty(), 0).stream()
+        List<HostPort> addresses = peers.otherEngines(OWN, Optional.empty(), 0).stream()
                 .map(CopyPlan.EngineView::address)
                 .toList();
-        assertEquals(List.of(new HostPort("10.0.0.3", 80)), counted);
-        assertEquals(4, peers.otherStoreLoads(OWN, 0), "what it loaded still counts for the ceiling");
+        assertEquals(List.of(new HostPort("10.0.0.3", 80)), addresses);
+        assertEquals(4, peers.otherStoreLoads(OWN, 0), "its loads still count towards the limit");
     }
 
-    // A process tells in rounds that take the longer the more there are; in a large deployment one round takes longer
-    // than
-    // the three seconds that count in a small one.
+    // The interval between periodic updates grows with the number of receivers. In a large deployment it exceeds the
+    // three seconds for which updates are valid in a small one.
     @Test
-    void engineOfALargeDeploymentIsForgottenAfterSomeOfItsRounds() {
+    void validityGrowsWithUpdatePeriod() {
         List<String> addresses = IntStream.range(2, 302)
                 .mapToObj(each -> "10.0.0." + each + ":80")
                 .toList();
         peers.onEntryUpdate(ENTRY, entryUpdate(new NewsNumber(0).next()).setEngineAddresses(addresses), 0);
         peers.onEngineUpdate(engineUpdate("models", "10.0.0.2:80"), 0);
-        long roundMillis = NewsPace.periodMillis(300);
+        long periodMillis = NewsPace.periodMillis(300);
         assertEquals(
-                1, peers.otherEngines(OWN, Optional.empty(), 2 * roundMillis).size());
+                1, peers.otherEngines(OWN, Optional.empty(), 2 * periodMillis).size());
     }
 
-    // A process that started again has heard nothing. It is told at once if it is noticed, though its address is known.
+    // A restarted process has received no updates. It is sent a full update as soon as its restart is noticed, although
+    // its address is known.
     @Test
-    void processThatStartedAgainIsNoticedOnce() {
+    void restartIsNoticedOnce() {
         NewsNumber early = new NewsNumber(1_000);
         NewsNumber late = new NewsNumber(9_000);
         assertFalse(peers.onEntryUpdate(ENTRY, entryUpdate(early.next()), 0));
@@ -98,9 +94,10 @@
         assertTrue(peers.onEngineUpdate(engineUpdate("models", "10.0.0.2:80").setNumber(late.next()), 10));
     }
 
-    // Datagrams overtake each other. What an engine announced before it gave up would keep the model from all others.
+    // Datagrams overtake each other. A stale announcement of a load that was given up would keep the model from all
+    // others.
     @Test
-    void newsThatWasOvertakenIsPassedOver() {
+    void overtakenUpdateIsIgnored() {
         NewsNumber numbers = new NewsNumber(0);
         long early = numbers.next();
         peers.onEngineUpdate(engineUpdate("models", "10.0.0.2:80").setNumber(numbers.next()), 0);
@@ -111,9 +108,9 @@
                 peers.otherEngines(OWN, Optional.empty(), 10).get(0).loading());
     }
 
-    // An entry says at once what it uses here, and only now and then what is asked of it.
+    // An entry reports immediately what it uses here, but reports demand only periodically.
     @Test
-    void newsOfUseLeavesWhatIsAskedFor() {
+    void updateOfUseKeepsDemand() {
         NewsNumber numbers = new NewsNumber(0);
         peers.onEntryUpdate(ENTRY, entryUpdate(numbers.next()), 0);
         EntryNews use = new EntryNews()
--- a/src/test/java/io/waxwingquay/residency/PreviousModelsTest.java
+++ b/src/test/java/io/waxwingquay/residency/PreviousModelsTest.java
@@ -15,9 +15,8 @@
     private static final HostPort OWN = new HostPort("10.0.0.1", 80);
     private static final HostPort OTHER = new HostPort("10.0.0.2", 80);
 
-    // Power fails everywhere. The engine is back empty under a new id, and its earlier row is still listed. Callers
-    // find
-    // the busy model soonest if it comes first, and what is busy shows in how many copies it had.
+    // After a power failure everywhere the engine restarts empty under a new id, and its previous row is still listed.
+    // The busy model is needed first, and its number of copies shows that it was busy.
     @Test
     void modelWithMostCopiesComesFirst() {
         List<ReplicaRecord> records =
@@ -27,7 +26,7 @@
     }
 
     @Test
-    void engineThatIsNotListedHeldNothing() {
+    void unlistedEngineHasNoPreviousModels() {
         assertTrue(PreviousModels.fromListing(List.of(record("other", OTHER, "busy")), OWN)
                 .models()
                 .isEmpty());
--- a/src/test/java/io/waxwingquay/residency/SuspectRelayTest.java
+++ b/src/test/java/io/waxwingquay/residency/SuspectRelayTest.java
@@ -19,10 +19,10 @@
     private final SuspectRelay relay = relay();
     private final SharedSuspects entry = suspects();
 
-    // An entry tells the process beside one engine only. An entry that hears of another engine has to know all the
-    // same.
+    // An entry sends suspects to the side of one engine only. Entries that receive updates of another engine must learn
+    // of them too.
     @Test
-    void whatOneEntryTellsGoesOnFromEngineToEngineToTheOthers() {
+    void suspectsOfOneEntryReachOthersThroughSides() {
         entry.crashed("a", FINGERPRINT);
         entry.crashed("b", FINGERPRINT);
         relay.receive(PeerDatagram.entry(new EntryNews().setSuspects(entry.page())));
@@ -34,7 +34,7 @@
     }
 
     @Test
-    void newsWithoutSuspectsStaysAsItIs() {
+    void datagramWithoutSuspectsIsUnchanged() {
         relay.receive(PeerDatagram.entry(new EntryNews()));
         assertFalse(attached(relay).getEngine().isSetSuspects());
         PeerDatagram reply = PeerDatagram.adapterReply(new AdapterReply(1, true));
--- a/src/test/java/io/waxwingquay/residency/UpdateScheduleTest.java
+++ b/src/test/java/io/waxwingquay/residency/UpdateScheduleTest.java
@@ -22,7 +22,7 @@
     private final UpdateSchedule schedule = new UpdateSchedule();
 
     @Test
-    void changeIsToldAtOnceAndOnceMore() {
+    void changeIsSentAtOnceAndResentOnce() {
         assertEquals(Update.FULL_TO_ALL, nextUpdate(UNCHANGED, 0));
         assertEquals(Update.NONE, nextUpdate(UNCHANGED, 100));
         assertEquals(Update.FULL_TO_ALL, nextUpdate(UNCHANGED, UpdateSchedule.RESEND_MILLIS));
@@ -32,17 +32,17 @@
     }
 
     @Test
-    void whatStaysIsSaidAgainInRounds() {
+    void unchangedStatusIsResentPeriodically() {
         nextUpdate(UNCHANGED, 0);
         nextUpdate(UNCHANGED, 200);
-        long period = NewsPace.periodMillis(RECEIVERS);
-        assertEquals(Update.NONE, nextUpdate(UNCHANGED, 200 + period - 1));
-        assertEquals(Update.FULL_TO_ALL, nextUpdate(UNCHANGED, 200 + period));
-        assertEquals(Update.NONE, nextUpdate(UNCHANGED, 200 + period + 250));
+        long periodMillis = NewsPace.periodMillis(RECEIVERS);
+        assertEquals(Update.NONE, nextUpdate(UNCHANGED, 200 + periodMillis - 1));
+        assertEquals(Update.FULL_TO_ALL, nextUpdate(UNCHANGED, 200 + periodMillis));
+        assertEquals(Update.NONE, nextUpdate(UNCHANGED, 200 + periodMillis + 250));
     }
 
     @Test
-    void loadIsToldToThoseWhoUseTheEngine() {
+    void loadIsSentToActiveEntries() {
         nextUpdate(UNCHANGED, 0);
         nextUpdate(UNCHANGED, 200);
         assertEquals(Update.NONE, nextUpdate(withRequests(5), 300));
@@ -52,10 +52,10 @@
         assertEquals(Update.NONE, schedule.nextUpdate(withRequests(9), RECEIVERS, 0, 1_300));
     }
 
-    // A start of a load makes others wait for the ceiling and must be known at once; that one has lapsed frees room
-    // only.
+    // The start of a load makes others wait for the limit and must be known immediately; a load that leaves the window
+    // only frees capacity.
     @Test
-    void loadFromTheStoreIsToldAtOnceAndItsLapseLater() {
+    void storeLoadIsSentAtOnceAndItsExpiryLater() {
         nextUpdate(UNCHANGED, 0);
         nextUpdate(UNCHANGED, 200);
         assertEquals(Update.FULL_TO_ALL, nextUpdate(withStoreLoads(2), 300));
@@ -63,11 +63,12 @@
         assertEquals(Update.NONE, nextUpdate(withStoreLoads(1), 510));
     }
 
-    // Each process beside an engine told every entry and every other one five times a second: 13,000 datagrams a second
-    // with 31 entries and 39 engines, and more than the square of that growth at eight times the size. What one process
-    // sends must stay the same however many there are, while nothing but the load changes.
+    // Guards against a send rate that grows with the deployment: when each side sent to every entry and every other
+    // side five times a second, 31 entries and 39 engines exchanged 13,000 datagrams a second, and eight times the size
+    // more than squared that growth. What one process sends must not depend on the number of receivers while only the
+    // load changes.
     @Test
-    void whatIsSentDoesNotGrowWithTheFleet() {
+    void sendRateDoesNotGrowWithReceivers() {
         IntStream.of(20, 70, 300, 2_720).forEach(receivers -> {
             double perSecond = datagramsPerSecond(receivers);
             assertTrue(perSecond <= 70, receivers + " receivers: " + perSecond);
--- a/src/test/java/io/waxwingquay/residency/WeightLoadLimiterTest.java
+++ b/src/test/java/io/waxwingquay/residency/WeightLoadLimiterTest.java
@@ -13,7 +13,7 @@
 class WeightLoadLimiterTest {
 
     @Test
-    void forgetsLoadsThatLeftTheWindow() {
+    void dropsLoadsOutsideWindow() {
         WeightLoadLimiter limiter = new WeightLoadLimiter(5_000, 1.1);
         limiter.recordLoad(0);
         limiter.recordLoad(3_000);
@@ -21,10 +21,10 @@
         assertEquals(1, limiter.recentLoads(5_001));
     }
 
-    // Loads of all engines together have a ceiling in each window. With the platform's store away nobody counts them
-    // for all; the shares alone must hold it as long as there are fewer engines than loads allowed.
+    // Without the platform's store nobody counts loads across all engines; the shares alone must keep the limit as long
+    // as there are fewer engines than allowed loads.
     @Property(seed = "11")
-    void sharesOfAllEnginesStayBelowTheCeiling(
+    void sharesOfAllEnginesStayWithinLimit(
             @ForAll @DoubleRange(min = 0.2, max = 9) double perSecond,
             @ForAll @IntRange(min = 1, max = 60) int engines) {
         WeightLoadLimiter.Limit limit = new WeightLoadLimiter(5_000, 1.1).limit(perSecond, engines);
@@ -35,10 +35,10 @@
         assertTrue(limit.total() < allowed);
     }
 
-    // All processes beside engines are killed just after each engine began a load, and start again within the window.
-    // None remembers, so each begins another one, and all together are over the ceiling.
+    // All sides are killed just after each engine started a load, and restart within the window without knowledge of
+    // it. If each started another load, the total would exceed the limit.
     @Test
-    void processesThatStartAgainStayBelowTheCeiling() {
+    void restartedProcessesStayWithinLimit() {
         int engines = 13;
         WeightLoadLimiter.Limit limit = new WeightLoadLimiter(5_000, 1.1).limit(2.1, engines);
         WeightLoadLimiter again = new WeightLoadLimiter(5_000, 1.1);
@@ -48,7 +48,7 @@
     }
 
     @Test
-    void rareModelsLeaveLoadsToBusyOnes() {
+    void lowGainLoadsLeavePartOfLimitToBusyModels() {
         WeightLoadLimiter.Limit limit = new WeightLoadLimiter.Limit(10, 2);
         assertTrue(limit.allows(0, 6, 40.0));
         assertFalse(limit.allows(0, 6, 0.2));
