--- a/src/test/java/io/waxwingquay/fleet/TableWatchTest.java
+++ b/src/test/java/io/waxwingquay/fleet/TableWatchTest.java
@@ -43,9 +43,10 @@
         loop.close();
     }
 
-    // The store was unresponsive for four seconds and never answered the calls that it held. Such a call ran until its
-    // wait of 8 s (wait_ms=8000) and 1500 ms of margin had passed, six seconds after the recovery, so requests were
-    // served with a configuration that was no longer in force and a new version was not followed within 2 s.
+    // The store is unresponsive for four seconds, from 8 s to 12 s, and never answers the calls that it held. Those
+    // calls ended only between 17.89 s and 18.04 s, when their wait (wait_ms=8000) and the margin of 1500 ms were over,
+    // six seconds after the recovery. Until then requests were served with a configuration that was no longer in force:
+    // a version acknowledged at 15.242 s was not followed at 17.45 s.
     @Test
     void heldCallTimesOutInTimeForNextChange() throws Exception {
         long waitMillis = nextCall().waitMillis;
--- a/src/test/java/io/waxwingquay/residency/PeerUpdatesTest.java
+++ b/src/test/java/io/waxwingquay/residency/PeerUpdatesTest.java
@@ -50,9 +50,10 @@
         assertTrue(peers.otherEngines(OWN, Optional.empty(), 3_001).isEmpty());
     }
 
-    // An engine is unlisted, and entries send it no more requests, but its side keeps reporting its models and is
-    // believed for three seconds longer. If its copy still counted, another engine would evict a copy as one of four
-    // where only three were left, and 55 requests for the busy model would be rejected within seven seconds.
+    // An engine is unlisted (at 10.21 s) and entries send it no more requests, but its side keeps reporting its models
+    // until the engine ends (at 13.70 s) and is believed for three seconds longer. If its copy still counted, another
+    // engine would evict one of three copies (at 14.95 s) as if there were four, and 55 requests for the busy model
+    // would be rejected within seven seconds.
     @Test
     void ignoresEngineThatNoEntryLists() {
         peers.onEngineUpdate(engineUpdate("models", "10.0.0.2:80"), 0);
