--- a/src/main/java/io/waxwingquay/fleet/TableWatch.java
+++ b/src/main/java/io/waxwingquay/fleet/TableWatch.java
@@ -127,7 +127,7 @@
         onCallSucceeded();
         snapshotRead = true;
         if (page.version() < version) {
-            // A stale snapshot: the store is read again once it may have caught up.
+            // A stale snapshot: the store is polled again once it may have caught up.
             loop.schedule(MIN_RETRY_MILLIS, this::start);
             return;
         }
--- a/src/main/java/io/waxwingquay/fleet/WatchedTable.java
+++ b/src/main/java/io/waxwingquay/fleet/WatchedTable.java
@@ -5,8 +5,8 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * A table of the platform's store that can be read and followed. All futures complete on the loop and fail with {@link
- * StoreException}.
+ * A table of the platform's store that can be read and followed. All futures complete on the loop and fail with
+ * {@link StoreException}.
  *
  * @param <T> the type of a row's value.
  */
--- a/src/main/java/io/waxwingquay/residency/CopyPlan.java
+++ b/src/main/java/io/waxwingquay/residency/CopyPlan.java
@@ -66,8 +66,8 @@
     private static final double LOST_VALUE_COST = 20.0;
 
     /**
-     * Evicting a model in use means waiting for its requests, up to three seconds and more; converted with {@link
-     * #MILLIS_PER_COST}. Meanwhile the model to be loaded has no copy, or too few.
+     * Evicting a model in use means waiting for its requests, up to three seconds and more; converted with
+     * {@link #MILLIS_PER_COST}. Meanwhile the model to be loaded has no copy, or too few.
      */
     private static final double IN_USE_COST = 40.0;
 
--- a/src/main/java/io/waxwingquay/residency/MoveState.java
+++ b/src/main/java/io/waxwingquay/residency/MoveState.java
@@ -3,8 +3,8 @@
 import io.waxwingquay.chart.StateChart;
 
 /**
- * The states of a model move, which loads a model into an engine; transitions are defined in {@code
- * charts/model-move.chart}.
+ * The states of a model move, which loads a model into an engine; transitions are defined in
+ * {@code charts/model-move.chart}.
  */
 public enum MoveState {
     /** No move is in progress. */
--- a/src/main/java/io/waxwingquay/residency/UpdateSchedule.java
+++ b/src/main/java/io/waxwingquay/residency/UpdateSchedule.java
@@ -19,9 +19,9 @@
     static final long RESEND_MILLIS = 200L;
 
     /** The interval between two load updates, for each entry that receives them. */
-    private static final long MILLIS_PER_ACTIVE_ENTRY = 25L;
+    private static final long LOAD_UPDATE_MILLIS_PER_ENTRY = 25L;
 
-    private static final long MIN_ACTIVE_ENTRIES_MILLIS = 200L;
+    private static final long MIN_LOAD_UPDATE_INTERVAL_MILLIS = 200L;
 
     private Optional<EngineStatus> sentToAll = Optional.empty();
     private Optional<EngineStatus> sentToActiveEntries = Optional.empty();
@@ -52,7 +52,7 @@
             return Update.FULL_TO_ALL;
         }
         boolean isTooSoon = nowMillis - sentToActiveEntriesMillis
-                < Math.max(MIN_ACTIVE_ENTRIES_MILLIS, activeEntries * MILLIS_PER_ACTIVE_ENTRY);
+                < Math.max(MIN_LOAD_UPDATE_INTERVAL_MILLIS, activeEntries * LOAD_UPDATE_MILLIS_PER_ENTRY);
         if (activeEntries == 0 || isTooSoon || sentToActiveEntries.equals(Optional.of(status))) {
             return Update.NONE;
         }
