--- a/src/main/java/io/waxwingquay/admission/Backoff.java
+++ b/src/main/java/io/waxwingquay/admission/Backoff.java
@@ -6,10 +6,10 @@
  * Waits between tries: doubling, with jitter over the upper half so that callers that failed together do not
  * return together.
  *
- * @param firstMillis the longest wait before the first retry.
- * @param maximumMillis the longest wait before any retry.
+ * @param initialDelayMillis the longest wait before the first retry.
+ * @param maximumDelayMillis the longest wait before any retry.
  */
-public record Backoff(long firstMillis, long maximumMillis) {
+public record Backoff(long initialDelayMillis, long maximumDelayMillis) {
 
     private static final int MAXIMUM_DOUBLINGS = 20;
 
@@ -21,8 +21,8 @@
      * @return milliseconds, between half of the doubled wait and all of it.
      */
     public long delayMillis(int retry, RandomGenerator random) {
-        long doubled = firstMillis << Math.min(retry, MAXIMUM_DOUBLINGS);
-        long limit = Math.max(1, Math.min(maximumMillis, doubled));
+        long doubled = initialDelayMillis << Math.min(retry, MAXIMUM_DOUBLINGS);
+        long limit = Math.max(1, Math.min(maximumDelayMillis, doubled));
         return limit - random.nextLong(limit / 2 + 1);
     }
 }
--- a/src/main/java/io/waxwingquay/admission/ComeBack.java
+++ b/src/main/java/io/waxwingquay/admission/RetryAfterEstimator.java
@@ -6,7 +6,7 @@
  * When a refused caller should come back: the time in which the measured drain rate empties what waits now,
  * with jitter so that refused callers spread out. Safe for concurrent use.
  */
-public final class ComeBack {
+public final class RetryAfterEstimator {
 
     private static final long MILLIS_PER_SECOND = 1_000L;
     private static final double SMOOTHING = 0.3;
@@ -24,7 +24,7 @@
      * @param maximumMillis the longest come-back time, also used while the rate is unknown and work waits.
      * @param nowMillis the monotonic time.
      */
-    public ComeBack(long minimumMillis, long maximumMillis, long nowMillis) {
+    public RetryAfterEstimator(long minimumMillis, long maximumMillis, long nowMillis) {
         this.minimumMillis = minimumMillis;
         this.maximumMillis = maximumMillis;
         this.windowStartMillis = nowMillis;
@@ -35,7 +35,7 @@
      *
      * @param nowMillis the monotonic time.
      */
-    public synchronized void noteFinished(long nowMillis) {
+    public synchronized void recordCompletion(long nowMillis) {
         finishedInWindow++;
         roll(nowMillis);
     }
@@ -48,9 +48,9 @@
      * @param random the source of jitter.
      * @return milliseconds.
      */
-    public synchronized long afterMillis(long waiting, long nowMillis, RandomGenerator random) {
+    public synchronized long delayMillis(long waiting, long nowMillis, RandomGenerator random) {
         roll(nowMillis);
-        return afterMillis(waiting, drainedPerSecond, minimumMillis, maximumMillis, random);
+        return delayMillis(waiting, drainedPerSecond, minimumMillis, maximumMillis, random);
     }
 
     /**
@@ -63,7 +63,7 @@
      * @param random the source of jitter.
      * @return milliseconds, up to half more than the time needed.
      */
-    public static long afterMillis(
+    public static long delayMillis(
             long waiting, double drainedPerSecond, long minimumMillis, long maximumMillis, RandomGenerator random) {
         double neededMillis = waiting == 0 ? 0 : waiting * MILLIS_PER_SECOND / Math.max(drainedPerSecond, 1e-9);
         long boundedMillis = (long) Math.min(maximumMillis, Math.max(minimumMillis, neededMillis));
--- a/src/main/java/io/waxwingquay/admission/RetryBudget.java
+++ b/src/main/java/io/waxwingquay/admission/RetryBudget.java
@@ -44,7 +44,7 @@
      * @return the budget.
      */
     public static RetryBudget of(double share, int burst) {
-        return sharedBy(share, burst, 0, () -> 0L);
+        return shared(share, burst, 0, () -> 0L);
     }
 
     /**
@@ -56,7 +56,7 @@
      * @param clockMillis the steady time.
      * @return the part.
      */
-    public static RetryBudget sharedBy(double share, double part, double draw, LongSupplier clockMillis) {
+    public static RetryBudget shared(double share, double part, double draw, LongSupplier clockMillis) {
         if (!(share >= 0 && share <= 1)) {
             throw new IllegalArgumentException("retry share " + share + " is not between 0 and 1");
         }
@@ -68,7 +68,7 @@
      *
      * @return retries that may be sent now.
      */
-    public double available() {
+    public double availableRetries() {
         return (double) microTokens.get() / MICRO_TOKENS_PER_RETRY;
     }
 
@@ -84,7 +84,7 @@
     }
 
     /** Notes a first try, which earns a share of a retry. */
-    public void noteFirstTry() {
+    public void recordFirstAttempt() {
         lapse();
         triedMillis = clockMillis.getAsLong();
         microTokens.updateAndGet(held -> Math.min(mostMicroTokens(), held + earnedMicroTokens));
@@ -95,7 +95,7 @@
      *
      * @return whether the retry may be sent.
      */
-    public boolean tryRetry() {
+    public boolean tryAcquire() {
         lapse();
         long before =
                 microTokens.getAndUpdate(held -> held >= MICRO_TOKENS_PER_RETRY ? held - MICRO_TOKENS_PER_RETRY : held);
--- a/src/main/java/io/waxwingquay/admission/RetryRule.java
+++ b/src/main/java/io/waxwingquay/admission/RetryPolicy.java
@@ -8,7 +8,7 @@
 /**
  * Which failures may be tried again.
  */
-public enum RetryRule {
+public enum RetryPolicy {
     /** A repeated run does no harm, as with a generation: an unknown outcome may be tried again too. */
     IDEMPOTENT,
     /** Only what certainly did not run may be tried again. */
--- a/src/main/java/io/waxwingquay/admission/SharedRate.java
+++ b/src/main/java/io/waxwingquay/admission/SharedRateLimiter.java
@@ -8,7 +8,7 @@
  * there are many, a saved request lapses soon after it was earned, and senders begin at different points of their cycle:
  * at any time few of them hold one.
  */
-public final class SharedRate {
+public final class SharedRateLimiter {
 
     /** What all senders together may hold saved: this many requests, or what the rate gives in a second if that is more. */
     private static final double SAVED_REQUESTS = 5.0;
@@ -23,7 +23,7 @@
     private double earned;
     private long atMillis;
 
-    private SharedRate(double perSecond, int senders, double earned, long nowMillis) {
+    private SharedRateLimiter(double perSecond, int senders, double earned, long nowMillis) {
         this.earned = earned;
         this.atMillis = nowMillis;
         set(perSecond, senders);
@@ -38,8 +38,8 @@
      * @param nowMillis the steady time.
      * @return the part.
      */
-    public static SharedRate of(double perSecond, int senders, double phase, long nowMillis) {
-        return new SharedRate(perSecond, senders, phase, nowMillis);
+    public static SharedRateLimiter of(double perSecond, int senders, double phase, long nowMillis) {
+        return new SharedRateLimiter(perSecond, senders, phase, nowMillis);
     }
 
     /**
@@ -49,7 +49,7 @@
      * @param newSenders how many share it.
      * @param nowMillis the steady time.
      */
-    public void share(double newPerSecond, int newSenders, long nowMillis) {
+    public void reconfigure(double newPerSecond, int newSenders, long nowMillis) {
         earn(nowMillis);
         set(newPerSecond, newSenders);
     }
@@ -70,7 +70,7 @@
      *
      * @param nowMillis the steady time.
      */
-    public void sent(long nowMillis) {
+    public void recordSent(long nowMillis) {
         earn(nowMillis);
         earned = Math.max(0, earned - 1);
     }
--- a/src/main/java/io/waxwingquay/bench/LocalDeployment.java
+++ b/src/main/java/io/waxwingquay/bench/LocalDeployment.java
@@ -11,10 +11,10 @@
 import io.waxwingquay.bundle.TrustedKeys;
 import io.waxwingquay.common.HostPort;
 import io.waxwingquay.common.HttpCalls;
-import io.waxwingquay.placement.DemandMarks;
+import io.waxwingquay.placement.DemandThresholds;
+import io.waxwingquay.placement.PlacementInput;
+import io.waxwingquay.placement.PlacementStrategy;
 import io.waxwingquay.placement.Plan;
-import io.waxwingquay.placement.Strategy;
-import io.waxwingquay.placement.View;
 import io.waxwingquay.process.EntryProcess;
 import io.waxwingquay.process.SideProcess;
 import io.waxwingquay.settings.EntrySettings;
@@ -306,17 +306,17 @@
     }
 
     private void preload(Service service, Map<String, Long> sizeBytes) {
-        List<View.Holder> empty = IntStream.range(0, service.replicas())
-                .mapToObj(number -> new View.Holder(
+        List<PlacementInput.LiveSide> empty = IntStream.range(0, service.replicas())
+                .mapToObj(number -> new PlacementInput.LiveSide(
                         SettingsText.sideName(service.name(), number),
                         texts.dataCentre(number),
                         service.memoryBytes(),
                         Set.of(),
                         Map.of()))
                 .toList();
-        View view = new View(bundle, service.name(), empty, Map.of(), Map.of(), 0L);
-        Plan plan = Strategy.named("static", DemandMarks.IGNORED).plan(view);
-        empty.forEach(holder -> plan.of(holder.id())
+        PlacementInput view = new PlacementInput(bundle, service.name(), empty, Map.of(), Map.of(), 0L);
+        Plan plan = PlacementStrategy.named("static", DemandThresholds.DISABLED).plan(view);
+        empty.forEach(holder -> plan.shareOf(holder.id())
                 .wantedItems()
                 .forEach(item -> targets.engines().get(holder.id()).preload(item, sizeBytes.get(item))));
     }
--- a/src/main/java/io/waxwingquay/bench/PolicyPair.java
+++ b/src/main/java/io/waxwingquay/bench/PolicyPair.java
@@ -1,7 +1,7 @@
 package io.waxwingquay.bench;
 
-import io.waxwingquay.placement.DemandMarks;
-import io.waxwingquay.placement.Strategy;
+import io.waxwingquay.placement.DemandThresholds;
+import io.waxwingquay.placement.PlacementStrategy;
 import io.waxwingquay.process.SideProcess.Decisions;
 import io.waxwingquay.side.AdmissionRule;
 
@@ -18,7 +18,7 @@
             + "load-on-miss-lru, round-robin-blind or least-outstanding-blind";
 
     /** A third of the demand adds a replica already. */
-    private static final DemandMarks QUICK = new DemandMarks(1.0, 0.3, 60_000);
+    private static final DemandThresholds QUICK = new DemandThresholds(1.0, 0.3, 60_000);
 
     static PolicyPair named(String name) {
         return switch (name) {
@@ -31,7 +31,7 @@
             case "waxwingquay-6" -> new PolicyPair(
                     name,
                     "waxwingquay",
-                    new Decisions(Strategy.named("planned-2", QUICK), AdmissionRule.WITH_RUN_TIME));
+                    new Decisions(PlacementStrategy.named("planned-2", QUICK), AdmissionRule.WITH_RUN_TIME));
             case "waxwingquay-7" -> of(name, "waxwingquay", "planned-2", AdmissionRule.WITH_MARGIN);
             case "round-robin" -> baseline(name, "round-robin-resident", "static");
             case "least-outstanding" -> baseline(name, "least-outstanding-resident", "static");
@@ -52,6 +52,7 @@
     }
 
     private static PolicyPair of(String name, String routing, String placement, AdmissionRule admission) {
-        return new PolicyPair(name, routing, new Decisions(Strategy.named(placement, DemandMarks.DEFAULT), admission));
+        return new PolicyPair(
+                name, routing, new Decisions(PlacementStrategy.named(placement, DemandThresholds.DEFAULT), admission));
     }
 }
--- a/src/main/java/io/waxwingquay/bench/StartGate.java
+++ b/src/main/java/io/waxwingquay/bench/StartGate.java
@@ -1,8 +1,8 @@
 package io.waxwingquay.bench;
 
+import io.waxwingquay.placement.PlacementInput;
+import io.waxwingquay.placement.PlacementStrategy;
 import io.waxwingquay.placement.Plan;
-import io.waxwingquay.placement.Strategy;
-import io.waxwingquay.placement.View;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
@@ -21,16 +21,18 @@
         open.set(true);
     }
 
-    Strategy before(Strategy inner) {
+    PlacementStrategy before(PlacementStrategy inner) {
         return view -> open.get() ? inner.plan(view) : keep(view);
     }
 
-    private static Plan keep(View view) {
+    private static Plan keep(PlacementInput view) {
         return new Plan(
-                view.sides().stream().collect(Collectors.toMap(View.Holder::id, StartGate::held)), Map.of(), List.of());
+                view.sides().stream().collect(Collectors.toMap(PlacementInput.LiveSide::id, StartGate::held)),
+                Map.of(),
+                List.of());
     }
 
-    private static Plan.Share held(View.Holder holder) {
+    private static Plan.Share held(PlacementInput.LiveSide holder) {
         return new Plan.Share(List.copyOf(holder.residentItems()), Set.copyOf(holder.residentItems()));
     }
 }
--- a/src/main/java/io/waxwingquay/bench/capacity/Costs.java
+++ b/src/main/java/io/waxwingquay/bench/capacity/Costs.java
@@ -4,14 +4,14 @@
 import io.waxwingquay.common.HostPort;
 import io.waxwingquay.membership.MemberTable;
 import io.waxwingquay.membership.Side;
-import io.waxwingquay.placement.DemandMarks;
+import io.waxwingquay.placement.DemandThresholds;
+import io.waxwingquay.placement.PlacementInput;
+import io.waxwingquay.placement.PlacementStrategy;
 import io.waxwingquay.placement.Plan;
-import io.waxwingquay.placement.Strategy;
-import io.waxwingquay.placement.View;
-import io.waxwingquay.routing.LoadBoard;
-import io.waxwingquay.routing.Policy;
+import io.waxwingquay.routing.LoadTracker;
 import io.waxwingquay.routing.RouteQuery;
 import io.waxwingquay.routing.Router;
+import io.waxwingquay.routing.RoutingPolicy;
 import io.waxwingquay.routing.SideIndex;
 import io.waxwingquay.transport.Connections;
 import io.waxwingquay.transport.SideProtocol;
@@ -104,26 +104,26 @@
                 SIDE_STEPS,
                 sides -> {
                     MemberTable table = Sides.table((int) sides, ITEMS, MODELS);
-                    SideIndex.Latest index = new SideIndex.Latest();
-                    LoadBoard board = loadedBoard((int) sides);
-                    Router router = new Router(Policy.named("waxwingquay"));
+                    SideIndex.Cache index = new SideIndex.Cache();
+                    LoadTracker board = loadedBoard((int) sides);
+                    Router router = new Router(RoutingPolicy.named("waxwingquay"));
                     Random random = new Random(7);
                     return Meter.threadMicros(200, () -> decide(table, index, board, router, random));
                 });
     }
 
     private static void decide(
-            MemberTable table, SideIndex.Latest index, LoadBoard board, Router router, Random random) {
+            MemberTable table, SideIndex.Cache index, LoadTracker board, Router router, Random random) {
         List<String> items = List.of(Sides.itemName(random.nextInt(MODELS)));
         RouteQuery query = new RouteQuery(Sides.SERVICE, Sides.dataCentre(0), items, random.nextLong(), 1, Set.of());
-        List<Side> considered = router.policy().considered(query, index.of(table.sides()));
+        List<Side> considered = router.policy().relevantSides(query, index.of(table.sides()));
         router.candidates(query, board.views(considered, 1_000), random);
     }
 
-    private static LoadBoard loadedBoard(int sides) {
-        LoadBoard board = new LoadBoard();
+    private static LoadTracker loadedBoard(int sides) {
+        LoadTracker board = new LoadTracker();
         IntStream.range(0, sides)
-                .forEach(index -> board.noteReport(
+                .forEach(index -> board.recordReport(
                         Sides.name(index), new LoadReport(index % 9, index % 3, index % 700, 900.0, 1L << 34, 5), 900));
         return board;
     }
@@ -147,9 +147,9 @@
 
     private static double planMicros(Bundle bundle, int sides) {
         MemberTable table = Sides.table(sides, ITEMS, bundle.models().size());
-        Strategy strategy = Strategy.named("planned", DemandMarks.DEFAULT);
+        PlacementStrategy strategy = PlacementStrategy.named("planned", DemandThresholds.DEFAULT);
         return Meter.threadMicros(
-                2, () -> strategy.plan(View.of(bundle, Sides.SERVICE, table.sides(), Plan.EMPTY, 1_000)));
+                2, () -> strategy.plan(PlacementInput.of(bundle, Sides.SERVICE, table.sides(), Plan.EMPTY, 1_000)));
     }
 
     /** Both ends over loopback in this process, so it is the cost of the pair. */
--- a/src/main/java/io/waxwingquay/claim/BatchQueue.java
+++ b/src/main/java/io/waxwingquay/claim/BatchQueue.java
@@ -46,7 +46,7 @@
      *
      * @return the next batch, which the calling thread must now send; empty if the queue is idle.
      */
-    public synchronized List<T> finished() {
+    public synchronized List<T> completeBatch() {
         inFlight = false;
         return take();
     }
--- a/src/main/java/io/waxwingquay/claim/ClaimRecord.java
+++ b/src/main/java/io/waxwingquay/claim/ClaimRecord.java
@@ -167,7 +167,7 @@
      * @return the record.
      * @throws ClaimException if the value is no claim.
      */
-    public static ClaimRecord ofJson(String json) {
+    public static ClaimRecord fromJson(String json) {
         try {
             return Json.MAPPER.readValue(json, ClaimRecord.class);
         } catch (JsonProcessingException failure) {
--- a/src/main/java/io/waxwingquay/claim/ClaimStore.java
+++ b/src/main/java/io/waxwingquay/claim/ClaimStore.java
@@ -40,7 +40,7 @@
      * @param record the claim.
      * @return whose claim the row holds now.
      */
-    public CompletableFuture<Claimed> claim(String rowKey, ClaimRecord record) {
+    public CompletableFuture<StoredClaim> claim(String rowKey, ClaimRecord record) {
         return write(rowKey, TableService.ABSENT, record);
     }
 
@@ -52,7 +52,7 @@
      * @param record the new claim.
      * @return whose claim the row holds now.
      */
-    public CompletableFuture<Claimed> replace(String rowKey, long version, ClaimRecord record) {
+    public CompletableFuture<StoredClaim> replace(String rowKey, long version, ClaimRecord record) {
         return write(rowKey, version, record);
     }
 
@@ -62,12 +62,12 @@
      * @param rowKey the row.
      * @return the claim, or empty if there is none.
      */
-    public CompletableFuture<Optional<Claimed>> find(String rowKey) {
+    public CompletableFuture<Optional<StoredClaim>> find(String rowKey) {
         return committer.read(rowKey).handle((row, failure) -> {
             if (failure != null) {
                 throw new ClaimException("claim '" + rowKey + "' could not be read", failure);
             }
-            return row.map(held -> new Claimed(false, ClaimRecord.ofJson(held.value()), held.version()));
+            return row.map(held -> new StoredClaim(false, ClaimRecord.fromJson(held.value()), held.version()));
         });
     }
 
@@ -78,9 +78,9 @@
      * @param record the claim in the row.
      * @param version the row's version.
      */
-    public record Claimed(boolean ours, ClaimRecord record, long version) {}
+    public record StoredClaim(boolean ours, ClaimRecord record, long version) {}
 
-    private CompletableFuture<Claimed> write(String rowKey, long version, ClaimRecord record) {
+    private CompletableFuture<StoredClaim> write(String rowKey, long version, ClaimRecord record) {
         return committer
                 .commit(new TableService.Write(rowKey, version, record.toJson()))
                 .handle((found, failure) -> {
@@ -88,13 +88,13 @@
                         throw new ClaimException("claim '" + rowKey + "' could not be written", failure);
                     }
                     return found.map(other -> foreign(rowKey, other))
-                            .orElseGet(() -> new Claimed(true, record, version + 1));
+                            .orElseGet(() -> new StoredClaim(true, record, version + 1));
                 });
     }
 
-    private static Claimed foreign(String rowKey, GroupCommitter.Found found) {
+    private static StoredClaim foreign(String rowKey, GroupCommitter.Conflict found) {
         Optional<TableService.Row> row = found.row();
-        return row.map(held -> new Claimed(false, ClaimRecord.ofJson(held.value()), held.version()))
+        return row.map(held -> new StoredClaim(false, ClaimRecord.fromJson(held.value()), held.version()))
                 .orElseThrow(() -> new ClaimException("claim '" + rowKey + "' has vanished from the table", null));
     }
 }
--- a/src/main/java/io/waxwingquay/claim/GroupCommitter.java
+++ b/src/main/java/io/waxwingquay/claim/GroupCommitter.java
@@ -43,7 +43,7 @@
      * @return empty if it took effect, else the row found instead; fails with {@link PlatformException}, and
      *     the write may then still take effect later.
      */
-    public CompletableFuture<Optional<Found>> commit(TableService.Write write) {
+    public CompletableFuture<Optional<Conflict>> commit(TableService.Write write) {
         Pending pending = new Pending(write, new CompletableFuture<>());
         send(queue.add(pending));
         return pending.result();
@@ -64,11 +64,11 @@
      *
      * @param row the row, or empty if there is none.
      */
-    public record Found(Optional<TableService.Row> row) {}
+    public record Conflict(Optional<TableService.Row> row) {}
 
     private void send(List<Pending> batch) {
         if (!batch.isEmpty()) {
-            settle(batch, 1).whenCompleteAsync((done, failure) -> send(queue.finished()), executor);
+            settle(batch, 1).whenCompleteAsync((done, failure) -> send(queue.completeBatch()), executor);
         }
     }
 
@@ -168,7 +168,7 @@
         return failure instanceof CompletionException && failure.getCause() != null ? failure.getCause() : failure;
     }
 
-    private record Pending(TableService.Write write, CompletableFuture<Optional<Found>> result) {
+    private record Pending(TableService.Write write, CompletableFuture<Optional<Conflict>> result) {
 
         private void took() {
             result.complete(Optional.empty());
@@ -177,7 +177,7 @@
         private void found(Optional<TableService.Row> row) {
             boolean ours =
                     row.filter(found -> found.value().equals(write.value())).isPresent();
-            result.complete(ours ? Optional.empty() : Optional.of(new Found(row)));
+            result.complete(ours ? Optional.empty() : Optional.of(new Conflict(row)));
         }
 
         private boolean isUnchanged(TableService.Row row) {
--- a/src/main/java/io/waxwingquay/entry/AttemptRunner.java
+++ b/src/main/java/io/waxwingquay/entry/AttemptRunner.java
@@ -62,16 +62,16 @@
                 System.Logger.Level.DEBUG,
                 () -> "entry: request " + submission.getRequestId() + " goes to side " + side.id() + " as attempt "
                         + submission.getAttemptId() + ".");
-        parts.board().noteSent(side.id());
-        end.whenComplete((ended, failure) -> parts.board().noteOver(side.id()));
+        parts.board().recordSent(side.id());
+        end.whenComplete((ended, failure) -> parts.board().recordCompletion(side.id()));
         guarded(this::submit);
         return end;
     }
 
     /** Gathers the answer of an attempt that another process handed over; never hands it over itself. */
     CompletableFuture<AttemptEnd> attach() {
-        parts.board().noteSent(side.id());
-        end.whenComplete((ended, failure) -> parts.board().noteOver(side.id()));
+        parts.board().recordSent(side.id());
+        end.whenComplete((ended, failure) -> parts.board().recordCompletion(side.id()));
         maySubmit = false;
         mayBeDelivered = true;
         accepted = true;
@@ -95,7 +95,7 @@
             return;
         }
         parts.membership().noteReached(side.id(), answer.getSideEpoch(), true);
-        parts.board().noteReport(side.id(), answer.getLoad(), parts.clock().monotonicMillis());
+        parts.board().recordReport(side.id(), answer.getLoad(), parts.clock().monotonicMillis());
         if (!answer.isAccepted()) {
             onRefused(answer);
             return;
@@ -152,7 +152,7 @@
         }
         lossesInARow = 0;
         advance(RequestPhase.Event.PROGRESS);
-        parts.board().noteReport(side.id(), answer.getLoad(), parts.clock().monotonicMillis());
+        parts.board().recordReport(side.id(), answer.getLoad(), parts.clock().monotonicMillis());
         if (answer.getState() == AttemptState.ABSENT) {
             onReplacedSide();
             return;
@@ -189,7 +189,7 @@
                     AttemptEnd.Kind.INCOMPLETE, Execution.RAN, "answer of side '" + side.id() + "' has no valid end"));
         } else if (assembler.nextOffset() == answer.getTotalUnits()) {
             long tookMillis = parts.clock().monotonicMillis() - startedAtMillis;
-            parts.board().noteLatency(side.id(), tookMillis);
+            parts.board().recordLatency(side.id(), tookMillis);
             String contentType = answer.isSetContentType() ? answer.getContentType() : "";
             finish(AttemptEnd.done(answer.getTotalUnits(), answer.getStatusCode(), contentType));
         } else if (!progress && ++emptyPollsAfterDone > MAXIMUM_EMPTY_POLLS_AFTER_DONE) {
--- a/src/main/java/io/waxwingquay/entry/ClaimedCall.java
+++ b/src/main/java/io/waxwingquay/entry/ClaimedCall.java
@@ -1,9 +1,9 @@
 package io.waxwingquay.entry;
 
-import io.waxwingquay.admission.RetryRule;
+import io.waxwingquay.admission.RetryPolicy;
 import io.waxwingquay.claim.ClaimRecord;
 import io.waxwingquay.claim.ClaimStore;
-import io.waxwingquay.claim.ClaimStore.Claimed;
+import io.waxwingquay.claim.ClaimStore.StoredClaim;
 import io.waxwingquay.membership.Side;
 import io.waxwingquay.routing.RouteQuery;
 import io.waxwingquay.routing.SideView;
@@ -56,7 +56,7 @@
 
     /** Starts; the future fails with {@link CallFailure}. */
     CompletableFuture<ServiceAnswer> run() {
-        parts.retryBudget().noteFirstTry();
+        parts.retryBudget().recordFirstAttempt();
         return claim();
     }
 
@@ -65,7 +65,7 @@
     }
 
     /** Claims anew after the attempt of the claim before was refused or withdrawn for good. */
-    private CompletableFuture<ServiceAnswer> replace(Claimed before) {
+    private CompletableFuture<ServiceAnswer> replace(StoredClaim before) {
         ClaimRecord notRun = before.record().notRun();
         return withSide(
                 side -> write(side, record -> store.replace(rowKey, before.version(), notRun.reclaimedBy(record))),
@@ -96,7 +96,7 @@
     }
 
     private CompletableFuture<ServiceAnswer> write(
-            Side side, Function<ClaimRecord, CompletableFuture<Claimed>> writing) {
+            Side side, Function<ClaimRecord, CompletableFuture<StoredClaim>> writing) {
         ClaimRecord record = ClaimRecord.of(
                 UUID.randomUUID().toString(),
                 side.id(),
@@ -111,7 +111,7 @@
                 .thenCompose(next -> next);
     }
 
-    private CompletableFuture<ServiceAnswer> onClaimed(Side side, Claimed claimed) {
+    private CompletableFuture<ServiceAnswer> onClaimed(Side side, StoredClaim claimed) {
         if (!claimed.ours()) {
             return onExisting(claimed);
         }
@@ -119,7 +119,7 @@
         return dispatch(side, claimed);
     }
 
-    private CompletableFuture<ServiceAnswer> dispatch(Side side, Claimed claimed) {
+    private CompletableFuture<ServiceAnswer> dispatch(Side side, StoredClaim claimed) {
         doors++;
         Submission submission = submission(claimed.record());
         AnswerSink.Whole sink = new AnswerSink.Whole(() -> false);
@@ -135,9 +135,9 @@
                 .setSideEpoch(record.sideEpoch());
     }
 
-    private CompletableFuture<ServiceAnswer> onEnd(Side side, Claimed claimed, AttemptEnd end, byte[] body) {
+    private CompletableFuture<ServiceAnswer> onEnd(Side side, StoredClaim claimed, AttemptEnd end, byte[] body) {
         if (end.kind() == AttemptEnd.Kind.DONE) {
-            parts.comeBack().noteFinished(parts.clock().monotonicMillis());
+            parts.comeBack().recordCompletion(parts.clock().monotonicMillis());
             return settle(claimed, ServiceAnswer.of(end, body, false));
         }
         if (end.reason().filter(reason -> reason == RefusalReason.WITHDRAWN).isPresent()) {
@@ -152,7 +152,7 @@
         return end.certain() ? afterRefusal(side, claimed, end) : withdrawThenRefuse(side, claimed, end);
     }
 
-    private CompletableFuture<ServiceAnswer> settle(Claimed claimed, ServiceAnswer answer) {
+    private CompletableFuture<ServiceAnswer> settle(StoredClaim claimed, ServiceAnswer answer) {
         ClaimRecord.Outcome outcome = ClaimRecord.Outcome.bounded(
                 answer.status(),
                 answer.contentType(),
@@ -163,7 +163,7 @@
     }
 
     /** A submission whose answer was lost may still be under way; only a withdrawal rules out that it starts. */
-    private CompletableFuture<ServiceAnswer> withdrawThenRefuse(Side side, Claimed claimed, AttemptEnd end) {
+    private CompletableFuture<ServiceAnswer> withdrawThenRefuse(Side side, StoredClaim claimed, AttemptEnd end) {
         return resolve(side, claimed.record(), true)
                 .handleAsync(
                         (answer, failure) -> failure == null && answer.getExecution() == Execution.DID_NOT_RUN
@@ -174,12 +174,12 @@
                 .thenCompose(next -> next);
     }
 
-    private CompletableFuture<ServiceAnswer> afterRefusal(Side side, Claimed claimed, AttemptEnd end) {
+    private CompletableFuture<ServiceAnswer> afterRefusal(Side side, StoredClaim claimed, AttemptEnd end) {
         RefusalReason reason = end.reason().orElse(RefusalReason.TARGET_DOWN);
         long remainingMillis = parts.remainingMillis(request.context().deadlineAtMillis());
         boolean again = doors < MAXIMUM_DOORS
-                && RetryRule.AT_MOST_ONCE.allows(end.execution(), reason, remainingMillis, MINIMUM_TRY_MILLIS)
-                && (RetryRule.isCheap(reason) || parts.retryBudget().tryRetry());
+                && RetryPolicy.AT_MOST_ONCE.allows(end.execution(), reason, remainingMillis, MINIMUM_TRY_MILLIS)
+                && (RetryPolicy.isCheap(reason) || parts.retryBudget().tryAcquire());
         query = query.excluding(side.id());
         if (again && !parts.candidates(query).isEmpty()) {
             parts.metrics().retried(reason.name());
@@ -191,7 +191,7 @@
     }
 
     /** From here on another call with this key may run it, until a new claim of ours is in the row. */
-    private CompletableFuture<ServiceAnswer> onExisting(Claimed existing) {
+    private CompletableFuture<ServiceAnswer> onExisting(StoredClaim existing) {
         known = Execution.UNKNOWN;
         ClaimRecord record = existing.record();
         if (record.requestFingerprint() != request.fingerprint()) {
@@ -220,7 +220,7 @@
                 new ServiceAnswer(outcome.status(), outcome.contentType(), outcome.body(), true));
     }
 
-    private CompletableFuture<ServiceAnswer> onPending(Claimed existing) {
+    private CompletableFuture<ServiceAnswer> onPending(StoredClaim existing) {
         ClaimRecord record = existing.record();
         Optional<Side> holder =
                 parts.membership().side(record.sideId()).filter(side -> side.epoch() == record.sideEpoch());
@@ -237,7 +237,7 @@
                 .thenCompose(next -> next);
     }
 
-    private CompletableFuture<ServiceAnswer> onResolved(Side side, Claimed existing, ResolveAnswer answer) {
+    private CompletableFuture<ServiceAnswer> onResolved(Side side, StoredClaim existing, ResolveAnswer answer) {
         AttemptState state = answer.getState();
         if (state == AttemptState.DONE) {
             return attach(side, existing);
@@ -262,7 +262,7 @@
      * The withdrawal then keeps it out for good. Failure without it: the first try is refused, the row still says
      * claimed, and the resend is told that the outcome is unknown for ever although the call never ran.
      */
-    private CompletableFuture<ServiceAnswer> takeOver(Side side, Claimed existing) {
+    private CompletableFuture<ServiceAnswer> takeOver(Side side, StoredClaim existing) {
         return resolve(side, existing.record(), true)
                 .handleAsync(
                         (answer, failure) -> failure == null && answer.getExecution() == Execution.DID_NOT_RUN
@@ -282,7 +282,7 @@
         return outcomeUnknown("side '" + side.id() + "' cannot tell whether the call ran");
     }
 
-    private CompletableFuture<ServiceAnswer> attach(Side side, Claimed existing) {
+    private CompletableFuture<ServiceAnswer> attach(Side side, StoredClaim existing) {
         AnswerSink.Whole sink = new AnswerSink.Whole(() -> false);
         Submission submission = submission(existing.record());
         return new AttemptRunner(parts, side, submission, request.context().deadlineAtMillis(), sink)
--- a/src/main/java/io/waxwingquay/entry/EntryNode.java
+++ b/src/main/java/io/waxwingquay/entry/EntryNode.java
@@ -2,7 +2,7 @@
 
 import io.micrometer.core.instrument.MeterRegistry;
 import io.waxwingquay.admission.Backoff;
-import io.waxwingquay.admission.ComeBack;
+import io.waxwingquay.admission.RetryAfterEstimator;
 import io.waxwingquay.admission.RetryBudget;
 import io.waxwingquay.bundle.BundleSource;
 import io.waxwingquay.claim.ClaimStore;
@@ -12,12 +12,12 @@
 import io.waxwingquay.common.HostPort;
 import io.waxwingquay.membership.Membership;
 import io.waxwingquay.membership.Side;
-import io.waxwingquay.routing.LoadBoard;
-import io.waxwingquay.routing.Policy;
+import io.waxwingquay.routing.LoadTracker;
 import io.waxwingquay.routing.Router;
+import io.waxwingquay.routing.RoutingPolicy;
 import io.waxwingquay.routing.SideIndex;
 import io.waxwingquay.store.TableService;
-import io.waxwingquay.suspect.SuspectBook;
+import io.waxwingquay.suspect.SuspectRegistry;
 import io.waxwingquay.transport.Connections;
 import java.util.Objects;
 import java.util.Optional;
@@ -53,7 +53,7 @@
 
     private final ScheduledThreadPoolExecutor executor;
     private final DrainGate gate = new DrainGate();
-    private final LoadBoard board = new LoadBoard();
+    private final LoadTracker board = new LoadTracker();
     private final AtomicBoolean closed = new AtomicBoolean();
     private final EntryParts parts;
     private final OutcomeWriter outcomes;
@@ -119,7 +119,7 @@
      *
      * @return the board.
      */
-    public LoadBoard loadBoard() {
+    public LoadTracker loadBoard() {
         return board;
     }
 
@@ -138,7 +138,7 @@
      * @return retries that may be sent now.
      */
     public double retriesLeft() {
-        return parts.retryBudget().available();
+        return parts.retryBudget().availableRetries();
     }
 
     /**
@@ -189,11 +189,12 @@
                 builder.membership,
                 builder.connections,
                 board,
-                new SideIndex.Latest(),
-                new Router(Policy.named(settings.policy())),
+                new SideIndex.Cache(),
+                new Router(RoutingPolicy.named(settings.policy())),
                 RetryBudget.of(settings.retryShare(), RETRY_BURST),
                 new Backoff(FIRST_BACKOFF_MILLIS, MAXIMUM_BACKOFF_MILLIS),
-                new ComeBack(MINIMUM_COME_BACK_MILLIS, MAXIMUM_COME_BACK_MILLIS, builder.clock.monotonicMillis()),
+                new RetryAfterEstimator(
+                        MINIMUM_COME_BACK_MILLIS, MAXIMUM_COME_BACK_MILLIS, builder.clock.monotonicMillis()),
                 builder.clock,
                 builder.random,
                 executor,
@@ -240,7 +241,7 @@
         private Clock clock = Clock.SYSTEM;
         private RandomGenerator random = new Random();
 
-        private Optional<SuspectBook> suspects = Optional.empty();
+        private Optional<SuspectRegistry> suspects = Optional.empty();
 
         private Builder() {}
 
@@ -338,7 +339,7 @@
          * @param value the book.
          * @return this builder.
          */
-        public Builder suspects(SuspectBook value) {
+        public Builder suspects(SuspectRegistry value) {
             this.suspects = Optional.of(value);
             return this;
         }
--- a/src/main/java/io/waxwingquay/entry/EntryParts.java
+++ b/src/main/java/io/waxwingquay/entry/EntryParts.java
@@ -1,17 +1,17 @@
 package io.waxwingquay.entry;
 
 import io.waxwingquay.admission.Backoff;
-import io.waxwingquay.admission.ComeBack;
+import io.waxwingquay.admission.RetryAfterEstimator;
 import io.waxwingquay.admission.RetryBudget;
 import io.waxwingquay.common.Clock;
 import io.waxwingquay.membership.Membership;
 import io.waxwingquay.membership.Side;
-import io.waxwingquay.routing.LoadBoard;
+import io.waxwingquay.routing.LoadTracker;
 import io.waxwingquay.routing.RouteQuery;
 import io.waxwingquay.routing.Router;
 import io.waxwingquay.routing.SideIndex;
 import io.waxwingquay.routing.SideView;
-import io.waxwingquay.suspect.SuspectBook;
+import io.waxwingquay.suspect.SuspectRegistry;
 import io.waxwingquay.transport.Connections;
 import java.util.List;
 import java.util.Optional;
@@ -40,20 +40,20 @@
         EntryLimits settings,
         Membership membership,
         Connections connections,
-        LoadBoard board,
-        SideIndex.Latest index,
+        LoadTracker board,
+        SideIndex.Cache index,
         Router router,
         RetryBudget retryBudget,
         Backoff backoff,
-        ComeBack comeBack,
+        RetryAfterEstimator comeBack,
         Clock clock,
         RandomGenerator random,
         ScheduledExecutorService executor,
         EntryMetrics metrics,
-        Optional<SuspectBook> suspects) {
+        Optional<SuspectRegistry> suspects) {
 
     List<SideView> candidates(RouteQuery query) {
-        List<Side> considered = router.policy().considered(query, index.of(membership.sides()));
+        List<Side> considered = router.policy().relevantSides(query, index.of(membership.sides()));
         List<SideView> views = board.views(considered, clock.monotonicMillis());
         return router.candidates(query, views, random);
     }
@@ -71,14 +71,15 @@
         boolean timeMends = failure.code().httpStatus() == FailureCode.OVERLOADED.httpStatus();
         return failure.retryAfterMillis() > 0 || !timeMends
                 ? failure
-                : failure.withRetryAfterMillis(comeBack.afterMillis(waiting, clock.monotonicMillis(), random));
+                : failure.withRetryAfterMillis(comeBack.delayMillis(waiting, clock.monotonicMillis(), random));
     }
 
     /**
      * Refuses a request that two crashes name before it costs a hop; the side processes refuse it as well.
      */
     void refuseQuarantined(long fingerprint) {
-        boolean quarantined = suspects.filter(book -> book.standing(fingerprint) == SuspectBook.Standing.QUARANTINED)
+        boolean quarantined = suspects.filter(
+                        book -> book.standing(fingerprint) == SuspectRegistry.Standing.QUARANTINED)
                 .isPresent();
         if (quarantined) {
             throw CallFailure.refused(
--- a/src/main/java/io/waxwingquay/entry/OutcomeWriter.java
+++ b/src/main/java/io/waxwingquay/entry/OutcomeWriter.java
@@ -82,7 +82,7 @@
                         parts.executor());
     }
 
-    private static boolean isStillOpen(ClaimStore.Claimed claimed, ClaimRecord record) {
+    private static boolean isStillOpen(ClaimStore.StoredClaim claimed, ClaimRecord record) {
         return !claimed.ours()
                 && claimed.record().attemptId().equals(record.attemptId())
                 && claimed.record().state() == ClaimRecord.State.CLAIMED;
--- a/src/main/java/io/waxwingquay/entry/RetryingFlow.java
+++ b/src/main/java/io/waxwingquay/entry/RetryingFlow.java
@@ -1,6 +1,6 @@
 package io.waxwingquay.entry;
 
-import io.waxwingquay.admission.RetryRule;
+import io.waxwingquay.admission.RetryPolicy;
 import io.waxwingquay.membership.Side;
 import io.waxwingquay.routing.RouteQuery;
 import io.waxwingquay.routing.SideView;
@@ -45,7 +45,7 @@
 
     /** Starts; the future fails with {@link CallFailure}. */
     CompletableFuture<AttemptEnd> run() {
-        parts.retryBudget().noteFirstTry();
+        parts.retryBudget().recordFirstAttempt();
         attempt();
         return answer;
     }
@@ -73,7 +73,7 @@
                 worst = Execution.UNKNOWN;
                 fail(CallFailure.from(failure));
             } else if (end.kind() == AttemptEnd.Kind.DONE) {
-                parts.comeBack().noteFinished(parts.clock().monotonicMillis());
+                parts.comeBack().recordCompletion(parts.clock().monotonicMillis());
                 answer.complete(end);
             } else {
                 onFailed(side, end);
@@ -95,7 +95,7 @@
                 .retried(end.reason().map(RefusalReason::name).orElse(end.kind().name()));
         query = query.excluding(side.id());
         sink.restart();
-        if (end.reason().filter(RetryRule::isCheap).isPresent()) {
+        if (end.reason().filter(RetryPolicy::isCheap).isPresent()) {
             attempt();
         } else {
             long delayMillis = parts.backoff().delayMillis(doors - 1, parts.random());
@@ -112,13 +112,13 @@
         }
         RefusalReason reason = end.reason().orElse(RefusalReason.TARGET_DOWN);
         long remainingMillis = parts.remainingMillis(context.deadlineAtMillis());
-        if (!RetryRule.IDEMPOTENT.allows(end.execution(), reason, remainingMillis, MINIMUM_TRY_MILLIS)) {
+        if (!RetryPolicy.IDEMPOTENT.allows(end.execution(), reason, remainingMillis, MINIMUM_TRY_MILLIS)) {
             return false;
         }
         if (end.execution() != Execution.DID_NOT_RUN && reruns++ >= MAXIMUM_RERUNS) {
             return false;
         }
-        return RetryRule.isCheap(reason) || parts.retryBudget().tryRetry();
+        return RetryPolicy.isCheap(reason) || parts.retryBudget().tryAcquire();
     }
 
     private void fail(CallFailure failure) {
--- a/src/main/java/io/waxwingquay/forward/Exchange.java
+++ b/src/main/java/io/waxwingquay/forward/Exchange.java
@@ -173,7 +173,9 @@
      * failure though its answer was under way, so a silent replica is given up only for another one.
      */
     private boolean canGoElsewhere(long nowMillis) {
-        return mayTryAgain() && budget().available() >= 1 && terms.choose(tried, nowMillis) instanceof Choice.Send;
+        return mayTryAgain()
+                && budget().availableRetries() >= 1
+                && terms.choose(tried, nowMillis) instanceof Choice.Send;
     }
 
     private RetryBudget budget() {
@@ -275,7 +277,7 @@
         }
         move(ExchangeState.Event.SEND);
         if (attempts == 0) {
-            budget().noteFirstTry();
+            budget().recordFirstAttempt();
         }
         attempts++;
         tried.add(target);
@@ -395,7 +397,7 @@
         if (!mayTryAgain()) {
             return false;
         }
-        if (!budget().tryRetry()) {
+        if (!budget().tryAcquire()) {
             lastFailure = lastFailure + ", no retry left in the budget";
             return false;
         }
--- a/src/main/java/io/waxwingquay/forward/Forwarder.java
+++ b/src/main/java/io/waxwingquay/forward/Forwarder.java
@@ -304,7 +304,7 @@
     public RetryBudget budget(String service) {
         return budgets.computeIfAbsent(
                 service,
-                key -> RetryBudget.sharedBy(
+                key -> RetryBudget.shared(
                         settings.retryShare() * BUDGET_SHARE, burst(), random.nextDouble(), EventLoop::nowMillis));
     }
 
--- a/src/main/java/io/waxwingquay/forward/NamedLimit.java
+++ b/src/main/java/io/waxwingquay/forward/NamedLimit.java
@@ -1,6 +1,6 @@
 package io.waxwingquay.forward;
 
-import io.waxwingquay.admission.SharedRate;
+import io.waxwingquay.admission.SharedRateLimiter;
 import java.util.Optional;
 import java.util.OptionalDouble;
 import java.util.function.DoubleSupplier;
@@ -14,7 +14,7 @@
     private static final System.Logger LOG = System.getLogger("waxwingquay.forward");
 
     private OptionalDouble perSecond = OptionalDouble.empty();
-    private Optional<SharedRate> part = Optional.empty();
+    private Optional<SharedRateLimiter> part = Optional.empty();
 
     /**
      * Takes in what an answer names.
@@ -29,9 +29,9 @@
         if (named.isEmpty()) {
             part = Optional.empty();
         } else if (part.isPresent()) {
-            part.get().share(named.getAsDouble(), entries, nowMillis);
+            part.get().reconfigure(named.getAsDouble(), entries, nowMillis);
         } else {
-            part = Optional.of(SharedRate.of(named.getAsDouble(), entries, phase.getAsDouble(), nowMillis));
+            part = Optional.of(SharedRateLimiter.of(named.getAsDouble(), entries, phase.getAsDouble(), nowMillis));
         }
         if (!named.equals(perSecond)) {
             perSecond = named;
@@ -50,6 +50,6 @@
     }
 
     void sent(long nowMillis) {
-        part.ifPresent(rate -> rate.sent(nowMillis));
+        part.ifPresent(rate -> rate.recordSent(nowMillis));
     }
 }
--- a/src/main/java/io/waxwingquay/forward/Suspects.java
+++ b/src/main/java/io/waxwingquay/forward/Suspects.java
@@ -79,7 +79,7 @@
 
     void crashed(Target target, long fingerprint) {
         String life = target.id() + "/" + target.record().bornMillis();
-        shared.crashed(life, fingerprint);
+        shared.recordCrash(life, fingerprint);
         LOG.log(
                 System.Logger.Level.INFO,
                 "forward: broke before an answer replica={0} suspect={1}",
@@ -108,7 +108,7 @@
                 .filter(each -> each.target == target)
                 .filter(each -> sentMillis < each.atMillis && each.atMillis < provenMillis)
                 .toList();
-        disproved.forEach(each -> shared.survived(each.life, each.fingerprint));
+        disproved.forEach(each -> shared.retractCrash(each.life, each.fingerprint));
         breaks.removeAll(disproved);
     }
 
--- a/src/main/java/io/waxwingquay/forward/Suspicion.java
+++ b/src/main/java/io/waxwingquay/forward/Suspicion.java
@@ -1,6 +1,6 @@
 package io.waxwingquay.forward;
 
-import io.waxwingquay.suspect.SuspectBook.Standing;
+import io.waxwingquay.suspect.SuspectRegistry.Standing;
 import java.util.HashSet;
 import java.util.OptionalLong;
 import java.util.Set;
@@ -99,7 +99,7 @@
         innocent = true;
         ended();
         if (!suspects.shared().isEmpty()) {
-            suspects.shared().answered(fingerprint());
+            suspects.shared().recordSuccess(fingerprint());
         }
     }
 
--- a/src/main/java/io/waxwingquay/hosted/HostedEntry.java
+++ b/src/main/java/io/waxwingquay/hosted/HostedEntry.java
@@ -118,7 +118,7 @@
                 replicaWatch::adopt);
         admin.copies(platform::copy);
         admin.dump(() -> "active=" + forwarder.activeCount() + " engines_heard=" + forwarder.heardCount() + " suspects="
-                + suspects.count() + " missing=" + replicas.missing() + " replicas=" + replicas.replicas());
+                + suspects.countSuspected() + " missing=" + replicas.missing() + " replicas=" + replicas.replicas());
         loop.execute(this::begin);
     }
 
@@ -184,7 +184,7 @@
     private void received(HostPort sender, PeerDatagram datagram) {
         if (datagram.isSetEngine()) {
             forwarder.engineNews(datagram.getEngine());
-            suspects.take(datagram.getEngine().getSuspects());
+            suspects.merge(datagram.getEngine().getSuspects());
             tablesTold(datagram.getEngine());
         } else if (datagram.isSetAdapterReply()) {
             forwarder.adapterReply(
@@ -203,7 +203,7 @@
 
     private void tell() {
         TableVersions tables = new TableVersions(configurationVersion(), replicaWatch.changedVersion());
-        List<SuspectNews> page = suspects.page();
+        List<SuspectNews> page = suspects.nextUpdate();
         forwarder
                 .news(settings.node())
                 .forEach((engine, news) -> peers.send(
--- a/src/main/java/io/waxwingquay/ledger/MemoryLedger.java
+++ b/src/main/java/io/waxwingquay/ledger/MemoryLedger.java
@@ -90,7 +90,7 @@
      * @param orderId the order that will evict it.
      * @return whether it was marked; false if it is not resident or a request uses it.
      */
-    public synchronized boolean evict(String item, String orderId) {
+    public synchronized boolean beginEviction(String item, String orderId) {
         return !pins.containsKey(item) && move(item, Event.EVICT, sizeBytes(item), orderId);
     }
 
@@ -120,7 +120,7 @@
     /**
      * Notes that the answer to an order was lost, so that a copy of it may land late.
      */
-    public synchronized void noteLost() {
+    public synchronized void recordLostAnswer() {
         lastLostMillis = clock.monotonicMillis();
     }
 
--- a/src/main/java/io/waxwingquay/membership/Gossip.java
+++ b/src/main/java/io/waxwingquay/membership/Gossip.java
@@ -2,7 +2,7 @@
 
 import io.micrometer.core.instrument.MeterRegistry;
 import io.waxwingquay.common.Clock;
-import io.waxwingquay.suspect.SuspectBook;
+import io.waxwingquay.suspect.SuspectRegistry;
 import io.waxwingquay.transport.Connections;
 import io.waxwingquay.transport.generated.GossipAnswer;
 import io.waxwingquay.transport.generated.GossipRequest;
@@ -305,7 +305,7 @@
         private final MemberTable table;
         private final Peers peers;
         private final Connections connections;
-        private SuspectBook suspects;
+        private SuspectRegistry suspects;
         private MeterRegistry registry;
         private LongSupplier bundleVersion = () -> 0;
         private BundleNews news = (version, from) -> {};
@@ -326,7 +326,7 @@
          * @param newSuspects the suspects of this process.
          * @return this builder.
          */
-        public Builder carrying(SuspectBook newSuspects) {
+        public Builder carrying(SuspectRegistry newSuspects) {
             this.suspects = newSuspects;
             return this;
         }
--- a/src/main/java/io/waxwingquay/membership/GossipParts.java
+++ b/src/main/java/io/waxwingquay/membership/GossipParts.java
@@ -1,7 +1,7 @@
 package io.waxwingquay.membership;
 
 import io.waxwingquay.common.HostPort;
-import io.waxwingquay.suspect.SuspectBook;
+import io.waxwingquay.suspect.SuspectRegistry;
 import io.waxwingquay.transport.generated.SideRecord;
 import io.waxwingquay.transport.generated.SuspectRecord;
 import java.util.ArrayList;
@@ -26,7 +26,7 @@
 record GossipParts(
         MemberTable table,
         Peers peers,
-        SuspectBook suspects,
+        SuspectRegistry suspects,
         LongSupplier bundleVersion,
         BundleNews news,
         RandomGenerator random,
--- a/src/main/java/io/waxwingquay/permit/LentPermits.java
+++ b/src/main/java/io/waxwingquay/permit/LeasedPermits.java
@@ -31,12 +31,12 @@
  * {@link #renew()} extends the leases of permits still open. An answer that is lost leaves the permit out at its home
  * until the lease ends, or until the return that is sent at once arrives: the limit may be used less, never more.
  */
-public final class LentPermits implements Permits {
+public final class LeasedPermits implements Permits {
 
     private final Builder wiring;
     private final Map<String, Held> held = new ConcurrentHashMap<>();
 
-    private LentPermits(Builder wiring) {
+    private LeasedPermits(Builder wiring) {
         this.wiring = wiring;
     }
 
@@ -47,7 +47,7 @@
      * @param home this replica's own home.
      * @return a builder.
      */
-    public static Builder forHolder(String holderId, PermitHome home) {
+    public static Builder forHolder(String holderId, PermitLender home) {
         return new Builder(holderId, home);
     }
 
@@ -71,7 +71,7 @@
      * @param limit the limit.
      * @return permits open whose lease has not ended.
      */
-    public int inUse(Limit limit) {
+    public int countInUse(Limit limit) {
         long nowMillis = wiring.clock.monotonicMillis();
         return (int) held.values().stream()
                 .filter(permit -> permit.limit == limit)
@@ -105,7 +105,7 @@
     private Lender ownLender() {
         return new Lender(
                 request -> CompletableFuture.completedFuture(wiring.home.borrow(request)),
-                request -> CompletableFuture.completedFuture(wiring.home.giveBack(request)));
+                request -> CompletableFuture.completedFuture(wiring.home.returnPermit(request)));
     }
 
     private List<Lender> otherLenders(Limit limit) {
@@ -114,7 +114,7 @@
                 .filter(side -> !side.id().equals(wiring.holderId))
                 .filter(Side::takesWork)
                 .filter(side -> side.replica() < wiring.total.apply(limit))
-                .collect(Collectors.toMap(Side::replica, side -> side, LentPermits::newer));
+                .collect(Collectors.toMap(Side::replica, side -> side, LeasedPermits::newer));
         List<Side> homes = new ArrayList<>(byReplica.values());
         homes.sort(Comparator.comparing(Side::id));
         Collections.shuffle(homes, new Random(wiring.random.nextLong()));
@@ -175,7 +175,7 @@
         private static final long DEFAULT_MARGIN_MILLIS = 2_000;
 
         private final String holderId;
-        private final PermitHome home;
+        private final PermitLender home;
         private String service = "";
         private Membership membership;
         private Connections connections;
@@ -187,7 +187,7 @@
         private long leaseMillis = DEFAULT_LEASE_MILLIS;
         private long marginMillis = DEFAULT_MARGIN_MILLIS;
 
-        private Builder(String holderId, PermitHome home) {
+        private Builder(String holderId, PermitLender home) {
             this.holderId = holderId;
             this.home = home;
         }
@@ -200,7 +200,7 @@
          * @param newConnections connections to them.
          * @return this builder.
          */
-        public Builder reaching(String newService, Membership newMembership, Connections newConnections) {
+        public Builder withPeers(String newService, Membership newMembership, Connections newConnections) {
             this.service = newService;
             this.membership = newMembership;
             this.connections = newConnections;
@@ -214,7 +214,7 @@
          * @param newRandom picks homes and names permits.
          * @return this builder.
          */
-        public Builder deciding(Clock newClock, RandomGenerator newRandom) {
+        public Builder withClock(Clock newClock, RandomGenerator newRandom) {
             this.clock = newClock;
             this.random = newRandom;
             return this;
@@ -226,7 +226,7 @@
          * @param newTotal the slots of each limit in the bundle in force.
          * @return this builder.
          */
-        public Builder limitedTo(Function<Limit, Integer> newTotal) {
+        public Builder withTotalSlots(Function<Limit, Integer> newTotal) {
             this.total = newTotal;
             return this;
         }
@@ -239,7 +239,7 @@
          * @param newMarginMillis how long before the lease's end the holder stops counting on it.
          * @return this builder.
          */
-        public Builder bounded(int newMaxAsks, long newLeaseMillis, long newMarginMillis) {
+        public Builder withBounds(int newMaxAsks, long newLeaseMillis, long newMarginMillis) {
             this.maxAsks = newMaxAsks;
             this.leaseMillis = newLeaseMillis;
             this.marginMillis = newMarginMillis;
@@ -251,13 +251,13 @@
          *
          * @return a holder of no permits.
          */
-        public LentPermits build() {
+        public LeasedPermits build() {
             Objects.requireNonNull(membership, "membership");
             Objects.requireNonNull(connections, "connections");
             String prefix = holderId + "/" + Long.toHexString(random.nextLong()) + "/";
             AtomicLong next = new AtomicLong();
             permitIds = () -> prefix + next.incrementAndGet();
-            return new LentPermits(this);
+            return new LeasedPermits(this);
         }
     }
 }
--- a/src/main/java/io/waxwingquay/permit/PermitHome.java
+++ b/src/main/java/io/waxwingquay/permit/PermitLender.java
@@ -21,7 +21,7 @@
  * a gap in its own heartbeat grants nothing for one lease either, within which membership tells it that it is
  * superseded.
  */
-public final class PermitHome {
+public final class PermitLender {
 
     private final Clock clock;
     private final long maxLeaseMillis;
@@ -40,7 +40,7 @@
      * @param pauseMillis the longest gap between heartbeats that is no pause.
      * @param slots which slots are homed here.
      */
-    public PermitHome(Clock clock, long maxLeaseMillis, long pauseMillis, Slots slots) {
+    public PermitLender(Clock clock, long maxLeaseMillis, long pauseMillis, Slots slots) {
         this.clock = clock;
         this.maxLeaseMillis = maxLeaseMillis;
         this.pauseMillis = pauseMillis;
@@ -94,8 +94,8 @@
                         request.getPermitId(),
                         nowMillis,
                         leaseMillis,
-                        slots.of(limit.get()),
-                        slots.startRate(limit.get()));
+                        slots.assignedSlots(limit.get()),
+                        slots.startsPerSecond(limit.get()));
     }
 
     /**
@@ -104,7 +104,7 @@
      * @param request which permit.
      * @return whether it was out.
      */
-    public synchronized boolean giveBack(PermitReturn request) {
+    public synchronized boolean returnPermit(PermitReturn request) {
         beat();
         return limitNamed(request.getLimit())
                 .map(limit -> pools.get(limit).leaseEndMillis.remove(request.getPermitId()) != null)
@@ -117,7 +117,7 @@
      * @param limit the limit.
      * @return permits whose lease has not ended.
      */
-    public synchronized int lent(Limit limit) {
+    public synchronized int countLent(Limit limit) {
         Pool pool = pools.get(limit);
         return pool == null ? 0 : pool.lent(clock.monotonicMillis());
     }
@@ -159,8 +159,8 @@
          * @param limit the limit.
          * @return the number; 0 for most replicas when there are more replicas than slots.
          */
-        public int of(Limit limit) {
-            int total = total(limit);
+        public int assignedSlots(Limit limit) {
+            int total = totalSlots(limit);
             return replica >= replicas ? 0 : total / replicas + (replica < total % replicas ? 1 : 0);
         }
 
@@ -170,7 +170,7 @@
          * @param limit the limit.
          * @return the number of slots.
          */
-        public int total(Limit limit) {
+        public int totalSlots(Limit limit) {
             return limit == Limit.WEIGHT_LOADS ? weightLoadsAtOnce : adapterLoadsAtOnce;
         }
 
@@ -180,9 +180,11 @@
          * @param limit the limit.
          * @return starts a second, or infinity where no rate is set.
          */
-        public double startRate(Limit limit) {
+        public double startsPerSecond(Limit limit) {
             boolean isLimited = limit == Limit.WEIGHT_LOADS && weightLoadsPerSecond > 0 && weightLoadsAtOnce > 0;
-            return isLimited ? weightLoadsPerSecond * of(limit) / weightLoadsAtOnce : Double.POSITIVE_INFINITY;
+            return isLimited
+                    ? weightLoadsPerSecond * assignedSlots(limit) / weightLoadsAtOnce
+                    : Double.POSITIVE_INFINITY;
         }
     }
 
--- a/src/main/java/io/waxwingquay/permit/StaticShares.java
+++ b/src/main/java/io/waxwingquay/permit/StaticShares.java
@@ -12,7 +12,7 @@
  */
 public final class StaticShares implements Permits {
 
-    private final PermitHome home;
+    private final PermitLender home;
     private final long leaseMillis;
 
     /**
@@ -21,7 +21,7 @@
      * @param home this replica's home.
      * @param leaseMillis the lease taken, longer than any load.
      */
-    public StaticShares(PermitHome home, long leaseMillis) {
+    public StaticShares(PermitLender home, long leaseMillis) {
         this.home = home;
         this.leaseMillis = leaseMillis;
     }
@@ -32,7 +32,7 @@
         String permitId = UUID.randomUUID().toString();
         boolean isGranted = home.borrow(new PermitRequest(limit.name(), "static", permitId, leaseMillis))
                 .isGranted();
-        Permit permit = () -> home.giveBack(new PermitReturn(limit.name(), permitId));
+        Permit permit = () -> home.returnPermit(new PermitReturn(limit.name(), permitId));
         return CompletableFuture.completedFuture(Optional.of(permit).filter(ignored -> isGranted));
     }
 }
--- a/src/main/java/io/waxwingquay/placement/Fleet.java
+++ b/src/main/java/io/waxwingquay/placement/Fleet.java
@@ -14,7 +14,7 @@
 
     private static final int NONE = -1;
 
-    private final List<View.Holder> sides;
+    private final List<PlacementInput.LiveSide> sides;
     private final long[] hashes;
     private final double[] weights;
     private final int[] dataCentres;
@@ -25,19 +25,24 @@
     private final List<Set<String>> guarded = new ArrayList<>();
     private final Map<String, List<Integer>> residentAt = new HashMap<>();
 
-    Fleet(List<View.Holder> sides, double adapterShare) {
+    Fleet(List<PlacementInput.LiveSide> sides, double adapterShare) {
         this.sides = sides;
         this.adapterBytes = sides.stream()
                 .mapToLong(side -> Math.round(side.capacityBytes() * adapterShare))
                 .toArray();
         this.hashes = sides.stream().mapToLong(side -> Rank.hash(side.id())).toArray();
-        this.weights = sides.stream().mapToDouble(View.Holder::capacityBytes).toArray();
-        List<String> names =
-                sides.stream().map(View.Holder::dataCentre).distinct().toList();
+        this.weights = sides.stream()
+                .mapToDouble(PlacementInput.LiveSide::capacityBytes)
+                .toArray();
+        List<String> names = sides.stream()
+                .map(PlacementInput.LiveSide::dataCentre)
+                .distinct()
+                .toList();
         this.dataCentres = sides.stream()
                 .mapToInt(side -> names.indexOf(side.dataCentre()))
                 .toArray();
-        this.freeBytes = sides.stream().mapToLong(View.Holder::capacityBytes).toArray();
+        this.freeBytes =
+                sides.stream().mapToLong(PlacementInput.LiveSide::capacityBytes).toArray();
         for (int index = 0; index < sides.size(); index++) {
             wanted.add(new ArrayList<>());
             seconds.add(new ArrayList<>());
--- a/src/main/java/io/waxwingquay/placement/LoadOnMiss.java
+++ b/src/main/java/io/waxwingquay/placement/LoadOnMiss.java
@@ -12,18 +12,18 @@
  * The baseline: each side holds what was asked of it most of late, as a cache that evicts the least used, and
  * protects nothing.
  */
-public final class LoadOnMiss implements Strategy {
+public final class LoadOnMiss implements PlacementStrategy {
 
     /** {@inheritDoc} */
     @Override
-    public Plan plan(View view) {
+    public Plan plan(PlacementInput view) {
         Map<String, Long> sizeBytes = sizes(view.bundle());
         Map<String, Plan.Share> shares = new HashMap<>();
         view.sides().forEach(side -> shares.put(side.id(), new Plan.Share(mostAsked(side, sizeBytes), Set.of())));
         return new Plan(Map.copyOf(shares), Map.of(), List.of());
     }
 
-    private static List<String> mostAsked(View.Holder side, Map<String, Long> sizeBytes) {
+    private static List<String> mostAsked(PlacementInput.LiveSide side, Map<String, Long> sizeBytes) {
         List<Map.Entry<String, Double>> asked =
                 new ArrayList<>(side.demandUnitsPerSecond().entrySet());
         asked.sort(Map.Entry.<String, Double>comparingByValue(Comparator.reverseOrder())
--- a/src/main/java/io/waxwingquay/placement/View.java
+++ b/src/main/java/io/waxwingquay/placement/PlacementInput.java
@@ -16,15 +16,15 @@
  * @param service the service whose sides share the models.
  * @param sides the live sides of that service, in order of name.
  * @param demandUnitsPerSecond smoothed requests a second for each item over all sides.
- * @param lowSinceMillis for each item whose load is below the low mark, since when; from the plan before.
+ * @param lowDemandSinceMillis for each item whose load is below the low mark, since when; from the plan before.
  * @param nowMillis the monotonic time.
  */
-public record View(
+public record PlacementInput(
         Bundle bundle,
         String service,
-        List<Holder> sides,
+        List<LiveSide> sides,
         Map<String, Double> demandUnitsPerSecond,
-        Map<String, Long> lowSinceMillis,
+        Map<String, Long> lowDemandSinceMillis,
         long nowMillis) {
 
     /**
@@ -37,7 +37,8 @@
      * @param nowMillis the monotonic time.
      * @return the view.
      */
-    public static View of(Bundle bundle, String service, Collection<Side> sides, Plan previous, long nowMillis) {
+    public static PlacementInput of(
+            Bundle bundle, String service, Collection<Side> sides, Plan previous, long nowMillis) {
         List<Side> live = sides.stream()
                 .filter(side -> side.service().equals(service))
                 .filter(Side::reachable)
@@ -46,13 +47,13 @@
         Map<String, Double> demand = new HashMap<>();
         live.forEach(
                 side -> side.demandUnitsPerSecond().forEach((item, units) -> demand.merge(item, units, Double::sum)));
-        List<Holder> holders = live.stream().map(Holder::of).toList();
-        return new View(bundle, service, holders, demand, previous.lowSinceMillis(), nowMillis);
+        List<LiveSide> holders = live.stream().map(LiveSide::of).toList();
+        return new PlacementInput(bundle, service, holders, demand, previous.lowDemandSinceMillis(), nowMillis);
     }
 
-    View withoutDemandAndResidency() {
-        List<Holder> empty = sides.stream().map(Holder::withoutItems).toList();
-        return new View(bundle, service, empty, Map.of(), Map.of(), nowMillis);
+    PlacementInput withoutDemandAndResidency() {
+        List<LiveSide> empty = sides.stream().map(LiveSide::withoutItems).toList();
+        return new PlacementInput(bundle, service, empty, Map.of(), Map.of(), nowMillis);
     }
 
     /**
@@ -64,15 +65,15 @@
      * @param residentItems items resident now.
      * @param demandUnitsPerSecond its own demand for each item.
      */
-    public record Holder(
+    public record LiveSide(
             String id,
             String dataCentre,
             long capacityBytes,
             Set<String> residentItems,
             Map<String, Double> demandUnitsPerSecond) {
 
-        static Holder of(Side side) {
-            return new Holder(
+        static LiveSide of(Side side) {
+            return new LiveSide(
                     side.id(),
                     side.dataCentre(),
                     side.capacityBytes(),
@@ -80,8 +81,8 @@
                     side.demandUnitsPerSecond());
         }
 
-        Holder withoutItems() {
-            return new Holder(id, dataCentre, capacityBytes, Set.of(), Map.of());
+        LiveSide withoutItems() {
+            return new LiveSide(id, dataCentre, capacityBytes, Set.of(), Map.of());
         }
     }
 }
--- a/src/main/java/io/waxwingquay/placement/Strategy.java
+++ b/src/main/java/io/waxwingquay/placement/PlacementStrategy.java
@@ -5,10 +5,10 @@
  * so no process has to lead.
  */
 @FunctionalInterface
-public interface Strategy {
+public interface PlacementStrategy {
 
     /** The share of each side's memory that the product keeps for adapters and first copies. */
-    double ADAPTER_SHARE = 1.0 / 16;
+    double ADAPTER_MEMORY_SHARE = 1.0 / 16;
 
     /**
      * Decides.
@@ -16,7 +16,7 @@
      * @param view what is known.
      * @return what each side is to hold.
      */
-    Plan plan(View view);
+    Plan plan(PlacementInput view);
 
     /**
      * A strategy by the name that settings use.
@@ -26,19 +26,21 @@
      * @return the strategy.
      * @throws IllegalArgumentException if no strategy has that name.
      */
-    static Strategy named(String name, DemandMarks demandMarks) {
+    static PlacementStrategy named(String name, DemandThresholds demandMarks) {
         return switch (name) {
-            case "planned" -> new Placement(demandMarks, Placement.Order.DEMAND_FIRST, ADAPTER_SHARE);
-            case "planned-2" -> new Placement(demandMarks);
-            case "planned-1" -> new Placement(demandMarks, Placement.Order.SECOND_HOMES_FIRST);
-            case "static" -> Strategy::planBaseHomes;
+            case "planned" -> new RendezvousPlacement(
+                    demandMarks, RendezvousPlacement.Precedence.DEMAND_FIRST, ADAPTER_MEMORY_SHARE);
+            case "planned-2" -> new RendezvousPlacement(demandMarks);
+            case "planned-1" -> new RendezvousPlacement(
+                    demandMarks, RendezvousPlacement.Precedence.SECOND_COPIES_FIRST);
+            case "static" -> PlacementStrategy::planBaseHomes;
             case "load-on-miss" -> new LoadOnMiss();
             default -> throw new IllegalArgumentException(
                     "placement strategy '" + name + "' is not known; write planned, static or load-on-miss");
         };
     }
 
-    private static Plan planBaseHomes(View view) {
-        return new Placement(DemandMarks.IGNORED).plan(view.withoutDemandAndResidency());
+    private static Plan planBaseHomes(PlacementInput view) {
+        return new RendezvousPlacement(DemandThresholds.DISABLED).plan(view.withoutDemandAndResidency());
     }
 }
--- a/src/main/java/io/waxwingquay/placement/Plan.java
+++ b/src/main/java/io/waxwingquay/placement/Plan.java
@@ -9,10 +9,10 @@
  * needed, and stays until then.
  *
  * @param shares the share of each side, by the side's name.
- * @param lowSinceMillis since when each item's load is below the low mark; handed to the next view.
- * @param homelessModels models for which no side has room.
+ * @param lowDemandSinceMillis since when each item's load is below the low mark; handed to the next view.
+ * @param unplacedModels models for which no side has room.
  */
-public record Plan(Map<String, Share> shares, Map<String, Long> lowSinceMillis, List<String> homelessModels) {
+public record Plan(Map<String, Share> shares, Map<String, Long> lowDemandSinceMillis, List<String> unplacedModels) {
 
     /** The plan before any other. */
     public static final Plan EMPTY = new Plan(Map.of(), Map.of(), List.of());
@@ -23,7 +23,7 @@
      * @param sideId the side's name.
      * @return its share, empty if it is not in the plan.
      */
-    public Share of(String sideId) {
+    public Share shareOf(String sideId) {
         return shares.getOrDefault(sideId, Share.EMPTY);
     }
 
--- a/src/main/java/io/waxwingquay/placement/Placement.java
+++ b/src/main/java/io/waxwingquay/placement/RendezvousPlacement.java
@@ -22,12 +22,12 @@
  * which sides are live, so the last replica is not evicted, nor are two at once. While a new version has no resident
  * replica, the first replica of an old version is protected in its place.
  */
-public final class Placement implements Strategy {
+public final class RendezvousPlacement implements PlacementStrategy {
 
     private static final int BASE_HOMES = 2;
 
-    private final DemandMarks marks;
-    private final Order order;
+    private final DemandThresholds marks;
+    private final Precedence order;
     private final double adapterShare;
 
     /**
@@ -35,8 +35,8 @@
      *
      * @param marks when replicas follow demand.
      */
-    public Placement(DemandMarks marks) {
-        this(marks, Order.DEMAND_FIRST);
+    public RendezvousPlacement(DemandThresholds marks) {
+        this(marks, Precedence.DEMAND_FIRST);
     }
 
     /**
@@ -45,7 +45,7 @@
      * @param marks when replicas follow demand.
      * @param order what goes first when room is short.
      */
-    public Placement(DemandMarks marks, Order order) {
+    public RendezvousPlacement(DemandThresholds marks, Precedence order) {
         this(marks, order, 0.0);
     }
 
@@ -56,28 +56,28 @@
      * @param order what goes first when room is short.
      * @param adapterShare the share of each side's memory that no second or further copy of a model takes.
      */
-    public Placement(DemandMarks marks, Order order, double adapterShare) {
+    public RendezvousPlacement(DemandThresholds marks, Precedence order, double adapterShare) {
         this.marks = marks;
         this.order = order;
         this.adapterShare = adapterShare;
     }
 
     /** What goes first when room is short. */
-    public enum Order {
+    public enum Precedence {
         /** Copies for demand, then second homes of what is asked little. */
         DEMAND_FIRST,
         /** Second homes of all models, then copies for demand. */
-        SECOND_HOMES_FIRST
+        SECOND_COPIES_FIRST
     }
 
     /** {@inheritDoc} */
     @Override
-    public Plan plan(View view) {
+    public Plan plan(PlacementInput view) {
         Fleet fleet = new Fleet(view.sides(), adapterShare);
         List<Wish> wishes = wishes(view, fleet);
         wishes.forEach(wish -> fleet.keepFirst(wish.item));
         guardOldVersions(view, fleet);
-        if (order == Order.DEMAND_FIRST) {
+        if (order == Precedence.DEMAND_FIRST) {
             wishes.forEach(wish -> fleet.placeFirst(wish.item));
             placeForDemand(wishes, fleet);
         }
@@ -91,7 +91,7 @@
         return new Plan(fleet.shares(), lowSince(view, wishes), homeless);
     }
 
-    private List<Wish> wishes(View view, Fleet fleet) {
+    private List<Wish> wishes(PlacementInput view, Fleet fleet) {
         return view.bundle().models().stream()
                 .filter(model -> model.service().equals(view.service()))
                 .sorted(Comparator.comparingInt((Bundle.Model model) -> -model.priority())
@@ -101,20 +101,20 @@
                 .toList();
     }
 
-    private Wish wish(View view, Fleet fleet, Bundle.Model model) {
+    private Wish wish(PlacementInput view, Fleet fleet, Bundle.Model model) {
         Item item = fleet.item(model.item(), model.sizeBytes());
         double demand = view.demandUnitsPerSecond().getOrDefault(item.name, 0.0);
         return new Wish(model, item, demand, wantedCopies(view, item, demand));
     }
 
     /** Between the marks the number stays; below the low one it shrinks by one, and only after the hold time. */
-    private int wantedCopies(View view, Item item, double demand) {
+    private int wantedCopies(PlacementInput view, Item item, double demand) {
         int now = Math.max(BASE_HOMES, item.residentAt.size());
         if (demand > now * marks.highUnitsPerSecond()) {
             return (int) Math.min(view.sides().size(), Math.ceil(demand / marks.highUnitsPerSecond()));
         }
-        boolean isHeld = Optional.ofNullable(view.lowSinceMillis().get(item.name))
-                .map(sinceMillis -> view.nowMillis() - sinceMillis < marks.holdMillis())
+        boolean isHeld = Optional.ofNullable(view.lowDemandSinceMillis().get(item.name))
+                .map(sinceMillis -> view.nowMillis() - sinceMillis < marks.scaleDownDelayMillis())
                 .orElse(true);
         return isLow(demand, now) && !isHeld ? Math.max(BASE_HOMES, now - 1) : now;
     }
@@ -123,12 +123,12 @@
         return copies > BASE_HOMES && demand < copies * marks.lowUnitsPerSecond();
     }
 
-    private Map<String, Long> lowSince(View view, List<Wish> wishes) {
+    private Map<String, Long> lowSince(PlacementInput view, List<Wish> wishes) {
         Map<String, Long> next = new HashMap<>();
         wishes.stream()
                 .filter(wish -> isLow(wish.demandUnitsPerSecond, wish.item.residentAt.size()))
-                .forEach(wish ->
-                        next.put(wish.item.name, view.lowSinceMillis().getOrDefault(wish.item.name, view.nowMillis())));
+                .forEach(wish -> next.put(
+                        wish.item.name, view.lowDemandSinceMillis().getOrDefault(wish.item.name, view.nowMillis())));
         return Map.copyOf(next);
     }
 
@@ -146,7 +146,7 @@
     }
 
     /** Adapters go beside their model, the most asked first: one copy, and one more for each high mark of demand. */
-    private void placeAdapters(View view, List<Wish> wishes, Fleet fleet) {
+    private void placeAdapters(PlacementInput view, List<Wish> wishes, Fleet fleet) {
         Map<String, Item> models =
                 wishes.stream().collect(Collectors.toMap(wish -> wish.model.name(), wish -> wish.item));
         view.bundle().adapters().stream()
@@ -160,7 +160,7 @@
                 });
     }
 
-    private static double demandFor(View view, Bundle.Adapter adapter) {
+    private static double demandFor(PlacementInput view, Bundle.Adapter adapter) {
         return view.demandUnitsPerSecond().getOrDefault(adapter.item(), 0.0);
     }
 
@@ -169,7 +169,7 @@
      * a rollout into full accelerators stops half way for good. The old version's memory therefore counts as taken;
      * its size is not known any more, so that of the new one stands for it.
      */
-    private static void guardOldVersions(View view, Fleet fleet) {
+    private static void guardOldVersions(PlacementInput view, Fleet fleet) {
         Map<String, Bundle.Model> byPrefix = view.bundle().models().stream()
                 .filter(model -> model.service().equals(view.service()))
                 .collect(Collectors.toMap(model -> "model:" + model.name(), model -> model));
--- a/src/main/java/io/waxwingquay/process/PeerHandler.java
+++ b/src/main/java/io/waxwingquay/process/PeerHandler.java
@@ -3,8 +3,8 @@
 import io.waxwingquay.bundle.BundleHolder;
 import io.waxwingquay.bundle.SignedBundle;
 import io.waxwingquay.membership.GossipHandler;
-import io.waxwingquay.permit.PermitHome;
-import io.waxwingquay.suspect.SuspectBook;
+import io.waxwingquay.permit.PermitLender;
+import io.waxwingquay.suspect.SuspectRegistry;
 import io.waxwingquay.transport.PeerProtocol;
 import io.waxwingquay.transport.generated.BundleAnswer;
 import io.waxwingquay.transport.generated.BundleRequest;
@@ -25,10 +25,10 @@
 
     private final GossipHandler gossip;
     private final BundleHolder bundles;
-    private final SuspectBook suspects;
-    private final Optional<PermitHome> permits;
+    private final SuspectRegistry suspects;
+    private final Optional<PermitLender> permits;
 
-    PeerHandler(GossipHandler gossip, BundleHolder bundles, SuspectBook suspects, Optional<PermitHome> permits) {
+    PeerHandler(GossipHandler gossip, BundleHolder bundles, SuspectRegistry suspects, Optional<PermitLender> permits) {
         this.gossip = gossip;
         this.bundles = bundles;
         this.suspects = suspects;
@@ -69,7 +69,7 @@
     @Override
     public CompletableFuture<Boolean> returnPermit(PermitReturn request) {
         return CompletableFuture.completedFuture(
-                permits.map(home -> home.giveBack(request)).orElse(false));
+                permits.map(home -> home.returnPermit(request)).orElse(false));
     }
 
     /** {@inheritDoc} */
--- a/src/main/java/io/waxwingquay/process/PlannedItems.java
+++ b/src/main/java/io/waxwingquay/process/PlannedItems.java
@@ -4,9 +4,9 @@
 import io.waxwingquay.common.Clock;
 import io.waxwingquay.membership.Membership;
 import io.waxwingquay.membership.Side;
+import io.waxwingquay.placement.PlacementInput;
+import io.waxwingquay.placement.PlacementStrategy;
 import io.waxwingquay.placement.Plan;
-import io.waxwingquay.placement.Strategy;
-import io.waxwingquay.placement.View;
 import io.waxwingquay.side.WantedItems;
 import java.util.List;
 import java.util.Set;
@@ -23,7 +23,7 @@
     private final String sideId;
     private final String service;
     private final Membership membership;
-    private final Strategy strategy;
+    private final PlacementStrategy strategy;
     private final Clock clock;
     private final Pace pace;
     private final long startMillis;
@@ -32,7 +32,8 @@
     private long plannedVersion;
     private long plannedMillis;
 
-    PlannedItems(String sideId, String service, Membership membership, Strategy strategy, Clock clock, Pace pace) {
+    PlannedItems(
+            String sideId, String service, Membership membership, PlacementStrategy strategy, Clock clock, Pace pace) {
         this.sideId = sideId;
         this.service = service;
         this.membership = membership;
@@ -44,12 +45,12 @@
 
     /** This side's share of the plan as it was last made. */
     synchronized Plan.Share share() {
-        return plan.of(sideId);
+        return plan.shareOf(sideId);
     }
 
     /** Models for which the plan found no room on any side. */
     synchronized List<String> homelessModels() {
-        return plan.homelessModels();
+        return plan.unplacedModels();
     }
 
     /** {@inheritDoc} */
@@ -61,11 +62,11 @@
             return new Wanted(List.of(), residentHere());
         }
         if (bundle.version() != plannedVersion || nowMillis - plannedMillis >= waitMillis()) {
-            plan = strategy.plan(View.of(bundle, service, membership.sides(), plan, nowMillis));
+            plan = strategy.plan(PlacementInput.of(bundle, service, membership.sides(), plan, nowMillis));
             plannedVersion = bundle.version();
             plannedMillis = nowMillis;
         }
-        Plan.Share share = plan.of(sideId);
+        Plan.Share share = plan.shareOf(sideId);
         return new Wanted(share.wantedItems(), share.protectedItems());
     }
 
--- a/src/main/java/io/waxwingquay/process/SideProcess.java
+++ b/src/main/java/io/waxwingquay/process/SideProcess.java
@@ -6,11 +6,11 @@
 import io.waxwingquay.engine.HttpModelEngine;
 import io.waxwingquay.engine.HttpPlainService;
 import io.waxwingquay.ledger.MemoryLedger;
-import io.waxwingquay.permit.LentPermits;
-import io.waxwingquay.permit.PermitHome;
+import io.waxwingquay.permit.LeasedPermits;
+import io.waxwingquay.permit.PermitLender;
 import io.waxwingquay.permit.Permits;
-import io.waxwingquay.placement.DemandMarks;
-import io.waxwingquay.placement.Strategy;
+import io.waxwingquay.placement.DemandThresholds;
+import io.waxwingquay.placement.PlacementStrategy;
 import io.waxwingquay.settings.SideSettings;
 import io.waxwingquay.settings.SideSettings.TargetType;
 import io.waxwingquay.side.AdmissionRule;
@@ -46,11 +46,11 @@
     private final Foundation foundation;
     private final SideSettings settings;
     private final SideIdentity identity;
-    private final PermitHome permitHome;
+    private final PermitLender permitHome;
     private final PeerHandler peer;
     private final SideDoor door;
     private final PlannedItems planned;
-    private final AtomicReference<Optional<LentPermits>> held = new AtomicReference<>(Optional.empty());
+    private final AtomicReference<Optional<LeasedPermits>> held = new AtomicReference<>(Optional.empty());
     private final Decisions decisions;
     private final AtomicReference<Optional<SideNode>> node = new AtomicReference<>(Optional.empty());
     private Optional<CompletableFuture<Void>> draining = Optional.empty();
@@ -73,8 +73,8 @@
                 decisions.placement(),
                 foundation.clock(),
                 new PlannedItems.Pace(PLAN_MILLIS, SETTLE_MILLIS));
-        PermitHome.Slots none = new PermitHome.Slots(settings.replica(), settings.replica() + 1, 0, 0.0, 0);
-        this.permitHome = new PermitHome(foundation.clock(), settings.permitLeaseMillis(), PAUSE_MILLIS, none);
+        PermitLender.Slots none = new PermitLender.Slots(settings.replica(), settings.replica() + 1, 0, 0.0, 0);
+        this.permitHome = new PermitLender(foundation.clock(), settings.permitLeaseMillis(), PAUSE_MILLIS, none);
         this.peer = new PeerHandler(
                 foundation.gossip().handler(), foundation.bundles(), foundation.suspects(), Optional.of(permitHome));
         this.door = new SideDoor(peer, epoch);
@@ -234,8 +234,8 @@
     private Map<Permits.Limit, SideDump.PermitCount> permitsByLimit() {
         Map<Permits.Limit, SideDump.PermitCount> counts = new EnumMap<>(Permits.Limit.class);
         for (Permits.Limit limit : Permits.Limit.values()) {
-            int heldHere = held.get().map(permits -> permits.inUse(limit)).orElse(0);
-            counts.put(limit, new SideDump.PermitCount(permitHome.lent(limit), heldHere));
+            int heldHere = held.get().map(permits -> permits.countInUse(limit)).orElse(0);
+            counts.put(limit, new SideDump.PermitCount(permitHome.countLent(limit), heldHere));
         }
         return counts;
     }
@@ -265,7 +265,7 @@
         if (draining.isPresent()) {
             return;
         }
-        LentPermits permits = permits();
+        LeasedPermits permits = permits();
         held.set(Optional.of(permits));
         every(settings.permitLeaseMillis() / RENEWALS_A_LEASE, permits::renew);
         SideNodeBuilder builder = builder(permits);
@@ -315,22 +315,22 @@
                         service.memoryBytes(), foundation.clock(), settings.orderQuarantineMillis());
     }
 
-    private LentPermits permits() {
-        return LentPermits.forHolder(identity.sideId(), permitHome)
-                .reaching(settings.service(), foundation.members(), foundation.connections())
-                .deciding(foundation.clock(), foundation.random())
-                .limitedTo(limit -> foundation
+    private LeasedPermits permits() {
+        return LeasedPermits.forHolder(identity.sideId(), permitHome)
+                .withPeers(settings.service(), foundation.members(), foundation.connections())
+                .withClock(foundation.clock(), foundation.random())
+                .withTotalSlots(limit -> foundation
                         .bundles()
                         .current()
                         .flatMap(bundle -> bundle.service(settings.service()))
-                        .map(service -> slots(service).total(limit))
+                        .map(service -> slots(service).totalSlots(limit))
                         .orElse(0))
-                .bounded(MAX_ASKS, settings.permitLeaseMillis(), settings.permitLeaseMillis() / MARGIN_SHARE)
+                .withBounds(MAX_ASKS, settings.permitLeaseMillis(), settings.permitLeaseMillis() / MARGIN_SHARE)
                 .build();
     }
 
-    private PermitHome.Slots slots(Service service) {
-        return new PermitHome.Slots(
+    private PermitLender.Slots slots(Service service) {
+        return new PermitLender.Slots(
                 settings.replica(),
                 service.replicas(),
                 service.weightLoadsAtOnce(),
@@ -352,10 +352,10 @@
      * @param placement what its target holds.
      * @param admission which requests can still make their deadline.
      */
-    public record Decisions(Strategy placement, AdmissionRule admission) {
+    public record Decisions(PlacementStrategy placement, AdmissionRule admission) {
 
         /** The product's. */
-        public static final Decisions DEFAULT =
-                new Decisions(Strategy.named("planned", DemandMarks.DEFAULT), AdmissionRule.WITH_RUN_TIME);
+        public static final Decisions DEFAULT = new Decisions(
+                PlacementStrategy.named("planned", DemandThresholds.DEFAULT), AdmissionRule.WITH_RUN_TIME);
     }
 }
--- a/src/main/java/io/waxwingquay/residency/SuspectRelay.java
+++ b/src/main/java/io/waxwingquay/residency/SuspectRelay.java
@@ -29,9 +29,9 @@
      */
     public void heard(PeerDatagram datagram) {
         if (datagram.isSetEntry()) {
-            suspects.take(datagram.getEntry().getSuspects());
+            suspects.merge(datagram.getEntry().getSuspects());
         } else if (datagram.isSetEngine()) {
-            suspects.take(datagram.getEngine().getSuspects());
+            suspects.merge(datagram.getEngine().getSuspects());
         }
     }
 
@@ -42,7 +42,7 @@
      */
     public void tell(PeerDatagram datagram) {
         if (datagram.isSetEngine()) {
-            List<SuspectNews> page = suspects.page();
+            List<SuspectNews> page = suspects.nextUpdate();
             datagram.getEngine().setSuspects(page.isEmpty() ? null : page);
         }
     }
--- a/src/main/java/io/waxwingquay/routing/LoadBoard.java
+++ b/src/main/java/io/waxwingquay/routing/LoadTracker.java
@@ -12,7 +12,7 @@
  * The latest load of each side, as its answers carried it, and this process's own requests there. Safe for
  * concurrent use.
  */
-public final class LoadBoard {
+public final class LoadTracker {
 
     private static final double SMOOTHING = 0.2;
 
@@ -25,7 +25,7 @@
      * @param report the report, or {@code null} if the answer carried none.
      * @param nowMillis the monotonic time.
      */
-    public void noteReport(String sideId, LoadReport report, long nowMillis) {
+    public void recordReport(String sideId, LoadReport report, long nowMillis) {
         if (report != null) {
             change(sideId, entry -> entry.withReport(report, nowMillis - report.getAgeMillis()));
         }
@@ -36,7 +36,7 @@
      *
      * @param sideId the side.
      */
-    public void noteSent(String sideId) {
+    public void recordSent(String sideId) {
         change(sideId, entry -> entry.withOutstanding(entry.outstanding() + 1));
     }
 
@@ -45,7 +45,7 @@
      *
      * @param sideId the side.
      */
-    public void noteOver(String sideId) {
+    public void recordCompletion(String sideId) {
         change(sideId, entry -> entry.withOutstanding(Math.max(0, entry.outstanding() - 1)));
     }
 
@@ -55,7 +55,7 @@
      * @param sideId the side.
      * @param tookMillis from submission to the end of the answer.
      */
-    public void noteLatency(String sideId, long tookMillis) {
+    public void recordLatency(String sideId, long tookMillis) {
         change(sideId, entry -> entry.withLatency(tookMillis));
     }
 
--- a/src/main/java/io/waxwingquay/routing/RouteQuery.java
+++ b/src/main/java/io/waxwingquay/routing/RouteQuery.java
@@ -13,10 +13,15 @@
  * @param items what must be resident, the model first and then its adapter; empty for a plain service.
  * @param prefixHash hash of the prompt's beginning; equal ones share an engine's prefix cache.
  * @param sequence number of the request in this process, for policies that take turns.
- * @param excluded names of sides already tried.
+ * @param excludedSideIds names of sides already tried.
  */
 public record RouteQuery(
-        String service, String dataCentre, List<String> items, long prefixHash, long sequence, Set<String> excluded) {
+        String service,
+        String dataCentre,
+        List<String> items,
+        long prefixHash,
+        long sequence,
+        Set<String> excludedSideIds) {
 
     /**
      * Whether a side may be asked at all.
@@ -25,7 +30,7 @@
      * @return whether it serves the service, takes work and was not tried yet.
      */
     public boolean admits(Side side) {
-        return side.service().equals(service) && side.takesWork() && !excluded.contains(side.id());
+        return side.service().equals(service) && side.takesWork() && !excludedSideIds.contains(side.id());
     }
 
     /**
@@ -34,7 +39,7 @@
      * @param side the side.
      * @return 0 when even the model is absent.
      */
-    public int residentItems(Side side) {
+    public int countResidentItems(Side side) {
         int count = 0;
         while (count < items.size() && side.residentItems().contains(items.get(count))) {
             count++;
@@ -58,7 +63,7 @@
      * @return the new query.
      */
     public RouteQuery excluding(String sideId) {
-        Set<String> more = new HashSet<>(excluded);
+        Set<String> more = new HashSet<>(excludedSideIds);
         more.add(sideId);
         return new RouteQuery(service, dataCentre, items, prefixHash, sequence, Set.copyOf(more));
     }
--- a/src/main/java/io/waxwingquay/routing/Router.java
+++ b/src/main/java/io/waxwingquay/routing/Router.java
@@ -8,7 +8,7 @@
  *
  * @param policy how the sides that may be asked are ordered.
  */
-public record Router(Policy policy) {
+public record Router(RoutingPolicy policy) {
 
     /**
      * Orders the sides that may be asked for a request.
--- a/src/main/java/io/waxwingquay/routing/Policy.java
+++ b/src/main/java/io/waxwingquay/routing/RoutingPolicy.java
@@ -13,7 +13,7 @@
  * Orders the sides that may be asked, best first. A pure function of its arguments.
  */
 @FunctionalInterface
-public interface Policy {
+public interface RoutingPolicy {
 
     /** The names that {@link #named} knows, for messages. */
     String NAMES = "waxwingquay, round-robin, least-outstanding or model-hash";
@@ -35,7 +35,7 @@
      * @param index all sides.
      * @return the sides, admitted or not.
      */
-    default List<Side> considered(RouteQuery query, SideIndex index) {
+    default List<Side> relevantSides(RouteQuery query, SideIndex index) {
         return index.ofService(query.service());
     }
 
@@ -47,10 +47,10 @@
      * @return the policy.
      * @throws IllegalArgumentException if no policy has the name.
      */
-    static Policy named(String name) {
+    static RoutingPolicy named(String name) {
         return switch (name) {
             case "waxwingquay" -> new Default();
-            case "waxwingquay-1" -> new ExpectedFinish();
+            case "waxwingquay-1" -> new LeastExpectedCompletion();
             case "round-robin" -> new RoundRobin();
             case "least-outstanding" -> new LeastOutstanding();
             case "model-hash" -> new ModelHash();
@@ -79,7 +79,7 @@
      * loads in milliseconds: were its sides always preferred, its callers would queue at one side while the
      * model's other sides are idle.
      */
-    final class Default implements Policy {
+    final class Default implements RoutingPolicy {
 
         private static final double COLD_PREFIX = 1.5;
         private static final double ABSENT_ADAPTER = 4;
@@ -90,14 +90,14 @@
         public List<SideView> order(RouteQuery query, List<SideView> views, RandomGenerator random) {
             List<SideView> ordered = new ArrayList<>(views);
             List<SideView> holders = views.stream()
-                    .filter(view -> query.residentItems(view.side()) > 0)
+                    .filter(view -> query.countResidentItems(view.side()) > 0)
                     .toList();
             if (!query.items().isEmpty() && holders.isEmpty()) {
                 ordered.sort(Comparator.comparingLong(SideView::freeBytes).reversed());
                 return ordered;
             }
             String home = home(query, holders.isEmpty() ? views : holders);
-            ordered.sort(Comparator.comparing((SideView view) -> query.residentItems(view.side()) == 0)
+            ordered.sort(Comparator.comparing((SideView view) -> query.countResidentItems(view.side()) == 0)
                     .thenComparingDouble(view -> cost(query, view, home)));
             return ordered;
         }
@@ -111,7 +111,7 @@
         }
 
         private static double cost(RouteQuery query, SideView view, String home) {
-            int missing = query.items().size() - query.residentItems(view.side());
+            int missing = query.items().size() - query.countResidentItems(view.side());
             double distance = view.side().dataCentre().equals(query.dataCentre()) ? 0 : OTHER_DATA_CENTRE;
             double prefix = query.items().isEmpty() || view.side().id().equals(home) ? 0 : COLD_PREFIX;
             return view.inFlight() + prefix + missing * ABSENT_ADAPTER + distance;
@@ -122,7 +122,7 @@
      * The first policy of ours, kept to measure against. Resident items first, then the least expected finish, to which another data centre adds its distance and
      * from which the prefix's home takes a bonus; away from that home the better of two random choices.
      */
-    final class ExpectedFinish implements Policy {
+    final class LeastExpectedCompletion implements RoutingPolicy {
 
         private static final double PREFIX_BONUS = 0.7;
         private static final double OTHER_DATA_CENTRE_MILLIS = 3;
@@ -134,7 +134,7 @@
          * be seen: at 2,400 sides they would cost more than the request's whole control budget.
          */
         @Override
-        public List<Side> considered(RouteQuery query, SideIndex index) {
+        public List<Side> relevantSides(RouteQuery query, SideIndex index) {
             if (query.items().isEmpty()) {
                 return index.ofService(query.service());
             }
@@ -148,7 +148,7 @@
             List<Rated> rated = new ArrayList<>();
             int most = 0;
             for (SideView view : views) {
-                Rated next = new Rated(view, query.residentItems(view.side()), 0);
+                Rated next = new Rated(view, query.countResidentItems(view.side()), 0);
                 most = Math.max(most, next.residentItems);
                 rated.add(next);
             }
@@ -195,7 +195,7 @@
         private static double cost(RouteQuery query, SideView view, String home) {
             double bonus = view.side().id().equals(home) ? PREFIX_BONUS : 1;
             double distance = view.side().dataCentre().equals(query.dataCentre()) ? 0 : OTHER_DATA_CENTRE_MILLIS;
-            return view.expectedFinishMillis() * bonus + distance;
+            return view.expectedCompletionMillis() * bonus + distance;
         }
 
         /** Each side is rated once, as a comparison that rates afresh does so some twenty times a side. */
@@ -208,7 +208,7 @@
     }
 
     /** Baseline: turns over all sides, blind to residency. */
-    final class RoundRobin implements Policy {
+    final class RoundRobin implements RoutingPolicy {
 
         /** {@inheritDoc} */
         @Override
@@ -220,7 +220,7 @@
     }
 
     /** Baseline: the side with the fewest requests of this process. */
-    final class LeastOutstanding implements Policy {
+    final class LeastOutstanding implements RoutingPolicy {
 
         /** {@inheritDoc} */
         @Override
@@ -232,7 +232,7 @@
     }
 
     /** Baseline: rendezvous hashing by model. */
-    final class ModelHash implements Policy {
+    final class ModelHash implements RoutingPolicy {
 
         /** {@inheritDoc} */
         @Override
@@ -249,23 +249,23 @@
     /**
      * Baseline: another policy's order, but sides that hold the model go first.
      *
-     * @param inner the order among equals.
+     * @param delegate the order among equals.
      */
-    record ResidentFirst(Policy inner) implements Policy {
+    record ResidentFirst(RoutingPolicy delegate) implements RoutingPolicy {
 
         /** {@inheritDoc} */
         @Override
         public List<SideView> order(RouteQuery query, List<SideView> views, RandomGenerator random) {
             List<SideView> holding = views.stream()
-                    .filter(view -> query.residentItems(view.side()) > 0)
+                    .filter(view -> query.countResidentItems(view.side()) > 0)
                     .toList();
             List<SideView> rest = views.stream()
-                    .filter(view -> query.residentItems(view.side()) == 0)
+                    .filter(view -> query.countResidentItems(view.side()) == 0)
                     .toList();
             List<SideView> ordered = new ArrayList<>();
             List.of(holding, rest).stream()
                     .filter(group -> !group.isEmpty())
-                    .forEach(group -> ordered.addAll(inner.order(query, group, random)));
+                    .forEach(group -> ordered.addAll(delegate.order(query, group, random)));
             return ordered;
         }
     }
--- a/src/main/java/io/waxwingquay/routing/SideIndex.java
+++ b/src/main/java/io/waxwingquay/routing/SideIndex.java
@@ -62,7 +62,7 @@
     private record Holding(String service, String item) {}
 
     /** The index of the snapshot last asked for; it is made again only when the snapshot is another. */
-    public static final class Latest {
+    public static final class Cache {
 
         private volatile SideIndex latest = SideIndex.of(List.of());
 
--- a/src/main/java/io/waxwingquay/routing/SideView.java
+++ b/src/main/java/io/waxwingquay/routing/SideView.java
@@ -48,7 +48,7 @@
      *
      * @return milliseconds.
      */
-    public double expectedFinishMillis() {
+    public double expectedCompletionMillis() {
         double unitMillis = latencyMillis > 0 ? latencyMillis : ASSUMED_LATENCY_MILLIS;
         double reportedMillis = reportedWorkMillis(unitMillis);
         double agedMillis = Math.max(0, reportedMillis - Math.min(reportAgeMillis, reportedMillis));
--- a/src/main/java/io/waxwingquay/settings/EntrySettings.java
+++ b/src/main/java/io/waxwingquay/settings/EntrySettings.java
@@ -1,6 +1,6 @@
 package io.waxwingquay.settings;
 
-import io.waxwingquay.routing.Policy;
+import io.waxwingquay.routing.RoutingPolicy;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -71,9 +71,9 @@
 
     private void checkPolicy(TomlTable table) {
         try {
-            Policy.named(routingPolicy);
+            RoutingPolicy.named(routingPolicy);
         } catch (IllegalArgumentException unknown) {
-            table.report("routing_policy", "is '" + routingPolicy + "'; write one of " + Policy.NAMES);
+            table.report("routing_policy", "is '" + routingPolicy + "'; write one of " + RoutingPolicy.NAMES);
         }
     }
 }
--- a/src/main/java/io/waxwingquay/side/Admission.java
+++ b/src/main/java/io/waxwingquay/side/Admission.java
@@ -1,7 +1,7 @@
 package io.waxwingquay.side;
 
 import io.waxwingquay.common.DrainGate;
-import io.waxwingquay.suspect.SuspectBook.Standing;
+import io.waxwingquay.suspect.SuspectRegistry.Standing;
 import io.waxwingquay.transport.generated.Execution;
 import io.waxwingquay.transport.generated.RefusalReason;
 import io.waxwingquay.transport.generated.Submission;
--- a/src/main/java/io/waxwingquay/side/ModelRunner.java
+++ b/src/main/java/io/waxwingquay/side/ModelRunner.java
@@ -4,7 +4,7 @@
 import io.waxwingquay.engine.ModelEngine.Generation;
 import io.waxwingquay.engine.TargetException;
 import io.waxwingquay.engine.TargetException.Kind;
-import io.waxwingquay.suspect.SuspectBook.Standing;
+import io.waxwingquay.suspect.SuspectRegistry.Standing;
 import io.waxwingquay.transport.generated.Execution;
 import io.waxwingquay.transport.generated.ModelCall;
 import io.waxwingquay.transport.generated.RefusalReason;
--- a/src/main/java/io/waxwingquay/side/OrderDesk.java
+++ b/src/main/java/io/waxwingquay/side/OrderDesk.java
@@ -94,7 +94,7 @@
 
     void evict(String item) {
         String orderId = nextOrderId();
-        if (ledger.evict(item, orderId)) {
+        if (ledger.beginEviction(item, orderId)) {
             countMove(OrderKind.EVICT, item);
             Holding holding = ledger.snapshot().holdings().get(item);
             send(new Order(
@@ -176,7 +176,7 @@
         }
         engine.order(order).whenComplete((answer, failure) -> {
             if (failure != null && !isUnreachable(failure)) {
-                ledger.noteLost();
+                ledger.recordLostAnswer();
             }
             if (answer == OrderAnswer.STALE_FENCE) {
                 staleFence.run();
--- a/src/main/java/io/waxwingquay/side/SideContext.java
+++ b/src/main/java/io/waxwingquay/side/SideContext.java
@@ -5,7 +5,7 @@
 import io.waxwingquay.bundle.BundleSource;
 import io.waxwingquay.common.Clock;
 import io.waxwingquay.membership.Membership;
-import io.waxwingquay.suspect.SuspectBook;
+import io.waxwingquay.suspect.SuspectRegistry;
 import io.waxwingquay.transport.Connections;
 import java.util.Optional;
 import java.util.concurrent.ScheduledExecutorService;
@@ -32,7 +32,7 @@
         RandomGenerator random,
         BundleSource bundles,
         Membership membership,
-        SuspectBook suspects,
+        SuspectRegistry suspects,
         Connections connections,
         MeterRegistry meters,
         ScheduledExecutorService scheduler) {
--- a/src/main/java/io/waxwingquay/side/SideNodeBuilder.java
+++ b/src/main/java/io/waxwingquay/side/SideNodeBuilder.java
@@ -10,7 +10,7 @@
 import io.waxwingquay.ledger.MemoryLedger.Snapshot;
 import io.waxwingquay.membership.Membership;
 import io.waxwingquay.permit.Permits;
-import io.waxwingquay.suspect.SuspectBook;
+import io.waxwingquay.suspect.SuspectRegistry;
 import io.waxwingquay.transport.Connections;
 import io.waxwingquay.transport.PeerProtocol;
 import io.waxwingquay.transport.generated.TargetKind;
@@ -33,7 +33,7 @@
     private RandomGenerator random;
     private BundleSource bundles;
     private Membership membership;
-    private SuspectBook suspects;
+    private SuspectRegistry suspects;
     private Connections connections;
     private PeerProtocol peer;
     private Permits permits;
@@ -111,7 +111,7 @@
      * @param value the book.
      * @return this builder.
      */
-    public SideNodeBuilder suspects(SuspectBook value) {
+    public SideNodeBuilder suspects(SuspectRegistry value) {
         suspects = value;
         return this;
     }
--- a/src/main/java/io/waxwingquay/suspect/SharedSuspects.java
+++ b/src/main/java/io/waxwingquay/suspect/SharedSuspects.java
@@ -1,7 +1,7 @@
 package io.waxwingquay.suspect;
 
 import io.waxwingquay.common.Clock;
-import io.waxwingquay.suspect.SuspectBook.Standing;
+import io.waxwingquay.suspect.SuspectRegistry.Standing;
 import io.waxwingquay.transport.generated.SuspectNews;
 import io.waxwingquay.transport.generated.SuspectRecord;
 import java.nio.charset.StandardCharsets;
@@ -86,7 +86,7 @@
      * @param target one life of the target; the same life counts once.
      * @param fingerprint the request's fingerprint.
      */
-    public void crashed(String target, long fingerprint) {
+    public void recordCrash(String target, long fingerprint) {
         table.recordCrash(crashId(target), Set.of(fingerprint));
     }
 
@@ -96,7 +96,7 @@
      * @param target the life of the target.
      * @param fingerprint the request's fingerprint.
      */
-    public void survived(String target, long fingerprint) {
+    public void retractCrash(String target, long fingerprint) {
         table.absolve(crashId(target), fingerprint);
     }
 
@@ -105,7 +105,7 @@
      *
      * @param fingerprint the request's fingerprint.
      */
-    public void answered(long fingerprint) {
+    public void recordSuccess(long fingerprint) {
         table.clear(fingerprint);
     }
 
@@ -114,7 +114,7 @@
      *
      * @return the number.
      */
-    public long count() {
+    public long countSuspected() {
         return table.snapshot().stream()
                 .filter(record -> table.standing(record.getFingerprint()) != Standing.CLEAR)
                 .count();
@@ -125,7 +125,7 @@
      *
      * @param news what it tells; {@code null} if nothing.
      */
-    public void take(List<SuspectNews> news) {
+    public void merge(List<SuspectNews> news) {
         long nowMillis = clockMillis.getAsLong();
         Optional.ofNullable(news)
                 .ifPresent(some -> table.merge(some.stream()
@@ -139,7 +139,7 @@
      *
      * @return a few records, bounded in number; empty if there is nothing to tell.
      */
-    public List<SuspectNews> page() {
+    public List<SuspectNews> nextUpdate() {
         if (table.isEmpty()) {
             return List.of();
         }
--- a/src/main/java/io/waxwingquay/suspect/SuspectBook.java
+++ b/src/main/java/io/waxwingquay/suspect/SuspectRegistry.java
@@ -7,7 +7,7 @@
 /**
  * Fingerprints of requests that were running when targets crashed. Safe for concurrent use.
  */
-public interface SuspectBook {
+public interface SuspectRegistry {
 
     /**
      * How a request is to be treated.
--- a/src/main/java/io/waxwingquay/suspect/SuspectTable.java
+++ b/src/main/java/io/waxwingquay/suspect/SuspectTable.java
@@ -19,7 +19,7 @@
  * and any repetition of merges gives the same table. When the table is full it drops single-crash records first, as
  * losing a quarantine costs targets. What a good answer counts for is up to the factory that the table comes from.
  */
-public final class SuspectTable implements SuspectBook {
+public final class SuspectTable implements SuspectRegistry {
 
     private static final int QUARANTINE_CRASHES = 2;
     private static final int MAX_CRASH_IDS = 8;
--- a/src/test/java/io/waxwingquay/admission/RetryBudgetTest.java
+++ b/src/test/java/io/waxwingquay/admission/RetryBudgetTest.java
@@ -26,8 +26,8 @@
         for (boolean first : isFirstTry) {
             if (first) {
                 firsts++;
-                budget.noteFirstTry();
-            } else if (budget.tryRetry()) {
+                budget.recordFirstAttempt();
+            } else if (budget.tryAcquire()) {
                 retries++;
             }
             assertTrue(retries <= burst + 0.1 * firsts);
@@ -37,13 +37,13 @@
     @Test
     void earnsOneRetryForTenFirstTries() {
         RetryBudget budget = RetryBudget.of(0.1, 1);
-        assertTrue(budget.tryRetry());
-        assertFalse(budget.tryRetry());
+        assertTrue(budget.tryAcquire());
+        assertFalse(budget.tryAcquire());
         for (int first = 0; first < 10; first++) {
-            budget.noteFirstTry();
+            budget.recordFirstAttempt();
         }
-        assertTrue(budget.tryRetry());
-        assertFalse(budget.tryRetry());
+        assertTrue(budget.tryAcquire());
+        assertFalse(budget.tryAcquire());
     }
 
     // Many entries share a slack of 100, of which a fifth is kept back. Each might save up a whole retry, so that a
@@ -54,25 +54,25 @@
         Random random = new Random(7);
         AtomicLong nowMillis = new AtomicLong();
         List<RetryBudget> entries = IntStream.range(0, 320)
-                .mapToObj(number -> RetryBudget.sharedBy(0.2, 80.0 / 320, random.nextDouble(), nowMillis::get))
+                .mapToObj(number -> RetryBudget.shared(0.2, 80.0 / 320, random.nextDouble(), nowMillis::get))
                 .toList();
         entries.forEach(RetryBudgetTest::earnOne);
         nowMillis.addAndGet(10_001);
-        long retries = entries.stream().filter(RetryBudget::tryRetry).count();
+        long retries = entries.stream().filter(RetryBudget::tryAcquire).count();
         assertTrue(retries <= 100, () -> retries + " retries");
     }
 
     // The same, and the service is in use: what an entry earns itself it may spend, however small its part.
     @Test
     void entryWithASmallPartSpendsWhatItEarns() {
-        RetryBudget budget = RetryBudget.sharedBy(0.2, 0.25, 0, () -> 0L);
-        assertFalse(budget.tryRetry());
+        RetryBudget budget = RetryBudget.shared(0.2, 0.25, 0, () -> 0L);
+        assertFalse(budget.tryAcquire());
         earnOne(budget);
-        assertTrue(budget.tryRetry());
+        assertTrue(budget.tryAcquire());
     }
 
     private static void earnOne(RetryBudget budget) {
-        IntStream.range(0, 5).forEach(first -> budget.noteFirstTry());
+        IntStream.range(0, 5).forEach(first -> budget.recordFirstAttempt());
     }
 
     // Entries come and go, and with them each one's part of the budget. If a part that grows again were filled at once,
@@ -82,10 +82,10 @@
         RetryBudget budget = RetryBudget.of(0.2, 10);
         budget.limitBurst(2);
         budget.limitBurst(10);
-        assertEquals(2.0, budget.available());
-        assertTrue(budget.tryRetry());
-        assertTrue(budget.tryRetry());
-        assertFalse(budget.tryRetry());
+        assertEquals(2.0, budget.availableRetries());
+        assertTrue(budget.tryAcquire());
+        assertTrue(budget.tryAcquire());
+        assertFalse(budget.tryAcquire());
     }
 
     @Property(tries = 200, seed = "20261202")
@@ -97,22 +97,22 @@
 
     @Test
     void comeBackTimeFollowsTheMeasuredDrainRate() {
-        ComeBack comeBack = new ComeBack(100, 60_000, 0);
+        RetryAfterEstimator comeBack = new RetryAfterEstimator(100, 60_000, 0);
         for (int finished = 0; finished < 10; finished++) {
-            comeBack.noteFinished(finished * 100);
+            comeBack.recordCompletion(finished * 100);
         }
-        long afterMillis = comeBack.afterMillis(20, 1_000, new Random(1));
+        long afterMillis = comeBack.delayMillis(20, 1_000, new Random(1));
         assertTrue(
                 afterMillis >= 2_000 && afterMillis <= 3_000, "ten a second drain twenty in 2 s, got " + afterMillis);
     }
 
     @Test
     void onlyWhatDidNotRunIsRetriedForCallsThatRunAtMostOnce() {
-        assertTrue(RetryRule.AT_MOST_ONCE.allows(Execution.DID_NOT_RUN, RefusalReason.OVERLOADED, 1_000, 5));
-        assertFalse(RetryRule.AT_MOST_ONCE.allows(Execution.UNKNOWN, RefusalReason.TARGET_DOWN, 1_000, 5));
-        assertTrue(RetryRule.IDEMPOTENT.allows(Execution.UNKNOWN, RefusalReason.TARGET_DOWN, 1_000, 5));
-        assertFalse(RetryRule.IDEMPOTENT.allows(Execution.DID_NOT_RUN, RefusalReason.QUARANTINED, 1_000, 5));
-        assertFalse(RetryRule.IDEMPOTENT.allows(Execution.DID_NOT_RUN, RefusalReason.OVERLOADED, 5, 5));
-        assertEquals(true, RetryRule.isCheap(RefusalReason.LEAVING));
+        assertTrue(RetryPolicy.AT_MOST_ONCE.allows(Execution.DID_NOT_RUN, RefusalReason.OVERLOADED, 1_000, 5));
+        assertFalse(RetryPolicy.AT_MOST_ONCE.allows(Execution.UNKNOWN, RefusalReason.TARGET_DOWN, 1_000, 5));
+        assertTrue(RetryPolicy.IDEMPOTENT.allows(Execution.UNKNOWN, RefusalReason.TARGET_DOWN, 1_000, 5));
+        assertFalse(RetryPolicy.IDEMPOTENT.allows(Execution.DID_NOT_RUN, RefusalReason.QUARANTINED, 1_000, 5));
+        assertFalse(RetryPolicy.IDEMPOTENT.allows(Execution.DID_NOT_RUN, RefusalReason.OVERLOADED, 5, 5));
+        assertEquals(true, RetryPolicy.isCheap(RefusalReason.LEAVING));
     }
 }
--- a/src/test/java/io/waxwingquay/admission/SharedRateTest.java
+++ b/src/test/java/io/waxwingquay/admission/SharedRateTest.java
@@ -24,15 +24,15 @@
     @ParameterizedTest
     @CsvSource({"1, 3.7", "5, 2.8", "8, 0.5", "25, 3.7", "31, 12", "320, 3.7", "320, 60"})
     void sendersKeepTheRateTogetherAfterAQuietTime(int senders, double perSecond) {
-        List<SharedRate> parts = IntStream.range(0, senders)
-                .mapToObj(number -> SharedRate.of(perSecond, senders, random.nextDouble(), 0))
+        List<SharedRateLimiter> parts = IntStream.range(0, senders)
+                .mapToObj(number -> SharedRateLimiter.of(perSecond, senders, random.nextDouble(), 0))
                 .toList();
         Deque<Long> sent = new ArrayDeque<>();
         int most = 0;
         for (long now = QUIET_MILLIS; now < QUIET_MILLIS + BUSY_MILLIS; now += STEP_MILLIS) {
-            for (SharedRate part : parts) {
+            for (SharedRateLimiter part : parts) {
                 if (part.waitMillis(now) == 0) {
-                    part.sent(now);
+                    part.recordSent(now);
                     sent.add(now);
                 }
             }
@@ -49,14 +49,14 @@
     @ParameterizedTest
     @CsvSource({"1, 3.7", "5, 2.8", "25, 3.7", "320, 60"})
     void sendersUseTheRateWhileDemandIsThere(int senders, double perSecond) {
-        List<SharedRate> parts = IntStream.range(0, senders)
-                .mapToObj(number -> SharedRate.of(perSecond, senders, random.nextDouble(), 0))
+        List<SharedRateLimiter> parts = IntStream.range(0, senders)
+                .mapToObj(number -> SharedRateLimiter.of(perSecond, senders, random.nextDouble(), 0))
                 .toList();
         long sent = 0;
         for (long now = 0; now < QUIET_MILLIS; now += 5) {
-            for (SharedRate part : parts) {
+            for (SharedRateLimiter part : parts) {
                 if (part.waitMillis(now) == 0) {
-                    part.sent(now);
+                    part.recordSent(now);
                     sent++;
                 }
             }
--- a/src/test/java/io/waxwingquay/claim/BatchQueueLincheckTest.java
+++ b/src/test/java/io/waxwingquay/claim/BatchQueueLincheckTest.java
@@ -19,7 +19,7 @@
 
     @Operation
     public List<Integer> finished() {
-        return queue.finished();
+        return queue.completeBatch();
     }
 
     @Test
--- a/src/test/java/io/waxwingquay/claim/GroupCommitterTest.java
+++ b/src/test/java/io/waxwingquay/claim/GroupCommitterTest.java
@@ -23,7 +23,7 @@
     void writesThatComeWhileOneIsInFlightShareATransaction() {
         CompletableFuture<Void> hold = new CompletableFuture<>();
         table.holdCommit(hold);
-        List<CompletableFuture<Optional<GroupCommitter.Found>>> results = new ArrayList<>();
+        List<CompletableFuture<Optional<GroupCommitter.Conflict>>> results = new ArrayList<>();
         for (int number = 0; number < 10; number++) {
             results.add(committer.commit(new Write("k" + number, 0, "v" + number)));
         }
--- a/src/test/java/io/waxwingquay/entry/ClaimedCallTest.java
+++ b/src/test/java/io/waxwingquay/entry/ClaimedCallTest.java
@@ -185,7 +185,7 @@
         assertEquals(200, deposit(one, "k1", BODY).status());
         await(() -> fakes.table
                 .row(ROW)
-                .map(row -> ClaimRecord.ofJson(row.value()).state())
+                .map(row -> ClaimRecord.fromJson(row.value()).state())
                 .filter(state -> state == ClaimRecord.State.SETTLED)
                 .isPresent());
     }
--- a/src/test/java/io/waxwingquay/entry/Fakes.java
+++ b/src/test/java/io/waxwingquay/entry/Fakes.java
@@ -6,7 +6,7 @@
 import io.waxwingquay.common.HostPort;
 import io.waxwingquay.membership.Membership;
 import io.waxwingquay.membership.Side;
-import io.waxwingquay.suspect.SuspectBook;
+import io.waxwingquay.suspect.SuspectRegistry;
 import io.waxwingquay.transport.Connections;
 import io.waxwingquay.transport.SideProtocol;
 import io.waxwingquay.transport.generated.SideRecord;
@@ -28,7 +28,7 @@
     final FakeTable table = new FakeTable();
     final FakeSide first = new FakeSide("side-1", 1);
     final FakeSide second = new FakeSide("side-2", 2);
-    final SuspectBook suspects = new InMemorySuspects();
+    final SuspectRegistry suspects = new InMemorySuspects();
     final List<String> leaving = new ArrayList<>();
     List<FakeSide> present = List.of(first, second);
     Optional<Bundle> bundle = Optional.of(new Bundle(
@@ -105,7 +105,7 @@
     public void onAdopted(Consumer<Bundle> listener) {}
 
     /** A book in which one crash is enough. */
-    private static final class InMemorySuspects implements SuspectBook {
+    private static final class InMemorySuspects implements SuspectRegistry {
 
         private final Set<Long> quarantined = ConcurrentHashMap.newKeySet();
 
--- a/src/test/java/io/waxwingquay/forward/SuspicionTest.java
+++ b/src/test/java/io/waxwingquay/forward/SuspicionTest.java
@@ -146,9 +146,9 @@
     void oneAmongManyIsFoundWithTwoReplicasAndNoneBesideItIsRefused() {
         Random random = new Random(17);
         for (int round = 0; round < 50; round++) {
-            suspects.shared().answered(POISON);
+            suspects.shared().recordSuccess(POISON);
             nowMillis += 700_000;
-            suspects.shared().page();
+            suspects.shared().nextUpdate();
             List<Target> fleet = new ArrayList<>();
             for (int number = 0; number < 5; number++) {
                 fleet.add(target("r" + round + "-" + number));
--- a/src/test/java/io/waxwingquay/ledger/MemoryLedgerTest.java
+++ b/src/test/java/io/waxwingquay/ledger/MemoryLedgerTest.java
@@ -52,7 +52,7 @@
     @Test
     void neverFreesAnEvictionThatIsNotConfirmed() {
         MemoryLedger ledger = readLedger(100L, new Resident("a", 80L));
-        assertTrue(ledger.evict("a", "o1"));
+        assertTrue(ledger.beginEviction("a", "o1"));
         clock.advance(10L * QUARANTINE_MILLIS);
         assertFalse(ledger.reserve("b", 80L, "o2"));
         ledger.observe(report("b1", List.of(), new Resident("a", 80L)));
@@ -86,7 +86,7 @@
     void keepsCountingLostOrdersOverARestartOfTheEngine() {
         MemoryLedger ledger = readLedger(100L);
         assertTrue(ledger.reserve("a", 60L, "o1"));
-        ledger.noteLost();
+        ledger.recordLostAnswer();
         Observation seen = ledger.observe(report("b2", List.of()));
         assertTrue(seen.rebooted());
         assertEquals(State.UNKNOWN, ledger.snapshot().holdings().get("a").state());
@@ -100,9 +100,9 @@
     void doesNotEvictWhatARequestUses() {
         MemoryLedger ledger = readLedger(100L, new Resident("a", 80L));
         assertTrue(ledger.pin("a"));
-        assertFalse(ledger.evict("a", "o1"));
+        assertFalse(ledger.beginEviction("a", "o1"));
         ledger.unpin("a");
-        assertTrue(ledger.evict("a", "o1"));
+        assertTrue(ledger.beginEviction("a", "o1"));
         assertFalse(ledger.pin("a"));
     }
 
@@ -163,7 +163,7 @@
 
         @Operation
         public boolean evict() {
-            return ledger.evict("a", "e");
+            return ledger.beginEviction("a", "e");
         }
 
         @Operation
@@ -211,7 +211,7 @@
 
         private void evict(String item) {
             String id = "o" + count++;
-            if (ledger.evict(item, id)) {
+            if (ledger.beginEviction(item, id)) {
                 send(new Order(id, OrderKind.EVICT, item, 0L, 1L));
             }
         }
@@ -226,7 +226,7 @@
 
         private void send(Order order) {
             underWay.add(order);
-            ledger.noteLost();
+            ledger.recordLostAnswer();
         }
 
         private void arrive(int pick) {
--- a/src/test/java/io/waxwingquay/membership/GossipTest.java
+++ b/src/test/java/io/waxwingquay/membership/GossipTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import io.waxwingquay.suspect.SuspectBook.Standing;
+import io.waxwingquay.suspect.SuspectRegistry.Standing;
 import io.waxwingquay.transport.generated.GossipRequest;
 import io.waxwingquay.transport.generated.SideState;
 import java.util.List;
--- a/src/test/java/io/waxwingquay/permit/LentPermitsTest.java
+++ b/src/test/java/io/waxwingquay/permit/LentPermitsTest.java
@@ -29,7 +29,7 @@
     @Test
     void aReplicaWithoutSlotsBorrowsFromOthers() {
         world.open();
-        assertEquals(0, world.slots(3).of(Limit.WEIGHT_LOADS));
+        assertEquals(0, world.slots(3).assignedSlots(Limit.WEIGHT_LOADS));
         assertTrue(world.acquire(3).isPresent());
         assertTrue(world.acquire(3).isPresent());
         assertTrue(world.acquire(0).isPresent());
--- a/src/test/java/io/waxwingquay/permit/PermitHomeLincheckTest.java
+++ b/src/test/java/io/waxwingquay/permit/PermitHomeLincheckTest.java
@@ -16,7 +16,7 @@
 
     private static final long LEASE_MILLIS = 10;
 
-    private final PermitHome home = openHome();
+    private final PermitLender home = openHome();
 
     @Operation
     public boolean borrow(@Param(name = "permit") int permit) {
@@ -26,7 +26,7 @@
 
     @Operation
     public boolean giveBack(@Param(name = "permit") int permit) {
-        return home.giveBack(new PermitReturn(Limit.ADAPTER_LOADS.name(), "permit-" + permit));
+        return home.returnPermit(new PermitReturn(Limit.ADAPTER_LOADS.name(), "permit-" + permit));
     }
 
     @Test
@@ -39,7 +39,7 @@
                 .check(PermitHomeLincheckTest.class);
     }
 
-    private static PermitHome openHome() {
+    private static PermitLender openHome() {
         long[] nowMillis = {0};
         Clock clock = new Clock() {
             @Override
@@ -52,7 +52,7 @@
                 return nowMillis[0];
             }
         };
-        PermitHome home = new PermitHome(clock, LEASE_MILLIS, LEASE_MILLIS, new PermitHome.Slots(0, 1, 0, 0, 2));
+        PermitLender home = new PermitLender(clock, LEASE_MILLIS, LEASE_MILLIS, new PermitLender.Slots(0, 1, 0, 0, 2));
         nowMillis[0] = LEASE_MILLIS;
         home.heartbeat();
         return home;
--- a/src/test/java/io/waxwingquay/permit/PermitWorld.java
+++ b/src/test/java/io/waxwingquay/permit/PermitWorld.java
@@ -34,9 +34,9 @@
     private final int replicas;
     private final int weightLoads;
     private final double loadsPerSecond;
-    private final List<PermitHome> homes = new ArrayList<>();
-    private final List<LentPermits> holders = new ArrayList<>();
-    private final List<LentPermits> retired = new ArrayList<>();
+    private final List<PermitLender> homes = new ArrayList<>();
+    private final List<LeasedPermits> holders = new ArrayList<>();
+    private final List<LeasedPermits> retired = new ArrayList<>();
     private final MemberTable table;
     private Supplier<Fate> fate = () -> Fate.DELIVERED;
     private long nowMillis = 5_000;
@@ -78,7 +78,7 @@
         long untilMillis = nowMillis + millis;
         while (nowMillis < untilMillis) {
             nowMillis = Math.min(untilMillis, nowMillis + PAUSE_MILLIS);
-            homes.forEach(PermitHome::heartbeat);
+            homes.forEach(PermitLender::heartbeat);
         }
     }
 
@@ -111,11 +111,11 @@
 
     int inUse() {
         return Stream.concat(holders.stream(), retired.stream())
-                .mapToInt(holder -> holder.inUse(Limit.WEIGHT_LOADS))
+                .mapToInt(holder -> holder.countInUse(Limit.WEIGHT_LOADS))
                 .sum();
     }
 
-    PermitHome home(int replica) {
+    PermitLender home(int replica) {
         return homes.get(replica);
     }
 
@@ -124,23 +124,23 @@
     }
 
     void giveBackTo(int replica, PermitReturn request) {
-        home(replica).giveBack(request);
+        home(replica).returnPermit(request);
     }
 
-    PermitHome.Slots slots(int replica) {
-        return new PermitHome.Slots(replica, replicas, weightLoads, loadsPerSecond, 0);
+    PermitLender.Slots slots(int replica) {
+        return new PermitLender.Slots(replica, replicas, weightLoads, loadsPerSecond, 0);
     }
 
-    private PermitHome newHome(int replica) {
-        return new PermitHome(clock, LEASE_MILLIS, PAUSE_MILLIS, slots(replica));
+    private PermitLender newHome(int replica) {
+        return new PermitLender(clock, LEASE_MILLIS, PAUSE_MILLIS, slots(replica));
     }
 
-    private LentPermits newHolder(int replica) {
-        return LentPermits.forHolder("side-" + replica, homes.get(replica))
-                .reaching("models", table, new LossyConnections())
-                .deciding(clock, new Random(replica + retired.size() * (long) replicas))
-                .limitedTo(limit -> weightLoads)
-                .bounded(replicas, LEASE_MILLIS, MARGIN_MILLIS)
+    private LeasedPermits newHolder(int replica) {
+        return LeasedPermits.forHolder("side-" + replica, homes.get(replica))
+                .withPeers("models", table, new LossyConnections())
+                .withClock(clock, new Random(replica + retired.size() * (long) replicas))
+                .withTotalSlots(limit -> weightLoads)
+                .withBounds(replicas, LEASE_MILLIS, MARGIN_MILLIS)
                 .build();
     }
 
@@ -184,7 +184,7 @@
             }
             Object answer = request instanceof PermitRequest borrow
                     ? home(replica).borrow(borrow)
-                    : (Object) home(replica).giveBack((PermitReturn) request);
+                    : (Object) home(replica).returnPermit((PermitReturn) request);
             return next == Fate.ANSWER_LOST
                     ? CompletableFuture.failedFuture(new TransportException(true, "answer lost", null))
                     : CompletableFuture.completedFuture(answer);
--- a/src/test/java/io/waxwingquay/placement/DriftComparisonTest.java
+++ b/src/test/java/io/waxwingquay/placement/DriftComparisonTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import io.waxwingquay.bundle.Bundle;
-import io.waxwingquay.placement.View.Holder;
+import io.waxwingquay.placement.PlacementInput.LiveSide;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.HashMap;
@@ -25,13 +25,13 @@
     private static final int MINUTES = 240;
     private static final long CAPACITY_BYTES = 100;
     private static final int REQUESTS_A_SIDE = 12;
-    private static final DemandMarks MARKS = new DemandMarks(6, 2, 5 * 60_000);
+    private static final DemandThresholds MARKS = new DemandThresholds(6, 2, 5 * 60_000);
 
     @Test
     void underDriftThePlanKeepsEveryModelReachableAndServesMore() {
-        Outcome planned = run(Strategy.named("planned", MARKS));
-        Outcome fixed = run(Strategy.named("static", MARKS));
-        Outcome onMiss = run(Strategy.named("load-on-miss", MARKS));
+        Outcome planned = run(PlacementStrategy.named("planned", MARKS));
+        Outcome fixed = run(PlacementStrategy.named("static", MARKS));
+        Outcome onMiss = run(PlacementStrategy.named("load-on-miss", MARKS));
         System.out.printf("placement drift: planned %s, static %s, load-on-miss %s%n", planned, fixed, onMiss);
         assertEquals(0, planned.absentModelMinutes());
         assertEquals(0, fixed.absentModelMinutes());
@@ -39,7 +39,7 @@
         assertTrue(planned.served() > onMiss.served());
     }
 
-    private static Outcome run(Strategy strategy) {
+    private static Outcome run(PlacementStrategy strategy) {
         Random random = new Random(5);
         Bundle bundle = bundle(new Random(3));
         List<SketchSide> sides =
@@ -49,11 +49,12 @@
         for (int minute = 0; minute < MINUTES; minute++) {
             Map<String, Double> total = new HashMap<>();
             sides.forEach(side -> side.demand.forEach((item, units) -> total.merge(item, units, Double::sum)));
-            List<Holder> holders = sides.stream().map(SketchSide::holder).toList();
-            plan = strategy.plan(new View(bundle, "models", holders, total, plan.lowSinceMillis(), minute * 60_000L));
+            List<LiveSide> holders = sides.stream().map(SketchSide::holder).toList();
+            plan = strategy.plan(new PlacementInput(
+                    bundle, "models", holders, total, plan.lowDemandSinceMillis(), minute * 60_000L));
             int moves = 0;
             for (SketchSide side : sides) {
-                moves += side.follow(plan.of(side.id()), bundle);
+                moves += side.follow(plan.shareOf(side.id()), bundle);
             }
             // The first minutes fill empty sides, which every strategy must.
             Outcome minuteOutcome = serve(bundle, sides, minute, random);
@@ -133,8 +134,8 @@
             return "side-" + index;
         }
 
-        private Holder holder() {
-            return new Holder(id(), "dc-" + index % 3, CAPACITY_BYTES, Set.copyOf(resident), Map.copyOf(demand));
+        private LiveSide holder() {
+            return new LiveSide(id(), "dc-" + index % 3, CAPACITY_BYTES, Set.copyOf(resident), Map.copyOf(demand));
         }
 
         /** Loads what is wanted and evicts only for room; counts both. */
--- a/src/test/java/io/waxwingquay/placement/PlacementTest.java
+++ b/src/test/java/io/waxwingquay/placement/PlacementTest.java
@@ -6,7 +6,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import io.waxwingquay.bundle.Bundle;
-import io.waxwingquay.placement.View.Holder;
+import io.waxwingquay.placement.PlacementInput.LiveSide;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -25,17 +25,18 @@
     private static final String SERVICE = "models";
     private static final long CAPACITY_BYTES = 100;
     private static final long LARGEST_BYTES = 30;
-    private static final DemandMarks MARKS = new DemandMarks(3, 1, 60_000);
+    private static final DemandThresholds MARKS = new DemandThresholds(3, 1, 60_000);
 
-    private final Placement placement = new Placement(MARKS);
+    private final RendezvousPlacement placement = new RendezvousPlacement(MARKS);
 
     @Property(tries = 300, seed = "20261202")
     void withRoomEveryModelHasAHomeAndThePlanFits(@ForAll @IntRange(min = 1, max = 24) int sides, @ForAll long seed) {
         Random random = new Random(seed);
         Bundle bundle = bundle(modelsThatFit(sides, random));
-        View view = view(bundle, withRandomResidency(bundle, sides(sides), random), randomDemand(bundle, random));
+        PlacementInput view =
+                view(bundle, withRandomResidency(bundle, sides(sides), random), randomDemand(bundle, random));
         Plan plan = placement.plan(view);
-        assertEquals(List.of(), plan.homelessModels());
+        assertEquals(List.of(), plan.unplacedModels());
         bundle.models().forEach(model -> assertFalse(holders(plan, model.item()).isEmpty(), model.name()));
         assertFits(bundle, view, plan);
     }
@@ -45,19 +46,19 @@
             @ForAll @IntRange(min = 4, max = 24) int sides, @ForAll long seed) {
         Random random = new Random(seed);
         Bundle bundle = bundle(modelsThatFit((sides - 1) / 2, random));
-        View before = settled(view(bundle, sides(sides), Map.of()));
+        PlacementInput before = settled(view(bundle, sides(sides), Map.of()));
         Plan old = placement.plan(before);
-        Holder leaver = before.sides().get(random.nextInt(sides));
-        List<Holder> rest =
+        LiveSide leaver = before.sides().get(random.nextInt(sides));
+        List<LiveSide> rest =
                 before.sides().stream().filter(side -> side != leaver).toList();
         Plan next = placement.plan(view(bundle, rest, Map.of()));
         Set<String> moved = new HashSet<>();
-        rest.forEach(side -> next.of(side.id()).wantedItems().stream()
+        rest.forEach(side -> next.shareOf(side.id()).wantedItems().stream()
                 .filter(item -> !side.residentItems().contains(item))
                 .forEach(moved::add));
         assertTrue(
-                old.of(leaver.id()).wantedItems().containsAll(moved),
-                () -> "moved " + moved + " but the leaver held " + old.of(leaver.id()));
+                old.shareOf(leaver.id()).wantedItems().containsAll(moved),
+                () -> "moved " + moved + " but the leaver held " + old.shareOf(leaver.id()));
     }
 
     @Property(tries = 200, seed = "20261202")
@@ -65,21 +66,22 @@
             @ForAll @IntRange(min = 4, max = 24) int sides, @ForAll long seed) {
         Random random = new Random(seed);
         Bundle bundle = bundle(modelsThatFit(sides - 1, random));
-        View before = settled(view(bundle, sides(sides), Map.of()));
+        PlacementInput before = settled(view(bundle, sides(sides), Map.of()));
         Plan old = placement.plan(before);
-        List<Holder> rest = new ArrayList<>(before.sides());
+        List<LiveSide> rest = new ArrayList<>(before.sides());
         rest.remove(random.nextInt(sides));
         Plan next = placement.plan(view(bundle, rest, Map.of()));
-        rest.forEach(side -> assertTrue(
-                next.of(side.id()).wantedItems().containsAll(old.of(side.id()).protectedItems())));
-        assertEquals(List.of(), next.homelessModels());
+        rest.forEach(side -> assertTrue(next.shareOf(side.id())
+                .wantedItems()
+                .containsAll(old.shareOf(side.id()).protectedItems())));
+        assertEquals(List.of(), next.unplacedModels());
     }
 
     @Property(tries = 200, seed = "20261202")
     void aResidentModelIsProtectedAtOneSideOnly(@ForAll @IntRange(min = 1, max = 12) int sides, @ForAll long seed) {
         Random random = new Random(seed);
         Bundle bundle = bundle(modelsThatFit(sides, random));
-        View view = view(bundle, withRandomResidency(bundle, sides(sides), random), Map.of());
+        PlacementInput view = view(bundle, withRandomResidency(bundle, sides(sides), random), Map.of());
         Plan plan = placement.plan(view);
         bundle.models().stream().map(Bundle.Model::item).forEach(item -> {
             boolean isResident =
@@ -111,13 +113,14 @@
     void demandTakesTheRoomOfIdleSecondHomes() {
         Bundle bundle = bundle(List.of(50L, 50L, 50L));
         String busy = bundle.models().get(0).item();
-        View full = settled(view(bundle, sides(3), Map.of()));
-        View asked = new View(bundle, SERVICE, full.sides(), Map.of(busy, 20.0), Map.of(), 0);
+        PlacementInput full = settled(view(bundle, sides(3), Map.of()));
+        PlacementInput asked = new PlacementInput(bundle, SERVICE, full.sides(), Map.of(busy, 20.0), Map.of(), 0);
         Plan plan = placement.plan(asked);
-        Placement earlier = new Placement(MARKS, Placement.Order.SECOND_HOMES_FIRST);
+        RendezvousPlacement earlier =
+                new RendezvousPlacement(MARKS, RendezvousPlacement.Precedence.SECOND_COPIES_FIRST);
         assertEquals(2, holders(earlier.plan(asked), busy).size());
         assertEquals(3, holders(plan, busy).size());
-        assertEquals(List.of(), plan.homelessModels());
+        assertEquals(List.of(), plan.unplacedModels());
     }
 
     /*
@@ -128,26 +131,31 @@
     @Test
     void secondCopiesLeaveRoomForAdapters() {
         Bundle bundle = bundle(List.of(45L, 45L));
-        View view = view(bundle, sides(2), Map.of());
-        Plan roomy = new Placement(MARKS, Placement.Order.DEMAND_FIRST, 0.2).plan(view);
-        Plan full = new Placement(MARKS, Placement.Order.DEMAND_FIRST).plan(view);
+        PlacementInput view = view(bundle, sides(2), Map.of());
+        Plan roomy = new RendezvousPlacement(MARKS, RendezvousPlacement.Precedence.DEMAND_FIRST, 0.2).plan(view);
+        Plan full = new RendezvousPlacement(MARKS, RendezvousPlacement.Precedence.DEMAND_FIRST).plan(view);
         assertEquals(4, copies(full));
         assertTrue(copies(roomy) < 4);
-        assertEquals(List.of(), roomy.homelessModels());
+        assertEquals(List.of(), roomy.unplacedModels());
     }
 
     @Test
     void demandAddsReplicasAndGivesThemUpOnlyAfterTheHold() {
         Bundle bundle = bundle(List.of(20L));
         String item = bundle.models().get(0).item();
-        View busy = view(bundle, sides(6), Map.of(item, 12.0));
+        PlacementInput busy = view(bundle, sides(6), Map.of(item, 12.0));
         assertEquals(4, holders(placement.plan(busy), item).size());
-        View quiet = settled(busy);
-        quiet = new View(bundle, SERVICE, quiet.sides(), Map.of(item, 3.5), Map.of(), 0);
+        PlacementInput quiet = settled(busy);
+        quiet = new PlacementInput(bundle, SERVICE, quiet.sides(), Map.of(item, 3.5), Map.of(), 0);
         Plan held = placement.plan(quiet);
         assertEquals(4, holders(held, item).size());
-        View later =
-                new View(bundle, SERVICE, quiet.sides(), Map.of(item, 3.5), held.lowSinceMillis(), MARKS.holdMillis());
+        PlacementInput later = new PlacementInput(
+                bundle,
+                SERVICE,
+                quiet.sides(),
+                Map.of(item, 3.5),
+                held.lowDemandSinceMillis(),
+                MARKS.scaleDownDelayMillis());
         assertEquals(3, holders(placement.plan(later), item).size());
     }
 
@@ -156,31 +164,31 @@
         // A rollout replaces a model's version while its only replica holds the old one. Were that not protected, a
         // side in need of room could evict it before any side serves the new one, and callers find no replica.
         Bundle bundle = bundle(List.of(20L));
-        List<Holder> sides = new ArrayList<>(sides(3));
+        List<LiveSide> sides = new ArrayList<>(sides(3));
         sides.set(0, holding(sides.get(0), Set.of("model:m0@0")));
         Plan during = placement.plan(view(bundle, sides, Map.of()));
-        assertEquals(Set.of("model:m0@0"), during.of("side-0").protectedItems());
+        assertEquals(Set.of("model:m0@0"), during.shareOf("side-0").protectedItems());
         sides.set(1, holding(sides.get(1), Set.of("model:m0@1")));
         Plan after = placement.plan(view(bundle, sides, Map.of()));
-        assertEquals(Set.of(), after.of("side-0").protectedItems());
+        assertEquals(Set.of(), after.shareOf("side-0").protectedItems());
     }
 
     @Test
     void strategiesAreFoundByName() {
-        View view = view(bundle(List.of(20L)), sides(3), Map.of("model:m0@1", 100.0));
+        PlacementInput view = view(bundle(List.of(20L)), sides(3), Map.of("model:m0@1", 100.0));
         assertEquals(
                 2,
-                holders(Strategy.named("static", MARKS).plan(view), "model:m0@1")
+                holders(PlacementStrategy.named("static", MARKS).plan(view), "model:m0@1")
                         .size());
         assertEquals(
                 3,
-                holders(Strategy.named("planned", MARKS).plan(view), "model:m0@1")
+                holders(PlacementStrategy.named("planned", MARKS).plan(view), "model:m0@1")
                         .size());
         assertEquals(
                 0,
-                holders(Strategy.named("load-on-miss", MARKS).plan(view), "model:m0@1")
+                holders(PlacementStrategy.named("load-on-miss", MARKS).plan(view), "model:m0@1")
                         .size());
-        assertThrows(IllegalArgumentException.class, () -> Strategy.named("none", MARKS));
+        assertThrows(IllegalArgumentException.class, () -> PlacementStrategy.named("none", MARKS));
     }
 
     @Test
@@ -188,14 +196,14 @@
         int sides = 2_400;
         Random random = new Random(1);
         Bundle bundle = bundle(random.longs(620, 5, LARGEST_BYTES).boxed().toList());
-        View view = settled(view(bundle, sides(sides), randomDemand(bundle, random)));
+        PlacementInput view = settled(view(bundle, sides(sides), randomDemand(bundle, random)));
         IntStream.range(0, 10).forEach(ignored -> placement.plan(view));
         long startNanos = System.nanoTime();
         IntStream.range(0, 10).forEach(ignored -> placement.plan(view));
         System.out.printf(
                 "placement: %d sides, %d models, %.1f ms an evaluation%n",
                 sides, 620, (System.nanoTime() - startNanos) / 10 / 1e6);
-        View cold = view(bundle, sides(sides), Map.of());
+        PlacementInput cold = view(bundle, sides(sides), Map.of());
         startNanos = System.nanoTime();
         IntStream.range(0, 10).forEach(ignored -> placement.plan(cold));
         System.out.printf("placement: with nothing resident %.1f ms%n", (System.nanoTime() - startNanos) / 10 / 1e6);
@@ -203,19 +211,19 @@
     }
 
     /** The view after every side has loaded what it is to hold. */
-    private View settled(View view) {
+    private PlacementInput settled(PlacementInput view) {
         Plan plan = placement.plan(view);
-        List<Holder> loaded = view.sides().stream()
-                .map(side -> holding(side, Set.copyOf(plan.of(side.id()).wantedItems())))
+        List<LiveSide> loaded = view.sides().stream()
+                .map(side -> holding(side, Set.copyOf(plan.shareOf(side.id()).wantedItems())))
                 .toList();
         return view(view.bundle(), loaded, view.demandUnitsPerSecond());
     }
 
-    private static void assertFits(Bundle bundle, View view, Plan plan) {
+    private static void assertFits(Bundle bundle, PlacementInput view, Plan plan) {
         Map<String, Long> sizes = new HashMap<>();
         bundle.models().forEach(model -> sizes.put(model.item(), model.sizeBytes()));
         view.sides().forEach(side -> {
-            List<String> wanted = plan.of(side.id()).wantedItems();
+            List<String> wanted = plan.shareOf(side.id()).wantedItems();
             long usedBytes = wanted.stream().mapToLong(sizes::get).sum();
             assertTrue(usedBytes <= side.capacityBytes(), side.id());
             assertEquals(new HashSet<>(wanted).size(), wanted.size(), side.id());
@@ -234,7 +242,7 @@
         return sizes;
     }
 
-    private static List<Holder> withRandomResidency(Bundle bundle, List<Holder> sides, Random random) {
+    private static List<LiveSide> withRandomResidency(Bundle bundle, List<LiveSide> sides, Random random) {
         return sides.stream()
                 .map(side -> {
                     Set<String> items = new HashSet<>();
@@ -273,17 +281,17 @@
                 .sum();
     }
 
-    private static View view(Bundle bundle, List<Holder> sides, Map<String, Double> demand) {
-        return new View(bundle, SERVICE, sides, demand, Map.of(), 0);
+    private static PlacementInput view(Bundle bundle, List<LiveSide> sides, Map<String, Double> demand) {
+        return new PlacementInput(bundle, SERVICE, sides, demand, Map.of(), 0);
     }
 
-    private static Holder holding(Holder side, Set<String> items) {
-        return new Holder(side.id(), side.dataCentre(), side.capacityBytes(), items, Map.of());
+    private static LiveSide holding(LiveSide side, Set<String> items) {
+        return new LiveSide(side.id(), side.dataCentre(), side.capacityBytes(), items, Map.of());
     }
 
-    private static List<Holder> sides(int count) {
+    private static List<LiveSide> sides(int count) {
         return IntStream.range(0, count)
-                .mapToObj(index -> new Holder("side-" + index, "dc-" + index % 3, CAPACITY_BYTES, Set.of(), Map.of()))
+                .mapToObj(index -> new LiveSide("side-" + index, "dc-" + index % 3, CAPACITY_BYTES, Set.of(), Map.of()))
                 .toList();
     }
 
--- a/src/test/java/io/waxwingquay/process/PlannedItemsTest.java
+++ b/src/test/java/io/waxwingquay/process/PlannedItemsTest.java
@@ -7,8 +7,8 @@
 import io.waxwingquay.common.HostPort;
 import io.waxwingquay.membership.Membership;
 import io.waxwingquay.membership.Side;
-import io.waxwingquay.placement.DemandMarks;
-import io.waxwingquay.placement.Strategy;
+import io.waxwingquay.placement.DemandThresholds;
+import io.waxwingquay.placement.PlacementStrategy;
 import io.waxwingquay.side.WantedItems.Wanted;
 import io.waxwingquay.transport.generated.SideRecord;
 import io.waxwingquay.transport.generated.SideState;
@@ -32,7 +32,7 @@
             "s-0",
             "s",
             new Known(),
-            Strategy.named("planned", DemandMarks.DEFAULT),
+            PlacementStrategy.named("planned", DemandThresholds.DEFAULT),
             new Clock() {
                 @Override
                 public long monotonicMillis() {
--- a/src/test/java/io/waxwingquay/residency/SuspectRelayTest.java
+++ b/src/test/java/io/waxwingquay/residency/SuspectRelayTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 
 import io.waxwingquay.suspect.SharedSuspects;
-import io.waxwingquay.suspect.SuspectBook.Standing;
+import io.waxwingquay.suspect.SuspectRegistry.Standing;
 import io.waxwingquay.transport.generated.AdapterReply;
 import io.waxwingquay.transport.generated.EngineNews;
 import io.waxwingquay.transport.generated.EntryNews;
@@ -23,13 +23,13 @@
     // same.
     @Test
     void whatOneEntryTellsGoesOnFromEngineToEngineToTheOthers() {
-        entry.crashed("a", POISON);
-        entry.crashed("b", POISON);
-        relay.heard(PeerDatagram.entry(new EntryNews().setSuspects(entry.page())));
+        entry.recordCrash("a", POISON);
+        entry.recordCrash("b", POISON);
+        relay.heard(PeerDatagram.entry(new EntryNews().setSuspects(entry.nextUpdate())));
         SuspectRelay next = relay();
         next.heard(told(relay));
         SharedSuspects other = suspects();
-        other.take(told(next).getEngine().getSuspects());
+        other.merge(told(next).getEngine().getSuspects());
         assertEquals(Standing.QUARANTINED, other.standing(POISON));
     }
 
--- a/src/test/java/io/waxwingquay/routing/RouterTest.java
+++ b/src/test/java/io/waxwingquay/routing/RouterTest.java
@@ -33,7 +33,7 @@
         Set<SideView> admitted = new HashSet<>(
                 views.stream().filter(view -> query.admits(view.side())).toList());
         for (String name : POLICIES) {
-            List<SideView> ordered = new Router(Policy.named(name)).candidates(query, views, new Random(seed));
+            List<SideView> ordered = new Router(RoutingPolicy.named(name)).candidates(query, views, new Random(seed));
             assertEquals(admitted, new HashSet<>(ordered), name);
             assertEquals(admitted.size(), ordered.size(), name);
         }
@@ -43,7 +43,7 @@
     void sameInputGivesSameOrderAndSidesThatHoldTheModelComeFirst(@ForAll long seed) {
         List<SideView> views = randomViews(new Random(seed));
         RouteQuery query = query(Set.of());
-        Router router = new Router(Policy.named("waxwingquay"));
+        Router router = new Router(RoutingPolicy.named("waxwingquay"));
         List<SideView> ordered = router.candidates(query, views, new Random(seed));
         assertEquals(ordered, router.candidates(query, views, new Random(seed)));
         List<Boolean> lacksModel = ordered.stream()
@@ -55,9 +55,9 @@
     @Property(tries = 200, seed = "20261202")
     void firstPolicyPutsResidentAdaptersFirst(@ForAll long seed) {
         RouteQuery query = query(Set.of());
-        List<Integer> residency = new Router(Policy.named("waxwingquay-1"))
+        List<Integer> residency = new Router(RoutingPolicy.named("waxwingquay-1"))
                 .candidates(query, randomViews(new Random(seed)), new Random(seed)).stream()
-                        .map(view -> -query.residentItems(view.side()))
+                        .map(view -> -query.countResidentItems(view.side()))
                         .toList();
         assertEquals(residency.stream().sorted().toList(), residency);
     }
@@ -70,8 +70,8 @@
         RouteQuery query = query(Set.of("s1"));
         SideIndex index = SideIndex.of(views.stream().map(SideView::side).toList());
         for (String name : POLICIES) {
-            Router router = new Router(Policy.named(name));
-            List<Side> considered = router.policy().considered(query, index);
+            Router router = new Router(RoutingPolicy.named(name));
+            List<Side> considered = router.policy().relevantSides(query, index);
             List<SideView> seen = views.stream()
                     .filter(view -> considered.contains(view.side()))
                     .toList();
@@ -108,7 +108,7 @@
                 view(side("b", Set.of(), true), 30, 0),
                 view(side("c", Set.of(), true), 20, 0));
         List<SideView> ordered =
-                new Router(Policy.named("waxwingquay")).candidates(query(Set.of()), views, new Random(1));
+                new Router(RoutingPolicy.named("waxwingquay")).candidates(query(Set.of()), views, new Random(1));
         assertEquals(
                 List.of("b", "c", "a"), ordered.stream().map(v -> v.side().id()).toList());
     }
@@ -117,7 +117,7 @@
     void busySideLosesThePrefixBonus() {
         List<SideView> idle =
                 List.of(view(side("a", Set.of(MODEL), true), 0, 0), view(side("b", Set.of(MODEL), true), 0, 0));
-        Router router = new Router(Policy.named("waxwingquay"));
+        Router router = new Router(RoutingPolicy.named("waxwingquay"));
         String home = router.candidates(query(Set.of()), idle, new Random(1))
                 .get(0)
                 .side()
@@ -134,11 +134,11 @@
 
     @Test
     void loadBoardJoinsTheLatestReportWithOwnRequests() {
-        LoadBoard board = new LoadBoard();
+        LoadTracker board = new LoadTracker();
         Side side = side("a", Set.of(), true);
-        board.noteSent("a");
-        board.noteReport("a", new LoadReport(1, 2, 300, 10, 5, 0), 1_000);
-        board.noteReport("a", new LoadReport(9, 9, 900, 10, 5, 500), 1_100);
+        board.recordSent("a");
+        board.recordReport("a", new LoadReport(1, 2, 300, 10, 5, 0), 1_000);
+        board.recordReport("a", new LoadReport(9, 9, 900, 10, 5, 500), 1_100);
         SideView view = board.views(List.of(side), 1_500).get(0);
         assertEquals(2, view.queued(), "a report that is older at its source does not replace a newer one");
         assertEquals(500, view.reportAgeMillis());
@@ -147,12 +147,13 @@
 
     @Test
     void namesTheUnknownPolicy() {
-        IllegalArgumentException failure = assertThrows(IllegalArgumentException.class, () -> Policy.named("fastest"));
+        IllegalArgumentException failure =
+                assertThrows(IllegalArgumentException.class, () -> RoutingPolicy.named("fastest"));
         assertTrue(failure.getMessage().contains("'fastest'"));
     }
 
     private static String first(List<SideView> views) {
-        return new Router(Policy.named("waxwingquay"))
+        return new Router(RoutingPolicy.named("waxwingquay"))
                 .candidates(query(Set.of()), views, new Random(1))
                 .get(0)
                 .side()
--- a/src/test/java/io/waxwingquay/scenario/CallPathWorld.java
+++ b/src/test/java/io/waxwingquay/scenario/CallPathWorld.java
@@ -18,8 +18,8 @@
 import io.waxwingquay.common.HostPort;
 import io.waxwingquay.common.HttpCalls;
 import io.waxwingquay.entry.EntryNode;
+import io.waxwingquay.placement.PlacementInput;
 import io.waxwingquay.placement.Plan;
-import io.waxwingquay.placement.View;
 import io.waxwingquay.process.EntryProcess;
 import io.waxwingquay.process.SideProcess;
 import io.waxwingquay.settings.EntrySettings;
@@ -334,13 +334,13 @@
                 .start());
     }
 
-    private static Plan planEverything(View view) {
+    private static Plan planEverything(PlacementInput view) {
         List<String> items = view.bundle().models().stream()
                 .filter(model -> model.service().equals(view.service()))
                 .map(Bundle.Model::item)
                 .toList();
         Map<String, Plan.Share> shares = view.sides().stream()
-                .collect(Collectors.toMap(View.Holder::id, holder -> new Plan.Share(items, Set.of())));
+                .collect(Collectors.toMap(PlacementInput.LiveSide::id, holder -> new Plan.Share(items, Set.of())));
         return new Plan(shares, Map.of(), List.of());
     }
 
--- a/src/test/java/io/waxwingquay/side/RolloutTest.java
+++ b/src/test/java/io/waxwingquay/side/RolloutTest.java
@@ -8,10 +8,10 @@
 import io.waxwingquay.ledger.MemoryLedger.Snapshot;
 import io.waxwingquay.ledger.MemoryLedger.State;
 import io.waxwingquay.membership.Side;
-import io.waxwingquay.placement.DemandMarks;
+import io.waxwingquay.placement.DemandThresholds;
+import io.waxwingquay.placement.PlacementInput;
+import io.waxwingquay.placement.PlacementStrategy;
 import io.waxwingquay.placement.Plan;
-import io.waxwingquay.placement.Strategy;
-import io.waxwingquay.placement.View;
 import io.waxwingquay.side.WantedItems.Wanted;
 import io.waxwingquay.transport.generated.SideState;
 import io.waxwingquay.transport.generated.TargetKind;
@@ -64,9 +64,9 @@
         List<Side> sides = held.keySet().stream()
                 .map(each -> side(each, List.copyOf(held.keySet()).indexOf(each), held.get(each)))
                 .toList();
-        Plan.Share share = Strategy.named("planned", DemandMarks.DEFAULT)
-                .plan(View.of(bundle, "s", sides, Plan.EMPTY, 0L))
-                .of(name);
+        Plan.Share share = PlacementStrategy.named("planned", DemandThresholds.DEFAULT)
+                .plan(PlacementInput.of(bundle, "s", sides, Plan.EMPTY, 0L))
+                .shareOf(name);
         Wanted wanted = new Wanted(share.wantedItems(), share.protectedItems());
         ResidencyPlan decided =
                 ResidencyPlan.decide(snapshot(held.get(name)), wanted, List.of(), RolloutTest::size, item -> 0L);
--- a/src/test/java/io/waxwingquay/side/SideBench.java
+++ b/src/test/java/io/waxwingquay/side/SideBench.java
@@ -9,7 +9,7 @@
 import io.waxwingquay.membership.Membership;
 import io.waxwingquay.membership.Side;
 import io.waxwingquay.permit.Permits;
-import io.waxwingquay.suspect.SuspectBook;
+import io.waxwingquay.suspect.SuspectRegistry;
 import io.waxwingquay.transport.Connections;
 import io.waxwingquay.transport.SideProtocol;
 import io.waxwingquay.transport.generated.ModelCall;
@@ -210,7 +210,7 @@
     }
 
     /** A book with standings set by hand. */
-    final class Suspects implements SuspectBook {
+    final class Suspects implements SuspectRegistry {
 
         final Map<Long, Standing> standings = new HashMap<>();
         final List<Long> crashed = new ArrayList<>();
--- a/src/test/java/io/waxwingquay/side/SideNodeTest.java
+++ b/src/test/java/io/waxwingquay/side/SideNodeTest.java
@@ -9,7 +9,7 @@
 import io.waxwingquay.engine.PlainService;
 import io.waxwingquay.engine.TargetException;
 import io.waxwingquay.engine.TargetException.Kind;
-import io.waxwingquay.suspect.SuspectBook.Standing;
+import io.waxwingquay.suspect.SuspectRegistry.Standing;
 import io.waxwingquay.transport.generated.AttemptState;
 import io.waxwingquay.transport.generated.Execution;
 import io.waxwingquay.transport.generated.PollAnswer;
--- a/src/test/java/io/waxwingquay/suspect/SharedSuspectsTest.java
+++ b/src/test/java/io/waxwingquay/suspect/SharedSuspectsTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import io.waxwingquay.suspect.SuspectBook.Standing;
+import io.waxwingquay.suspect.SuspectRegistry.Standing;
 import io.waxwingquay.transport.generated.EntryNews;
 import io.waxwingquay.transport.generated.SuspectNews;
 import java.util.ArrayList;
@@ -29,31 +29,31 @@
     // know, and a third entry that has seen none has to know too.
     @Test
     void crashesSeenAtTwoEntriesCountTogether() {
-        entry1.crashed("a", POISON);
-        entry2.crashed("b", POISON);
+        entry1.recordCrash("a", POISON);
+        entry2.recordCrash("b", POISON);
         assertEquals(Standing.SUSPECT, entry1.standing(POISON));
-        side.take(entry1.page());
-        side.take(entry2.page());
+        side.merge(entry1.nextUpdate());
+        side.merge(entry2.nextUpdate());
         SharedSuspects entry3 = suspects();
-        List.of(entry1, entry2, entry3).forEach(entry -> entry.take(side.page()));
+        List.of(entry1, entry2, entry3).forEach(entry -> entry.merge(side.nextUpdate()));
         List.of(entry1, entry2, entry3).forEach(entry -> assertEquals(Standing.QUARANTINED, entry.standing(POISON)));
     }
 
     // Two entries lose requests that look alike to the same crash. It is one crash, and condemns nothing.
     @Test
     void oneCrashSeenAtTwoEntriesIsOneCrash() {
-        entry1.crashed("a", POISON);
-        entry2.crashed("a", POISON);
-        entry1.take(entry2.page());
+        entry1.recordCrash("a", POISON);
+        entry2.recordCrash("a", POISON);
+        entry1.merge(entry2.nextUpdate());
         assertEquals(Standing.SUSPECT, entry1.standing(POISON));
     }
 
     @Test
     void goodAnswerTakesBackWhatWasKnownBeforeIt() {
-        entry1.crashed("a", POISON);
-        entry1.answered(POISON);
+        entry1.recordCrash("a", POISON);
+        entry1.recordSuccess(POISON);
         assertEquals(Standing.CLEAR, entry1.standing(POISON));
-        entry1.crashed("b", POISON);
+        entry1.recordCrash("b", POISON);
         assertEquals(Standing.SUSPECT, entry1.standing(POISON));
     }
 
@@ -62,20 +62,20 @@
     // minutes.
     @Test
     void goodAnswerFreesARefusedOneEverywhere() {
-        entry1.crashed("a", POISON);
-        entry1.crashed("b", POISON);
-        entry2.take(entry1.page());
+        entry1.recordCrash("a", POISON);
+        entry1.recordCrash("b", POISON);
+        entry2.merge(entry1.nextUpdate());
         assertEquals(Standing.QUARANTINED, entry2.standing(POISON));
-        entry1.answered(POISON);
-        entry2.take(entry1.page());
+        entry1.recordSuccess(POISON);
+        entry2.merge(entry1.nextUpdate());
         assertEquals(Standing.CLEAR, entry2.standing(POISON));
     }
 
     @Test
     void crashThatWasNoneCountsNoMore() {
-        entry1.crashed("a", POISON);
-        entry1.crashed("b", POISON);
-        entry1.survived("a", POISON);
+        entry1.recordCrash("a", POISON);
+        entry1.recordCrash("b", POISON);
+        entry1.retractCrash("a", POISON);
         assertEquals(Standing.SUSPECT, entry1.standing(POISON));
     }
 
@@ -83,40 +83,40 @@
     @Test
     void orderAndRepetitionOfDatagramsDoNotMatter() {
         List<List<SuspectNews>> sent = new ArrayList<>();
-        entry1.crashed("a", POISON);
-        sent.add(entry1.page());
-        entry1.answered(POISON);
-        sent.add(entry1.page());
-        entry1.crashed("b", POISON);
-        sent.add(entry1.page());
+        entry1.recordCrash("a", POISON);
+        sent.add(entry1.nextUpdate());
+        entry1.recordSuccess(POISON);
+        sent.add(entry1.nextUpdate());
+        entry1.recordCrash("b", POISON);
+        sent.add(entry1.nextUpdate());
         for (int round = 0; round < 20; round++) {
             SharedSuspects other = suspects();
             for (int number = 0; number < 8; number++) {
-                other.take(sent.get(random.nextInt(sent.size())));
+                other.merge(sent.get(random.nextInt(sent.size())));
             }
-            sent.forEach(other::take);
+            sent.forEach(other::merge);
             assertEquals(Standing.SUSPECT, other.standing(POISON));
         }
     }
 
     @Test
     void lostDatagramsAreMadeUpForByLaterOnes() {
-        entry1.crashed("a", POISON);
-        entry1.crashed("b", POISON);
-        entry1.page();
-        entry1.page();
-        side.take(entry1.page());
+        entry1.recordCrash("a", POISON);
+        entry1.recordCrash("b", POISON);
+        entry1.nextUpdate();
+        entry1.nextUpdate();
+        side.merge(entry1.nextUpdate());
         assertEquals(Standing.QUARANTINED, side.standing(POISON));
     }
 
     // An entry starts anew while it is the only one that saw the crashes. The processes beside engines know still.
     @Test
     void restartedEntryLearnsFromTheOthers() {
-        entry1.crashed("a", POISON);
-        entry1.crashed("b", POISON);
-        side.take(entry1.page());
+        entry1.recordCrash("a", POISON);
+        entry1.recordCrash("b", POISON);
+        side.merge(entry1.nextUpdate());
         SharedSuspects restarted = suspects();
-        restarted.take(side.page());
+        restarted.merge(side.nextUpdate());
         assertEquals(Standing.QUARANTINED, restarted.standing(POISON));
     }
 
@@ -124,27 +124,27 @@
     // age on its way; if each telling made it younger, an innocent one would never go free.
     @Test
     void suspectThatIsToldToAndFroGoesFree() {
-        entry1.crashed("a", POISON);
-        entry1.crashed("b", POISON);
+        entry1.recordCrash("a", POISON);
+        entry1.recordCrash("b", POISON);
         long endMillis = nowMillis + RETENTION_MILLIS;
         while (nowMillis < endMillis) {
-            List<SuspectNews> there = entry1.page();
-            List<SuspectNews> back = side.page();
+            List<SuspectNews> there = entry1.nextUpdate();
+            List<SuspectNews> back = side.nextUpdate();
             nowMillis += 400;
-            side.take(there);
-            entry1.take(back);
+            side.merge(there);
+            entry1.merge(back);
         }
         assertEquals(Standing.CLEAR, entry1.standing(POISON));
         assertEquals(Standing.CLEAR, side.standing(POISON));
-        assertEquals(List.of(), side.page());
+        assertEquals(List.of(), side.nextUpdate());
         assertTrue(side.isEmpty());
     }
 
     @Test
     void tellingAnOldRecordDoesNotKeepItLonger() {
-        entry1.crashed("a", POISON);
+        entry1.recordCrash("a", POISON);
         nowMillis += RETENTION_MILLIS - 5_000;
-        side.take(entry1.page());
+        side.merge(entry1.nextUpdate());
         nowMillis += 5_000;
         assertEquals(Standing.CLEAR, side.standing(POISON));
     }
@@ -154,53 +154,54 @@
     @Test
     void eachOfManySuspectsIsToldWithinSomeDatagrams() {
         for (long fingerprint = 0; fingerprint < 100; fingerprint++) {
-            entry1.crashed("a", fingerprint);
+            entry1.recordCrash("a", fingerprint);
         }
         for (int number = 0; number < 100; number++) {
-            side.take(entry1.page());
+            side.merge(entry1.nextUpdate());
         }
-        long heard = side.count();
+        long heard = side.countSuspected();
         assertTrue(heard >= 99, "heard of " + heard);
     }
 
     @Test
     void refusedOnesAreToldBesideManySuspects() {
         for (long fingerprint = 100; fingerprint < 400; fingerprint++) {
-            entry1.crashed("a", fingerprint);
+            entry1.recordCrash("a", fingerprint);
         }
-        entry1.crashed("a", POISON);
-        entry1.crashed("b", POISON);
-        side.take(entry1.page());
+        entry1.recordCrash("a", POISON);
+        entry1.recordCrash("b", POISON);
+        side.merge(entry1.nextUpdate());
         assertEquals(Standing.QUARANTINED, side.standing(POISON));
     }
 
     @Test
     void memoryAndDatagramsAreBounded() throws Exception {
         for (long fingerprint = 0; fingerprint < 3_000; fingerprint++) {
-            entry1.crashed("a", random.nextLong());
+            entry1.recordCrash("a", random.nextLong());
             long busy = random.nextLong();
-            entry1.crashed("a", busy);
-            entry1.crashed("b", busy);
+            entry1.recordCrash("a", busy);
+            entry1.recordCrash("b", busy);
         }
-        assertTrue(entry1.count() <= 512, "records " + entry1.count());
-        assertTrue(entry1.page().size() <= 16, "told " + entry1.page().size());
+        assertTrue(entry1.countSuspected() <= 512, "records " + entry1.countSuspected());
+        assertTrue(
+                entry1.nextUpdate().size() <= 16, "told " + entry1.nextUpdate().size());
         byte[] encoded = new TSerializer(new TCompactProtocol.Factory())
-                .serialize(new EntryNews().setNode("n").setNumber(1).setSuspects(entry1.page()));
+                .serialize(new EntryNews().setNode("n").setNumber(1).setSuspects(entry1.nextUpdate()));
         assertTrue(encoded.length < 700, "bytes " + encoded.length);
     }
 
     @Test
     void datagramThatTellsTooMuchOrNothingIsTakenInPart() {
-        side.take(null);
+        side.merge(null);
         List<SuspectNews> many = new ArrayList<>();
         for (long fingerprint = 0; fingerprint < 5_000; fingerprint++) {
             many.add(new SuspectNews(fingerprint, Set.of(1L, 2L), Set.of(), Long.MAX_VALUE));
         }
-        side.take(many);
-        assertTrue(side.count() <= 64, "records " + side.count());
-        side.take(List.of(new SuspectNews().setFingerprint(POISON)));
+        side.merge(many);
+        assertTrue(side.countSuspected() <= 64, "records " + side.countSuspected());
+        side.merge(List.of(new SuspectNews().setFingerprint(POISON)));
         nowMillis += RETENTION_MILLIS;
-        assertEquals(0, side.count());
+        assertEquals(0, side.countSuspected());
     }
 
     private SharedSuspects suspects() {
--- a/src/test/java/io/waxwingquay/suspect/SuspectTableTest.java
+++ b/src/test/java/io/waxwingquay/suspect/SuspectTableTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 
 import io.waxwingquay.common.Clock;
-import io.waxwingquay.suspect.SuspectBook.Standing;
+import io.waxwingquay.suspect.SuspectRegistry.Standing;
 import io.waxwingquay.transport.generated.SuspectRecord;
 import java.util.ArrayList;
 import java.util.Collections;
