--- a/src/main/java/io/waxwingquay/admission/Backoff.java
+++ b/src/main/java/io/waxwingquay/admission/Backoff.java
@@ -21,8 +21,8 @@
      * @return milliseconds, between half of the doubled wait and all of it.
      */
     public long delayMillis(int retry, RandomGenerator random) {
-        long doubled = initialDelayMillis << Math.min(retry, MAXIMUM_DOUBLINGS);
-        long limit = Math.max(1, Math.min(maximumDelayMillis, doubled));
-        return limit - random.nextLong(limit / 2 + 1);
+        long doubledMillis = initialDelayMillis << Math.min(retry, MAXIMUM_DOUBLINGS);
+        long limitMillis = Math.max(1, Math.min(maximumDelayMillis, doubledMillis));
+        return limitMillis - random.nextLong(limitMillis / 2 + 1);
     }
 }
--- a/src/main/java/io/waxwingquay/admission/RetryAfterEstimator.java
+++ b/src/main/java/io/waxwingquay/admission/RetryAfterEstimator.java
@@ -9,12 +9,12 @@
 public final class RetryAfterEstimator {
 
     private static final long MILLIS_PER_SECOND = 1_000L;
-    private static final double SMOOTHING = 0.3;
+    private static final double SMOOTHING_FACTOR = 0.3;
 
     private final long minimumMillis;
     private final long maximumMillis;
     private long windowStartMillis;
-    private long finishedInWindow;
+    private long completedInWindow;
     private double drainedPerSecond;
 
     /**
@@ -36,8 +36,8 @@
      * @param nowMillis the monotonic time.
      */
     public synchronized void recordCompletion(long nowMillis) {
-        finishedInWindow++;
-        roll(nowMillis);
+        completedInWindow++;
+        rollWindow(nowMillis);
     }
 
     /**
@@ -49,7 +49,7 @@
      * @return milliseconds.
      */
     public synchronized long delayMillis(long waiting, long nowMillis, RandomGenerator random) {
-        roll(nowMillis);
+        rollWindow(nowMillis);
         return delayMillis(waiting, drainedPerSecond, minimumMillis, maximumMillis, random);
     }
 
@@ -65,20 +65,21 @@
      */
     public static long delayMillis(
             long waiting, double drainedPerSecond, long minimumMillis, long maximumMillis, RandomGenerator random) {
-        double neededMillis = waiting == 0 ? 0 : waiting * MILLIS_PER_SECOND / Math.max(drainedPerSecond, 1e-9);
-        long boundedMillis = (long) Math.min(maximumMillis, Math.max(minimumMillis, neededMillis));
+        double drainMillis = waiting == 0 ? 0 : waiting * MILLIS_PER_SECOND / Math.max(drainedPerSecond, 1e-9);
+        long boundedMillis = (long) Math.min(maximumMillis, Math.max(minimumMillis, drainMillis));
         return boundedMillis + random.nextLong(boundedMillis / 2 + 1);
     }
 
-    private void roll(long nowMillis) {
+    private void rollWindow(long nowMillis) {
         long elapsedMillis = nowMillis - windowStartMillis;
         if (elapsedMillis < MILLIS_PER_SECOND) {
             return;
         }
-        double measured = finishedInWindow * (double) MILLIS_PER_SECOND / elapsedMillis;
-        drainedPerSecond =
-                drainedPerSecond == 0 ? measured : drainedPerSecond + SMOOTHING * (measured - drainedPerSecond);
+        double measuredPerSecond = completedInWindow * (double) MILLIS_PER_SECOND / elapsedMillis;
+        drainedPerSecond = drainedPerSecond == 0
+                ? measuredPerSecond
+                : drainedPerSecond + SMOOTHING_FACTOR * (measuredPerSecond - drainedPerSecond);
         windowStartMillis = nowMillis;
-        finishedInWindow = 0;
+        completedInWindow = 0;
     }
 }
--- a/src/main/java/io/waxwingquay/admission/RetryBudget.java
+++ b/src/main/java/io/waxwingquay/admission/RetryBudget.java
@@ -18,49 +18,52 @@
     private static final long MICRO_TOKENS_PER_RETRY = 1_000_000L;
 
     /** What was earned by first tries counts for as long as the bound counts those. */
-    private static final long EARNED_MILLIS = 10_000L;
+    private static final long EARNED_RETENTION_MILLIS = 10_000L;
 
-    private final long earnedMicroTokens;
-    private final double draw;
+    private final long microTokensPerAttempt;
+    private final double roundingOffset;
     private final LongSupplier clockMillis;
     private final AtomicLong microTokens;
     private volatile long burstMicroTokens;
-    private volatile long triedMillis;
+    private volatile long lastAttemptMillis;
 
-    private RetryBudget(long earnedMicroTokens, double part, double draw, LongSupplier clockMillis) {
-        this.earnedMicroTokens = earnedMicroTokens;
-        this.draw = draw;
+    private RetryBudget(
+            long microTokensPerAttempt, double burstShare, double roundingOffset, LongSupplier clockMillis) {
+        this.microTokensPerAttempt = microTokensPerAttempt;
+        this.roundingOffset = roundingOffset;
         this.clockMillis = clockMillis;
-        this.burstMicroTokens = burst(part);
+        this.burstMicroTokens = roundedBurstMicroTokens(burstShare);
         this.microTokens = new AtomicLong(burstMicroTokens);
-        this.triedMillis = clockMillis.getAsLong();
+        this.lastAttemptMillis = clockMillis.getAsLong();
     }
 
     /**
      * A budget that starts full, of a sender with a bound of its own.
      *
-     * @param share retries allowed for each first try, between 0 and 1.
+     * @param retryRatio retries allowed for each first try, between 0 and 1.
      * @param burst the most retries that may be saved up.
      * @return the budget.
      */
-    public static RetryBudget of(double share, int burst) {
-        return shared(share, burst, 0, () -> 0L);
+    public static RetryBudget of(double retryRatio, int burst) {
+        return shared(retryRatio, burst, 0, () -> 0L);
     }
 
     /**
      * One sender's part of a budget that several share without talking to each other.
      *
-     * @param share retries allowed for each first try, between 0 and 1.
-     * @param part the most retries that all may save up, divided by the number of senders.
-     * @param draw from 0 up to 1; each sender draws its own.
+     * @param retryRatio retries allowed for each first try, between 0 and 1.
+     * @param burstShare the most retries that all may save up, divided by the number of senders.
+     * @param roundingOffset from 0 up to 1; each sender draws its own.
      * @param clockMillis the steady time.
      * @return the part.
      */
-    public static RetryBudget shared(double share, double part, double draw, LongSupplier clockMillis) {
-        if (!(share >= 0 && share <= 1)) {
-            throw new IllegalArgumentException("retry share " + share + " is not between 0 and 1");
+    public static RetryBudget shared(
+            double retryRatio, double burstShare, double roundingOffset, LongSupplier clockMillis) {
+        if (!(retryRatio >= 0 && retryRatio <= 1)) {
+            throw new IllegalArgumentException("retry share " + retryRatio + " is not between 0 and 1");
         }
-        return new RetryBudget(Math.round(share * MICRO_TOKENS_PER_RETRY), part, draw, clockMillis);
+        return new RetryBudget(
+                Math.round(retryRatio * MICRO_TOKENS_PER_RETRY), burstShare, roundingOffset, clockMillis);
     }
 
     /**
@@ -76,18 +79,18 @@
      * Sets how many retries may be saved up from now on. What is saved is cut to that, and never raised: a number that
      * goes down and up again must not fill the budget anew.
      *
-     * @param part the most retries that may be saved up; of several senders, divided by their number.
+     * @param burstShare the most retries that may be saved up; of several senders, divided by their number.
      */
-    public void limitBurst(double part) {
-        burstMicroTokens = burst(part);
-        microTokens.updateAndGet(held -> Math.min(held, mostMicroTokens()));
+    public void limitBurst(double burstShare) {
+        burstMicroTokens = roundedBurstMicroTokens(burstShare);
+        microTokens.updateAndGet(current -> Math.min(current, maxMicroTokens()));
     }
 
     /** Notes a first try, which earns a share of a retry. */
     public void recordFirstAttempt() {
-        lapse();
-        triedMillis = clockMillis.getAsLong();
-        microTokens.updateAndGet(held -> Math.min(mostMicroTokens(), held + earnedMicroTokens));
+        expireEarnedTokens();
+        lastAttemptMillis = clockMillis.getAsLong();
+        microTokens.updateAndGet(current -> Math.min(maxMicroTokens(), current + microTokensPerAttempt));
     }
 
     /**
@@ -96,24 +99,24 @@
      * @return whether the retry may be sent.
      */
     public boolean tryAcquire() {
-        lapse();
-        long before =
-                microTokens.getAndUpdate(held -> held >= MICRO_TOKENS_PER_RETRY ? held - MICRO_TOKENS_PER_RETRY : held);
+        expireEarnedTokens();
+        long before = microTokens.getAndUpdate(
+                current -> current >= MICRO_TOKENS_PER_RETRY ? current - MICRO_TOKENS_PER_RETRY : current);
         return before >= MICRO_TOKENS_PER_RETRY;
     }
 
-    private void lapse() {
-        if (clockMillis.getAsLong() - triedMillis > EARNED_MILLIS) {
-            microTokens.updateAndGet(held -> Math.min(held, burstMicroTokens));
+    private void expireEarnedTokens() {
+        if (clockMillis.getAsLong() - lastAttemptMillis > EARNED_RETENTION_MILLIS) {
+            microTokens.updateAndGet(current -> Math.min(current, burstMicroTokens));
         }
     }
 
-    private long burst(double part) {
-        return (long) (part + draw) * MICRO_TOKENS_PER_RETRY;
+    private long roundedBurstMicroTokens(double burstShare) {
+        return (long) (burstShare + roundingOffset) * MICRO_TOKENS_PER_RETRY;
     }
 
     /** Whatever its part, a sender may earn a whole retry. */
-    private long mostMicroTokens() {
+    private long maxMicroTokens() {
         return Math.max(MICRO_TOKENS_PER_RETRY, burstMicroTokens);
     }
 }
--- a/src/main/java/io/waxwingquay/admission/SharedRateLimiter.java
+++ b/src/main/java/io/waxwingquay/admission/SharedRateLimiter.java
@@ -11,22 +11,22 @@
 public final class SharedRateLimiter {
 
     /** What all senders together may hold saved: this many requests, or what the rate gives in a second if that is more. */
-    private static final double SAVED_REQUESTS = 5.0;
+    private static final double BURST_REQUESTS = 5.0;
 
     /** A lower rate is taken for this one; a sender that sends nothing would never hear that the limit is gone. */
-    private static final double LEAST_PER_SECOND = 0.01;
+    private static final double MIN_PER_SECOND = 0.01;
 
     private static final double MILLIS_PER_SECOND = 1_000.0;
 
     private double perSecond;
     private int senders;
-    private double earned;
-    private long atMillis;
+    private double tokens;
+    private long refilledAtMillis;
 
-    private SharedRateLimiter(double perSecond, int senders, double earned, long nowMillis) {
-        this.earned = earned;
-        this.atMillis = nowMillis;
-        set(perSecond, senders);
+    private SharedRateLimiter(double perSecond, int senders, double tokens, long nowMillis) {
+        this.tokens = tokens;
+        this.refilledAtMillis = nowMillis;
+        setRate(perSecond, senders);
     }
 
     /**
@@ -50,8 +50,8 @@
      * @param nowMillis the steady time.
      */
     public void reconfigure(double newPerSecond, int newSenders, long nowMillis) {
-        earn(nowMillis);
-        set(newPerSecond, newSenders);
+        refill(nowMillis);
+        setRate(newPerSecond, newSenders);
     }
 
     /**
@@ -61,8 +61,8 @@
      * @return the time, 0 if it may now.
      */
     public long waitMillis(long nowMillis) {
-        earn(nowMillis);
-        return earned >= 1 ? 0 : (long) Math.ceil((1 - earned) / partPerSecond() * MILLIS_PER_SECOND);
+        refill(nowMillis);
+        return tokens >= 1 ? 0 : (long) Math.ceil((1 - tokens) / sharePerSecond() * MILLIS_PER_SECOND);
     }
 
     /**
@@ -71,24 +71,24 @@
      * @param nowMillis the steady time.
      */
     public void recordSent(long nowMillis) {
-        earn(nowMillis);
-        earned = Math.max(0, earned - 1);
+        refill(nowMillis);
+        tokens = Math.max(0, tokens - 1);
     }
 
-    private void set(double newPerSecond, int newSenders) {
-        perSecond = Math.max(LEAST_PER_SECOND, newPerSecond);
+    private void setRate(double newPerSecond, int newSenders) {
+        perSecond = Math.max(MIN_PER_SECOND, newPerSecond);
         senders = Math.max(1, newSenders);
     }
 
-    private double partPerSecond() {
+    private double sharePerSecond() {
         return perSecond / senders;
     }
 
-    private void earn(long nowMillis) {
-        earned += Math.max(0, nowMillis - atMillis) / MILLIS_PER_SECOND * partPerSecond();
-        atMillis = nowMillis;
-        double validSeconds = Math.max(SAVED_REQUESTS, perSecond) / perSecond;
-        double validPart = validSeconds * partPerSecond();
-        earned = validPart >= 1 ? Math.min(1, earned) : earned % (1 + validPart);
+    private void refill(long nowMillis) {
+        tokens += Math.max(0, nowMillis - refilledAtMillis) / MILLIS_PER_SECOND * sharePerSecond();
+        refilledAtMillis = nowMillis;
+        double retentionSeconds = Math.max(BURST_REQUESTS, perSecond) / perSecond;
+        double retainedTokens = retentionSeconds * sharePerSecond();
+        tokens = retainedTokens >= 1 ? Math.min(1, tokens) : tokens % (1 + retainedTokens);
     }
 }
--- a/src/main/java/io/waxwingquay/claim/BatchQueue.java
+++ b/src/main/java/io/waxwingquay/claim/BatchQueue.java
@@ -38,7 +38,7 @@
      */
     public synchronized List<T> add(T item) {
         waiting.add(item);
-        return inFlight ? List.of() : take();
+        return inFlight ? List.of() : nextBatch();
     }
 
     /**
@@ -48,16 +48,16 @@
      */
     public synchronized List<T> completeBatch() {
         inFlight = false;
-        return take();
+        return nextBatch();
     }
 
-    private List<T> take() {
+    private List<T> nextBatch() {
         List<T> batch = new ArrayList<>();
         List<T> rest = new ArrayList<>();
         Set<String> keys = new HashSet<>();
         for (T item : waiting) {
-            boolean fits = batch.size() < maximumItems && keys.add(keyOf.apply(item));
-            (fits ? batch : rest).add(item);
+            boolean isAccepted = batch.size() < maximumItems && keys.add(keyOf.apply(item));
+            (isAccepted ? batch : rest).add(item);
         }
         waiting = rest;
         inFlight = !batch.isEmpty();
--- a/src/main/java/io/waxwingquay/claim/ClaimRecord.java
+++ b/src/main/java/io/waxwingquay/claim/ClaimRecord.java
@@ -103,7 +103,7 @@
                 attemptId,
                 sideId,
                 sideEpoch,
-                after(Event.SETTLE),
+                nextState(Event.SETTLE),
                 requestFingerprint,
                 Optional.of(answer),
                 claimedAtEpochMillis);
@@ -119,7 +119,7 @@
                 attemptId,
                 sideId,
                 sideEpoch,
-                after(Event.WITHDRAW),
+                nextState(Event.WITHDRAW),
                 requestFingerprint,
                 Optional.empty(),
                 claimedAtEpochMillis);
@@ -137,13 +137,13 @@
                 next.attemptId,
                 next.sideId,
                 next.sideEpoch,
-                after(Event.RECLAIM),
+                nextState(Event.RECLAIM),
                 next.requestFingerprint,
                 Optional.empty(),
                 next.claimedAtEpochMillis);
     }
 
-    private State after(Event event) {
+    private State nextState(Event event) {
         return CHART.next(state, event).orElse(state);
     }
 
--- a/src/main/java/io/waxwingquay/claim/ClaimStore.java
+++ b/src/main/java/io/waxwingquay/claim/ClaimStore.java
@@ -83,17 +83,17 @@
     private CompletableFuture<StoredClaim> write(String rowKey, long version, ClaimRecord record) {
         return committer
                 .commit(new TableService.Write(rowKey, version, record.toJson()))
-                .handle((found, failure) -> {
+                .handle((conflict, failure) -> {
                     if (failure != null) {
                         throw new ClaimException("claim '" + rowKey + "' could not be written", failure);
                     }
-                    return found.map(other -> foreign(rowKey, other))
+                    return conflict.map(other -> storedByOther(rowKey, other))
                             .orElseGet(() -> new StoredClaim(true, record, version + 1));
                 });
     }
 
-    private static StoredClaim foreign(String rowKey, GroupCommitter.Conflict found) {
-        Optional<TableService.Row> row = found.row();
+    private static StoredClaim storedByOther(String rowKey, GroupCommitter.Conflict conflict) {
+        Optional<TableService.Row> row = conflict.row();
         return row.map(held -> new StoredClaim(false, ClaimRecord.fromJson(held.value()), held.version()))
                 .orElseThrow(() -> new ClaimException("claim '" + rowKey + "' has vanished from the table", null));
     }
--- a/src/main/java/io/waxwingquay/claim/GroupCommitter.java
+++ b/src/main/java/io/waxwingquay/claim/GroupCommitter.java
@@ -16,11 +16,11 @@
  */
 public final class GroupCommitter {
 
-    private static final int MAXIMUM_TRIES = 2;
+    private static final int MAXIMUM_COMMIT_ATTEMPTS = 2;
 
     private final TableService table;
     private final Executor executor;
-    private final BatchQueue<Pending> queue;
+    private final BatchQueue<PendingWrite> queue;
 
     /**
      * A committer.
@@ -44,7 +44,7 @@
      *     the write may then still take effect later.
      */
     public CompletableFuture<Optional<Conflict>> commit(TableService.Write write) {
-        Pending pending = new Pending(write, new CompletableFuture<>());
+        PendingWrite pending = new PendingWrite(write, new CompletableFuture<>());
         send(queue.add(pending));
         return pending.result();
     }
@@ -66,40 +66,41 @@
      */
     public record Conflict(Optional<TableService.Row> row) {}
 
-    private void send(List<Pending> batch) {
+    private void send(List<PendingWrite> batch) {
         if (!batch.isEmpty()) {
-            settle(batch, 1).whenCompleteAsync((done, failure) -> send(queue.completeBatch()), executor);
+            commitBatch(batch, 1).whenCompleteAsync((done, failure) -> send(queue.completeBatch()), executor);
         }
     }
 
-    private CompletableFuture<Void> settle(List<Pending> batch, int tryNumber) {
+    private CompletableFuture<Void> commitBatch(List<PendingWrite> batch, int attemptNumber) {
         if (batch.isEmpty()) {
             return CompletableFuture.completedFuture(null);
         }
         return call(batch)
                 .handleAsync(
                         (result, failure) -> failure == null
-                                ? onResult(batch, result, tryNumber)
-                                : onFailure(batch, unwrap(failure), tryNumber),
+                                ? onResult(batch, result, attemptNumber)
+                                : onFailure(batch, unwrap(failure), attemptNumber),
                         executor)
                 .thenCompose(next -> next);
     }
 
-    private CompletableFuture<TableService.CommitResult> call(List<Pending> batch) {
+    private CompletableFuture<TableService.CommitResult> call(List<PendingWrite> batch) {
         try {
-            return table.commit(batch.stream().map(Pending::write).toList());
+            return table.commit(batch.stream().map(PendingWrite::write).toList());
         } catch (RuntimeException failure) {
             return CompletableFuture.failedFuture(failure);
         }
     }
 
-    private CompletableFuture<Void> onResult(List<Pending> batch, TableService.CommitResult result, int tryNumber) {
+    private CompletableFuture<Void> onResult(
+            List<PendingWrite> batch, TableService.CommitResult result, int attemptNumber) {
         if (result.committed()) {
-            batch.forEach(Pending::took);
+            batch.forEach(PendingWrite::completeApplied);
             return CompletableFuture.completedFuture(null);
         }
         Map<String, Optional<TableService.Row>> conflicts = result.conflicts();
-        List<Pending> rest = batch.stream()
+        List<PendingWrite> rest = batch.stream()
                 .filter(pending -> !conflicts.containsKey(pending.write().key()))
                 .toList();
         if (rest.size() == batch.size()) {
@@ -108,8 +109,9 @@
         }
         batch.stream()
                 .filter(pending -> conflicts.containsKey(pending.write().key()))
-                .forEach(pending -> pending.found(conflicts.get(pending.write().key())));
-        return settle(rest, tryNumber);
+                .forEach(pending ->
+                        pending.completeAgainst(conflicts.get(pending.write().key())));
+        return commitBatch(rest, attemptNumber);
     }
 
     /**
@@ -117,7 +119,7 @@
      * names the attempt. A write still under way when it is read back is caught by the repeated commit, which
      * then conflicts with its own value.
      */
-    private CompletableFuture<Void> onFailure(List<Pending> batch, Throwable failure, int tryNumber) {
+    private CompletableFuture<Void> onFailure(List<PendingWrite> batch, Throwable failure, int attemptNumber) {
         if (!(failure instanceof PlatformException.Unavailable)) {
             fail(batch, failure);
             return CompletableFuture.completedFuture(null);
@@ -129,13 +131,13 @@
                                 fail(batch, failure);
                                 return CompletableFuture.<Void>completedFuture(null);
                             }
-                            return afterReadBack(batch, rows, failure, tryNumber);
+                            return afterReadBack(batch, rows, failure, attemptNumber);
                         },
                         executor)
                 .thenCompose(next -> next);
     }
 
-    private CompletableFuture<Map<String, TableService.Row>> readBack(List<Pending> batch) {
+    private CompletableFuture<Map<String, TableService.Row>> readBack(List<PendingWrite> batch) {
         try {
             return table.read(
                     batch.stream().map(pending -> pending.write().key()).toList());
@@ -145,22 +147,22 @@
     }
 
     private CompletableFuture<Void> afterReadBack(
-            List<Pending> batch, Map<String, TableService.Row> rows, Throwable failure, int tryNumber) {
-        List<Pending> open = batch.stream()
+            List<PendingWrite> batch, Map<String, TableService.Row> rows, Throwable failure, int attemptNumber) {
+        List<PendingWrite> unchanged = batch.stream()
                 .filter(pending -> pending.isUnchanged(rows.get(pending.write().key())))
                 .toList();
         batch.stream()
-                .filter(pending -> !open.contains(pending))
-                .forEach(pending -> pending.found(
+                .filter(pending -> !unchanged.contains(pending))
+                .forEach(pending -> pending.completeAgainst(
                         Optional.ofNullable(rows.get(pending.write().key()))));
-        if (tryNumber < MAXIMUM_TRIES) {
-            return settle(open, tryNumber + 1);
+        if (attemptNumber < MAXIMUM_COMMIT_ATTEMPTS) {
+            return commitBatch(unchanged, attemptNumber + 1);
         }
-        fail(open, failure);
+        fail(unchanged, failure);
         return CompletableFuture.completedFuture(null);
     }
 
-    private static void fail(List<Pending> batch, Throwable failure) {
+    private static void fail(List<PendingWrite> batch, Throwable failure) {
         batch.forEach(pending -> pending.result().completeExceptionally(failure));
     }
 
@@ -168,13 +170,13 @@
         return failure instanceof CompletionException && failure.getCause() != null ? failure.getCause() : failure;
     }
 
-    private record Pending(TableService.Write write, CompletableFuture<Optional<Conflict>> result) {
+    private record PendingWrite(TableService.Write write, CompletableFuture<Optional<Conflict>> result) {
 
-        private void took() {
+        private void completeApplied() {
             result.complete(Optional.empty());
         }
 
-        private void found(Optional<TableService.Row> row) {
+        private void completeAgainst(Optional<TableService.Row> row) {
             boolean ours =
                     row.filter(found -> found.value().equals(write.value())).isPresent();
             result.complete(ours ? Optional.empty() : Optional.of(new Conflict(row)));
--- a/src/main/java/io/waxwingquay/ledger/MemoryLedger.java
+++ b/src/main/java/io/waxwingquay/ledger/MemoryLedger.java
@@ -33,14 +33,14 @@
     private long capacityBytes;
     private String bootId = "";
     private long quarantinedUntilMillis;
-    private long lastLostMillis;
+    private long lastLostAnswerMillis;
 
-    private MemoryLedger(long capacityBytes, Clock clock, long quarantineMillis, long firstQuarantineMillis) {
+    private MemoryLedger(long capacityBytes, Clock clock, long quarantineMillis, long initialQuarantineMillis) {
         this.capacityBytes = capacityBytes;
         this.clock = clock;
         this.quarantineMillis = quarantineMillis;
-        this.quarantinedUntilMillis = clock.monotonicMillis() + firstQuarantineMillis;
-        this.lastLostMillis = clock.monotonicMillis() - quarantineMillis - 1L;
+        this.quarantinedUntilMillis = clock.monotonicMillis() + initialQuarantineMillis;
+        this.lastLostAnswerMillis = clock.monotonicMillis() - quarantineMillis - 1L;
     }
 
     /**
@@ -80,7 +80,7 @@
         if (bootId.isEmpty() || sizeBytes > capacityBytes - countedBytes()) {
             return false;
         }
-        return move(item, Event.RESERVE, sizeBytes, orderId);
+        return transition(item, Event.RESERVE, sizeBytes, orderId);
     }
 
     /**
@@ -91,7 +91,7 @@
      * @return whether it was marked; false if it is not resident or a request uses it.
      */
     public synchronized boolean beginEviction(String item, String orderId) {
-        return !pins.containsKey(item) && move(item, Event.EVICT, sizeBytes(item), orderId);
+        return !pins.containsKey(item) && transition(item, Event.EVICT, sizeBytes(item), orderId);
     }
 
     /**
@@ -121,7 +121,7 @@
      * Notes that the answer to an order was lost, so that a copy of it may land late.
      */
     public synchronized void recordLostAnswer() {
-        lastLostMillis = clock.monotonicMillis();
+        lastLostAnswerMillis = clock.monotonicMillis();
     }
 
     /**
@@ -190,12 +190,12 @@
      * waited for stay counted, and are sent again under the same id.
      */
     private void forgetResidents() {
-        boolean mayLandLate = holdings.values().stream().anyMatch(Holding::awaitsLoad)
-                || clock.monotonicMillis() - lastLostMillis <= quarantineMillis;
+        boolean mayArriveLate = holdings.values().stream().anyMatch(Holding::awaitsLoad)
+                || clock.monotonicMillis() - lastLostAnswerMillis <= quarantineMillis;
         for (Holding holding : List.copyOf(holdings.values())) {
-            move(holding.item(), Event.REBOOT, holding.sizeBytes(), holding.orderId());
+            transition(holding.item(), Event.REBOOT, holding.sizeBytes(), holding.orderId());
         }
-        if (mayLandLate) {
+        if (mayArriveLate) {
             quarantine();
         }
     }
@@ -206,40 +206,40 @@
         Set<String> open = new HashSet<>();
         openOrders.forEach(order -> open.add(order.item()));
         for (Holding holding : List.copyOf(holdings.values())) {
-            boolean gone = !present.containsKey(holding.item()) && !open.contains(holding.item());
-            boolean freed = gone && move(holding.item(), Event.REPORT_ABSENT, 0L, "");
+            boolean isGone = !present.containsKey(holding.item()) && !open.contains(holding.item());
+            boolean freed = isGone && transition(holding.item(), Event.REPORT_ABSENT, 0L, "");
             if (freed && holding.state() == State.RESIDENT) {
                 vanished.add(holding.item());
             }
         }
-        present.forEach((item, sizeBytes) -> settlePresent(item, sizeBytes, adopted));
-        openOrders.forEach(order -> settleOpen(order, present.keySet(), adopted));
+        present.forEach((item, sizeBytes) -> reconcilePresent(item, sizeBytes, adopted));
+        openOrders.forEach(order -> reconcileOpen(order, present.keySet(), adopted));
         long surplusBytes = Math.max(0L, heldBytes() - capacityBytes);
         return new Observation(rebooted, List.copyOf(adopted), List.copyOf(vanished), surplusBytes);
     }
 
-    private void settlePresent(String item, long sizeBytes, List<String> adopted) {
+    private void reconcilePresent(String item, long sizeBytes, List<String> adopted) {
         Holding known = holdings.get(item);
         if (known == null) {
             adopted.add(item);
-            move(item, Event.REPORT_PRESENT, sizeBytes, "");
-        } else if (!move(item, Event.REPORT_PRESENT, sizeBytes, known.orderId())) {
+            transition(item, Event.REPORT_PRESENT, sizeBytes, "");
+        } else if (!transition(item, Event.REPORT_PRESENT, sizeBytes, known.orderId())) {
             holdings.put(item, new Holding(item, sizeBytes, known.state(), known.orderId()));
         }
     }
 
-    private void settleOpen(Order order, Set<String> present, List<String> adopted) {
+    private void reconcileOpen(Order order, Set<String> present, List<String> adopted) {
         String item = order.item();
         if (order.kind() == OrderKind.LOAD) {
-            if (move(item, Event.FIND_LOAD, order.bytes(), order.id())) {
+            if (transition(item, Event.FIND_LOAD, order.bytes(), order.id())) {
                 adopted.add(item);
             }
         } else if (present.contains(item)) {
-            move(item, Event.FIND_EVICTION, sizeBytes(item), order.id());
+            transition(item, Event.FIND_EVICTION, sizeBytes(item), order.id());
         }
     }
 
-    private boolean move(String item, Event event, long sizeBytes, String orderId) {
+    private boolean transition(String item, Event event, long sizeBytes, String orderId) {
         Holding known = holdings.get(item);
         Optional<State> next = CHART.next(known == null ? State.ABSENT : known.state(), event);
         next.ifPresent(state -> {
--- a/src/main/java/io/waxwingquay/permit/LeasedPermits.java
+++ b/src/main/java/io/waxwingquay/permit/LeasedPermits.java
@@ -33,36 +33,36 @@
  */
 public final class LeasedPermits implements Permits {
 
-    private final Builder wiring;
-    private final Map<String, Held> held = new ConcurrentHashMap<>();
+    private final Builder builder;
+    private final Map<String, Lease> leases = new ConcurrentHashMap<>();
 
-    private LeasedPermits(Builder wiring) {
-        this.wiring = wiring;
+    private LeasedPermits(Builder builder) {
+        this.builder = builder;
     }
 
     /**
      * Starts the wiring of a holder.
      *
      * @param holderId this side's name.
-     * @param home this replica's own home.
+     * @param lender this replica's own home.
      * @return a builder.
      */
-    public static Builder forHolder(String holderId, PermitLender home) {
-        return new Builder(holderId, home);
+    public static Builder forHolder(String holderId, PermitLender lender) {
+        return new Builder(holderId, lender);
     }
 
     /** {@inheritDoc} */
     @Override
     public CompletableFuture<Optional<Permit>> acquire(Limit limit) {
-        List<Lender> lenders = new ArrayList<>();
+        List<LenderClient> lenders = new ArrayList<>();
         lenders.add(ownLender());
-        lenders.addAll(otherLenders(limit));
-        return askNext(limit, lenders, 0);
+        lenders.addAll(peerLenders(limit));
+        return requestNext(limit, lenders, 0);
     }
 
     /** Extends the lease of every open permit; to be called several times within a lease. */
     public void renew() {
-        held.forEach((permitId, permit) -> permit.ask(permitId));
+        leases.forEach((permitId, lease) -> lease.request(permitId));
     }
 
     /**
@@ -72,124 +72,127 @@
      * @return permits open whose lease has not ended.
      */
     public int countInUse(Limit limit) {
-        long nowMillis = wiring.clock.monotonicMillis();
-        return (int) held.values().stream()
-                .filter(permit -> permit.limit == limit)
-                .filter(permit -> nowMillis < permit.usableUntilMillis)
+        long nowMillis = builder.clock.monotonicMillis();
+        return (int) leases.values().stream()
+                .filter(lease -> lease.limit == limit)
+                .filter(lease -> nowMillis < lease.usableUntilMillis)
                 .count();
     }
 
-    private CompletableFuture<Optional<Permit>> askNext(Limit limit, List<Lender> lenders, int index) {
+    private CompletableFuture<Optional<Permit>> requestNext(Limit limit, List<LenderClient> lenders, int index) {
         if (index >= lenders.size()) {
             return CompletableFuture.completedFuture(Optional.empty());
         }
-        String permitId = wiring.permitIds.get();
-        Held candidate = new Held(limit, lenders.get(index));
-        return candidate.ask(permitId).thenCompose(isHeld -> {
-            if (isHeld) {
-                held.put(permitId, candidate);
-                Permit permit = () -> close(permitId);
+        String permitId = builder.permitIds.get();
+        Lease candidate = new Lease(limit, lenders.get(index));
+        return candidate.request(permitId).thenCompose(isLeased -> {
+            if (isLeased) {
+                leases.put(permitId, candidate);
+                Permit permit = () -> release(permitId);
                 return CompletableFuture.completedFuture(Optional.of(permit));
             }
-            return askNext(limit, lenders, index + 1);
+            return requestNext(limit, lenders, index + 1);
         });
     }
 
-    private void close(String permitId) {
-        Held closed = held.remove(permitId);
-        if (closed != null) {
-            closed.giveBack(permitId);
+    private void release(String permitId) {
+        Lease lease = leases.remove(permitId);
+        if (lease != null) {
+            lease.returnPermit(permitId);
         }
     }
 
-    private Lender ownLender() {
-        return new Lender(
-                request -> CompletableFuture.completedFuture(wiring.home.borrow(request)),
-                request -> CompletableFuture.completedFuture(wiring.home.returnPermit(request)));
+    private LenderClient ownLender() {
+        return new LenderClient(
+                request -> CompletableFuture.completedFuture(builder.lender.borrow(request)),
+                request -> CompletableFuture.completedFuture(builder.lender.returnPermit(request)));
     }
 
-    private List<Lender> otherLenders(Limit limit) {
-        Map<Integer, Side> byReplica = wiring.membership.sides().stream()
-                .filter(side -> side.service().equals(wiring.service))
-                .filter(side -> !side.id().equals(wiring.holderId))
+    private List<LenderClient> peerLenders(Limit limit) {
+        Map<Integer, Side> byReplica = builder.membership.sides().stream()
+                .filter(side -> side.service().equals(builder.service))
+                .filter(side -> !side.id().equals(builder.holderId))
                 .filter(Side::takesWork)
-                .filter(side -> side.replica() < wiring.total.apply(limit))
+                .filter(side -> side.replica() < builder.totalSlots.apply(limit))
                 .collect(Collectors.toMap(Side::replica, side -> side, LeasedPermits::newer));
-        List<Side> homes = new ArrayList<>(byReplica.values());
-        homes.sort(Comparator.comparing(Side::id));
-        Collections.shuffle(homes, new Random(wiring.random.nextLong()));
-        return homes.stream().limit(wiring.maxAsks).map(this::lenderAt).toList();
+        List<Side> lenderSides = new ArrayList<>(byReplica.values());
+        lenderSides.sort(Comparator.comparing(Side::id));
+        Collections.shuffle(lenderSides, new Random(builder.random.nextLong()));
+        return lenderSides.stream()
+                .limit(builder.maxPeersAsked)
+                .map(this::lenderAt)
+                .toList();
     }
 
-    private Lender lenderAt(Side side) {
-        PeerProtocol peer = wiring.connections.to(side.address());
-        return new Lender(peer::borrowPermit, peer::returnPermit);
+    private LenderClient lenderAt(Side side) {
+        PeerProtocol peer = builder.connections.to(side.address());
+        return new LenderClient(peer::borrowPermit, peer::returnPermit);
     }
 
     private static Side newer(Side left, Side right) {
         return left.epoch() >= right.epoch() ? left : right;
     }
 
-    private record Lender(
+    private record LenderClient(
             Function<PermitRequest, CompletableFuture<PermitAnswer>> borrow,
-            Function<PermitReturn, CompletableFuture<Boolean>> giveBack) {}
+            Function<PermitReturn, CompletableFuture<Boolean>> returnPermit) {}
 
-    private final class Held {
+    private final class Lease {
 
         private final Limit limit;
-        private final Lender lender;
+        private final LenderClient lender;
         private volatile long usableUntilMillis;
 
-        private Held(Limit limit, Lender lender) {
+        private Lease(Limit limit, LenderClient lender) {
             this.limit = limit;
             this.lender = lender;
         }
 
-        CompletableFuture<Boolean> ask(String permitId) {
-            long askedAtMillis = wiring.clock.monotonicMillis();
-            long untilMillis = askedAtMillis + wiring.leaseMillis - wiring.marginMillis;
-            PermitRequest request = new PermitRequest(limit.name(), wiring.holderId, permitId, wiring.leaseMillis);
+        CompletableFuture<Boolean> request(String permitId) {
+            long requestedAtMillis = builder.clock.monotonicMillis();
+            long untilMillis = requestedAtMillis + builder.leaseMillis - builder.marginMillis;
+            PermitRequest request = new PermitRequest(limit.name(), builder.holderId, permitId, builder.leaseMillis);
             return lender.borrow.apply(request).handle((answer, failure) -> {
-                boolean isInTime = wiring.clock.monotonicMillis() < untilMillis;
+                boolean isInTime = builder.clock.monotonicMillis() < untilMillis;
                 if (failure == null && answer.isGranted() && isInTime) {
                     usableUntilMillis = Math.max(usableUntilMillis, untilMillis);
                     return true;
                 }
                 if (usableUntilMillis == 0 && (failure != null || answer.isGranted())) {
-                    giveBack(permitId);
+                    returnPermit(permitId);
                 }
                 return false;
             });
         }
 
-        void giveBack(String permitId) {
-            lender.giveBack.apply(new PermitReturn(limit.name(), permitId));
+        void returnPermit(String permitId) {
+            lender.returnPermit.apply(new PermitReturn(limit.name(), permitId));
         }
     }
 
     /** Wiring of a holder. */
     public static final class Builder {
 
-        private static final int DEFAULT_ASKS = 3;
+        private static final int DEFAULT_MAX_PEERS_ASKED = 3;
         private static final long DEFAULT_LEASE_MILLIS = 30_000;
         private static final long DEFAULT_MARGIN_MILLIS = 2_000;
 
         private final String holderId;
-        private final PermitLender home;
+        private final PermitLender lender;
         private String service = "";
         private Membership membership;
         private Connections connections;
         private Clock clock = Clock.SYSTEM;
         private RandomGenerator random = RandomGenerator.getDefault();
-        private Function<Limit, Integer> total = limit -> Integer.MAX_VALUE;
+        private Function<Limit, Integer> totalSlots = limit -> Integer.MAX_VALUE;
         private Supplier<String> permitIds;
-        private int maxAsks = DEFAULT_ASKS;
+        private int maxPeersAsked = DEFAULT_MAX_PEERS_ASKED;
         private long leaseMillis = DEFAULT_LEASE_MILLIS;
         private long marginMillis = DEFAULT_MARGIN_MILLIS;
 
-        private Builder(String holderId, PermitLender home) {
+        private Builder(String holderId, PermitLender lender) {
             this.holderId = holderId;
-            this.home = home;
+            this.lender = lender;
         }
 
         /**
@@ -223,24 +226,24 @@
         /**
          * Sets the limits over all replicas, so that only replicas with a slot are asked.
          *
-         * @param newTotal the slots of each limit in the bundle in force.
+         * @param newTotalSlots the slots of each limit in the bundle in force.
          * @return this builder.
          */
-        public Builder withTotalSlots(Function<Limit, Integer> newTotal) {
-            this.total = newTotal;
+        public Builder withTotalSlots(Function<Limit, Integer> newTotalSlots) {
+            this.totalSlots = newTotalSlots;
             return this;
         }
 
         /**
          * Sets the bounds.
          *
-         * @param newMaxAsks other homes asked for one permit.
+         * @param newMaxPeersAsked other homes asked for one permit.
          * @param newLeaseMillis the lease asked for; at most the homes' longest.
          * @param newMarginMillis how long before the lease's end the holder stops counting on it.
          * @return this builder.
          */
-        public Builder withBounds(int newMaxAsks, long newLeaseMillis, long newMarginMillis) {
-            this.maxAsks = newMaxAsks;
+        public Builder withBounds(int newMaxPeersAsked, long newLeaseMillis, long newMarginMillis) {
+            this.maxPeersAsked = newMaxPeersAsked;
             this.leaseMillis = newLeaseMillis;
             this.marginMillis = newMarginMillis;
             return this;
--- a/src/main/java/io/waxwingquay/permit/PermitLender.java
+++ b/src/main/java/io/waxwingquay/permit/PermitLender.java
@@ -25,11 +25,11 @@
 
     private final Clock clock;
     private final long maxLeaseMillis;
-    private final long pauseMillis;
+    private final long maxHeartbeatGapMillis;
     private final Map<Limit, Pool> pools = new EnumMap<>(Limit.class);
     private Slots slots;
-    private long quietUntilMillis;
-    private long lastBeatMillis;
+    private long suspendedUntilMillis;
+    private long lastHeartbeatMillis;
     private boolean isSuperseded;
 
     /**
@@ -37,22 +37,22 @@
      *
      * @param clock the time; leases are by its monotonic part.
      * @param maxLeaseMillis the longest lease granted.
-     * @param pauseMillis the longest gap between heartbeats that is no pause.
+     * @param maxHeartbeatGapMillis the longest gap between heartbeats that is no pause.
      * @param slots which slots are homed here.
      */
-    public PermitLender(Clock clock, long maxLeaseMillis, long pauseMillis, Slots slots) {
+    public PermitLender(Clock clock, long maxLeaseMillis, long maxHeartbeatGapMillis, Slots slots) {
         this.clock = clock;
         this.maxLeaseMillis = maxLeaseMillis;
-        this.pauseMillis = pauseMillis;
+        this.maxHeartbeatGapMillis = maxHeartbeatGapMillis;
         this.slots = slots;
-        this.lastBeatMillis = clock.monotonicMillis();
-        this.quietUntilMillis = lastBeatMillis + maxLeaseMillis;
-        Arrays.stream(Limit.values()).forEach(limit -> pools.put(limit, new Pool(lastBeatMillis)));
+        this.lastHeartbeatMillis = clock.monotonicMillis();
+        this.suspendedUntilMillis = lastHeartbeatMillis + maxLeaseMillis;
+        Arrays.stream(Limit.values()).forEach(limit -> pools.put(limit, new Pool(lastHeartbeatMillis)));
     }
 
     /** To be called several times within the pause limit, so that a pause of this process shows as a gap. */
     public synchronized void heartbeat() {
-        beat();
+        recordHeartbeat();
     }
 
     /** Stops granting for good, once membership shows a newer side in this replica's place. */
@@ -64,12 +64,12 @@
      * Takes the numbers of a new bundle. A slot may have moved from another home that still has it lent, so a
      * change is followed by a quiet lease.
      *
-     * @param next the slots homed here from now on.
+     * @param newSlots the slots homed here from now on.
      */
-    public synchronized void configure(Slots next) {
-        if (!next.equals(slots)) {
-            slots = next;
-            beQuiet(beat());
+    public synchronized void configure(Slots newSlots) {
+        if (!newSlots.equals(slots)) {
+            slots = newSlots;
+            suspendGrants(recordHeartbeat());
         }
     }
 
@@ -80,13 +80,13 @@
      * @return whether it was granted, else when to ask again.
      */
     public synchronized PermitAnswer borrow(PermitRequest request) {
-        long nowMillis = beat();
+        long nowMillis = recordHeartbeat();
         Optional<Limit> limit = limitNamed(request.getLimit());
         if (limit.isEmpty() || isSuperseded) {
             return new PermitAnswer(false, maxLeaseMillis);
         }
-        if (nowMillis < quietUntilMillis) {
-            return new PermitAnswer(false, quietUntilMillis - nowMillis);
+        if (nowMillis < suspendedUntilMillis) {
+            return new PermitAnswer(false, suspendedUntilMillis - nowMillis);
         }
         long leaseMillis = Math.max(0, Math.min(request.getLeaseMillis(), maxLeaseMillis));
         return pools.get(limit.get())
@@ -105,7 +105,7 @@
      * @return whether it was out.
      */
     public synchronized boolean returnPermit(PermitReturn request) {
-        beat();
+        recordHeartbeat();
         return limitNamed(request.getLimit())
                 .map(limit -> pools.get(limit).leaseEndMillis.remove(request.getPermitId()) != null)
                 .orElse(false);
@@ -119,20 +119,20 @@
      */
     public synchronized int countLent(Limit limit) {
         Pool pool = pools.get(limit);
-        return pool == null ? 0 : pool.lent(clock.monotonicMillis());
+        return pool == null ? 0 : pool.countLent(clock.monotonicMillis());
     }
 
-    private long beat() {
+    private long recordHeartbeat() {
         long nowMillis = clock.monotonicMillis();
-        if (nowMillis - lastBeatMillis > pauseMillis) {
-            beQuiet(nowMillis);
+        if (nowMillis - lastHeartbeatMillis > maxHeartbeatGapMillis) {
+            suspendGrants(nowMillis);
         }
-        lastBeatMillis = nowMillis;
+        lastHeartbeatMillis = nowMillis;
         return nowMillis;
     }
 
-    private void beQuiet(long nowMillis) {
-        quietUntilMillis = Math.max(quietUntilMillis, nowMillis + maxLeaseMillis);
+    private void suspendGrants(long nowMillis) {
+        suspendedUntilMillis = Math.max(suspendedUntilMillis, nowMillis + maxLeaseMillis);
     }
 
     private static Optional<Limit> limitNamed(String name) {
@@ -192,7 +192,7 @@
     private static final class Pool {
 
         private static final double MILLIS_PER_SECOND = 1000.0;
-        private static final long RETRY_MILLIS = 50;
+        private static final long RETRY_AFTER_MILLIS = 50;
 
         private final Map<String, Long> leaseEndMillis = new HashMap<>();
         private long nextStartMillis;
@@ -201,7 +201,7 @@
             this.nextStartMillis = nowMillis;
         }
 
-        int lent(long nowMillis) {
+        int countLent(long nowMillis) {
             return (int) leaseEndMillis.values().stream()
                     .filter(endMillis -> endMillis > nowMillis)
                     .count();
@@ -214,7 +214,7 @@
                 return new PermitAnswer(true, 0);
             }
             if (leaseEndMillis.size() >= slots) {
-                return new PermitAnswer(false, RETRY_MILLIS);
+                return new PermitAnswer(false, RETRY_AFTER_MILLIS);
             }
             if (nowMillis < nextStartMillis) {
                 return new PermitAnswer(false, nextStartMillis - nowMillis);
--- a/src/main/java/io/waxwingquay/permit/StaticShares.java
+++ b/src/main/java/io/waxwingquay/permit/StaticShares.java
@@ -12,17 +12,17 @@
  */
 public final class StaticShares implements Permits {
 
-    private final PermitLender home;
+    private final PermitLender lender;
     private final long leaseMillis;
 
     /**
      * Uses the slots of one home.
      *
-     * @param home this replica's home.
+     * @param lender this replica's home.
      * @param leaseMillis the lease taken, longer than any load.
      */
-    public StaticShares(PermitLender home, long leaseMillis) {
-        this.home = home;
+    public StaticShares(PermitLender lender, long leaseMillis) {
+        this.lender = lender;
         this.leaseMillis = leaseMillis;
     }
 
@@ -30,9 +30,9 @@
     @Override
     public CompletableFuture<Optional<Permit>> acquire(Limit limit) {
         String permitId = UUID.randomUUID().toString();
-        boolean isGranted = home.borrow(new PermitRequest(limit.name(), "static", permitId, leaseMillis))
+        boolean isGranted = lender.borrow(new PermitRequest(limit.name(), "static", permitId, leaseMillis))
                 .isGranted();
-        Permit permit = () -> home.returnPermit(new PermitReturn(limit.name(), permitId));
+        Permit permit = () -> lender.returnPermit(new PermitReturn(limit.name(), permitId));
         return CompletableFuture.completedFuture(Optional.of(permit).filter(ignored -> isGranted));
     }
 }
--- a/src/main/java/io/waxwingquay/placement/LoadOnMiss.java
+++ b/src/main/java/io/waxwingquay/placement/LoadOnMiss.java
@@ -16,21 +16,21 @@
 
     /** {@inheritDoc} */
     @Override
-    public Plan plan(PlacementInput view) {
-        Map<String, Long> sizeBytes = sizes(view.bundle());
+    public Plan plan(PlacementInput input) {
+        Map<String, Long> sizeBytes = sizes(input.bundle());
         Map<String, Plan.Share> shares = new HashMap<>();
-        view.sides().forEach(side -> shares.put(side.id(), new Plan.Share(mostAsked(side, sizeBytes), Set.of())));
+        input.sides().forEach(side -> shares.put(side.id(), new Plan.Share(mostRequested(side, sizeBytes), Set.of())));
         return new Plan(Map.copyOf(shares), Map.of(), List.of());
     }
 
-    private static List<String> mostAsked(PlacementInput.LiveSide side, Map<String, Long> sizeBytes) {
-        List<Map.Entry<String, Double>> asked =
+    private static List<String> mostRequested(PlacementInput.LiveSide side, Map<String, Long> sizeBytes) {
+        List<Map.Entry<String, Double>> byDemand =
                 new ArrayList<>(side.demandUnitsPerSecond().entrySet());
-        asked.sort(Map.Entry.<String, Double>comparingByValue(Comparator.reverseOrder())
+        byDemand.sort(Map.Entry.<String, Double>comparingByValue(Comparator.reverseOrder())
                 .thenComparing(Map.Entry.comparingByKey()));
         List<String> wanted = new ArrayList<>();
         long freeBytes = side.capacityBytes();
-        for (Map.Entry<String, Double> item : asked) {
+        for (Map.Entry<String, Double> item : byDemand) {
             Long size = sizeBytes.get(item.getKey());
             if (size != null && size <= freeBytes) {
                 wanted.add(item.getKey());
--- a/src/main/java/io/waxwingquay/placement/PlacementInput.java
+++ b/src/main/java/io/waxwingquay/placement/PlacementInput.java
@@ -47,8 +47,8 @@
         Map<String, Double> demand = new HashMap<>();
         live.forEach(
                 side -> side.demandUnitsPerSecond().forEach((item, units) -> demand.merge(item, units, Double::sum)));
-        List<LiveSide> holders = live.stream().map(LiveSide::of).toList();
-        return new PlacementInput(bundle, service, holders, demand, previous.lowDemandSinceMillis(), nowMillis);
+        List<LiveSide> liveSides = live.stream().map(LiveSide::of).toList();
+        return new PlacementInput(bundle, service, liveSides, demand, previous.lowDemandSinceMillis(), nowMillis);
     }
 
     PlacementInput withoutDemandAndResidency() {
--- a/src/main/java/io/waxwingquay/placement/PlacementStrategy.java
+++ b/src/main/java/io/waxwingquay/placement/PlacementStrategy.java
@@ -13,34 +13,33 @@
     /**
      * Decides.
      *
-     * @param view what is known.
+     * @param input what is known.
      * @return what each side is to hold.
      */
-    Plan plan(PlacementInput view);
+    Plan plan(PlacementInput input);
 
     /**
      * A strategy by the name that settings use.
      *
      * @param name {@code planned}, its earlier {@code planned-1} and {@code planned-2}, {@code static} or {@code load-on-miss}.
-     * @param demandMarks the marks of the planned ones.
+     * @param thresholds the marks of the planned ones.
      * @return the strategy.
      * @throws IllegalArgumentException if no strategy has that name.
      */
-    static PlacementStrategy named(String name, DemandThresholds demandMarks) {
+    static PlacementStrategy named(String name, DemandThresholds thresholds) {
         return switch (name) {
             case "planned" -> new RendezvousPlacement(
-                    demandMarks, RendezvousPlacement.Precedence.DEMAND_FIRST, ADAPTER_MEMORY_SHARE);
-            case "planned-2" -> new RendezvousPlacement(demandMarks);
-            case "planned-1" -> new RendezvousPlacement(
-                    demandMarks, RendezvousPlacement.Precedence.SECOND_COPIES_FIRST);
-            case "static" -> PlacementStrategy::planBaseHomes;
+                    thresholds, RendezvousPlacement.Precedence.DEMAND_FIRST, ADAPTER_MEMORY_SHARE);
+            case "planned-2" -> new RendezvousPlacement(thresholds);
+            case "planned-1" -> new RendezvousPlacement(thresholds, RendezvousPlacement.Precedence.SECOND_COPIES_FIRST);
+            case "static" -> PlacementStrategy::planBaseCopies;
             case "load-on-miss" -> new LoadOnMiss();
             default -> throw new IllegalArgumentException(
                     "placement strategy '" + name + "' is not known; write planned, static or load-on-miss");
         };
     }
 
-    private static Plan planBaseHomes(PlacementInput view) {
-        return new RendezvousPlacement(DemandThresholds.DISABLED).plan(view.withoutDemandAndResidency());
+    private static Plan planBaseCopies(PlacementInput input) {
+        return new RendezvousPlacement(DemandThresholds.DISABLED).plan(input.withoutDemandAndResidency());
     }
 }
--- a/src/main/java/io/waxwingquay/placement/Item.java
+++ b/src/main/java/io/waxwingquay/placement/PlanItem.java
@@ -4,22 +4,22 @@
 import java.util.List;
 
 /** An item during one evaluation. */
-final class Item {
+final class PlanItem {
 
     final String name;
     final long sizeBytes;
     final long hash;
 
     /** Indexes of the sides where it is resident, the best by rank first. */
-    final List<Integer> residentAt;
+    final List<Integer> residentSides;
 
     /** Indexes of the sides where a copy is planned. */
-    final BitSet plannedAt = new BitSet();
+    final BitSet plannedSides = new BitSet();
 
-    Item(String name, long sizeBytes, List<Integer> residentAt) {
+    PlanItem(String name, long sizeBytes, List<Integer> residentAt) {
         this.name = name;
         this.sizeBytes = sizeBytes;
-        this.hash = Rank.hash(name);
-        this.residentAt = residentAt;
+        this.hash = RendezvousHash.hash(name);
+        this.residentSides = residentAt;
     }
 }
--- a/src/main/java/io/waxwingquay/placement/RendezvousPlacement.java
+++ b/src/main/java/io/waxwingquay/placement/RendezvousPlacement.java
@@ -24,42 +24,42 @@
  */
 public final class RendezvousPlacement implements PlacementStrategy {
 
-    private static final int BASE_HOMES = 2;
+    private static final int BASE_COPIES = 2;
 
-    private final DemandThresholds marks;
-    private final Precedence order;
-    private final double adapterShare;
+    private final DemandThresholds thresholds;
+    private final Precedence precedence;
+    private final double adapterMemoryShare;
 
     /**
      * A strategy that gives room to demand before second homes.
      *
-     * @param marks when replicas follow demand.
+     * @param thresholds when replicas follow demand.
      */
-    public RendezvousPlacement(DemandThresholds marks) {
-        this(marks, Precedence.DEMAND_FIRST);
+    public RendezvousPlacement(DemandThresholds thresholds) {
+        this(thresholds, Precedence.DEMAND_FIRST);
     }
 
     /**
      * A strategy.
      *
-     * @param marks when replicas follow demand.
-     * @param order what goes first when room is short.
+     * @param thresholds when replicas follow demand.
+     * @param precedence what goes first when room is short.
      */
-    public RendezvousPlacement(DemandThresholds marks, Precedence order) {
-        this(marks, order, 0.0);
+    public RendezvousPlacement(DemandThresholds thresholds, Precedence precedence) {
+        this(thresholds, precedence, 0.0);
     }
 
     /**
      * A strategy that leaves room for adapters.
      *
-     * @param marks when replicas follow demand.
-     * @param order what goes first when room is short.
-     * @param adapterShare the share of each side's memory that no second or further copy of a model takes.
+     * @param thresholds when replicas follow demand.
+     * @param precedence what goes first when room is short.
+     * @param adapterMemoryShare the share of each side's memory that no second or further copy of a model takes.
      */
-    public RendezvousPlacement(DemandThresholds marks, Precedence order, double adapterShare) {
-        this.marks = marks;
-        this.order = order;
-        this.adapterShare = adapterShare;
+    public RendezvousPlacement(DemandThresholds thresholds, Precedence precedence, double adapterMemoryShare) {
+        this.thresholds = thresholds;
+        this.precedence = precedence;
+        this.adapterMemoryShare = adapterMemoryShare;
     }
 
     /** What goes first when room is short. */
@@ -72,96 +72,100 @@
 
     /** {@inheritDoc} */
     @Override
-    public Plan plan(PlacementInput view) {
-        Fleet fleet = new Fleet(view.sides(), adapterShare);
-        List<Wish> wishes = wishes(view, fleet);
-        wishes.forEach(wish -> fleet.keepFirst(wish.item));
-        guardOldVersions(view, fleet);
-        if (order == Precedence.DEMAND_FIRST) {
-            wishes.forEach(wish -> fleet.placeFirst(wish.item));
-            placeForDemand(wishes, fleet);
+    public Plan plan(PlacementInput input) {
+        PlanBuilder builder = new PlanBuilder(input.sides(), adapterMemoryShare);
+        List<WantedModel> wantedModels = wantedModels(input, builder);
+        wantedModels.forEach(wanted -> builder.retainFirstCopy(wanted.item));
+        protectOldVersions(input, builder);
+        if (precedence == Precedence.DEMAND_FIRST) {
+            wantedModels.forEach(wanted -> builder.placeFirstCopy(wanted.item));
+            placeDemandCopies(wantedModels, builder);
         }
-        placeSecondHomes(wishes, fleet);
-        placeForDemand(wishes, fleet);
-        placeAdapters(view, wishes, fleet);
-        List<String> homeless = wishes.stream()
-                .filter(wish -> fleet.copies(wish.item) == 0)
-                .map(wish -> wish.item.name)
+        placeSecondCopies(wantedModels, builder);
+        placeDemandCopies(wantedModels, builder);
+        placeAdapters(input, wantedModels, builder);
+        List<String> unplaced = wantedModels.stream()
+                .filter(wanted -> builder.plannedCopies(wanted.item) == 0)
+                .map(wanted -> wanted.item.name)
                 .toList();
-        return new Plan(fleet.shares(), lowSince(view, wishes), homeless);
+        return new Plan(builder.shares(), lowDemandSince(input, wantedModels), unplaced);
     }
 
-    private List<Wish> wishes(PlacementInput view, Fleet fleet) {
-        return view.bundle().models().stream()
-                .filter(model -> model.service().equals(view.service()))
+    private List<WantedModel> wantedModels(PlacementInput input, PlanBuilder builder) {
+        return input.bundle().models().stream()
+                .filter(model -> model.service().equals(input.service()))
                 .sorted(Comparator.comparingInt((Bundle.Model model) -> -model.priority())
                         .thenComparingLong(model -> -model.sizeBytes())
                         .thenComparing(Bundle.Model::name))
-                .map(model -> wish(view, fleet, model))
+                .map(model -> wantedModel(input, builder, model))
                 .toList();
     }
 
-    private Wish wish(PlacementInput view, Fleet fleet, Bundle.Model model) {
-        Item item = fleet.item(model.item(), model.sizeBytes());
-        double demand = view.demandUnitsPerSecond().getOrDefault(item.name, 0.0);
-        return new Wish(model, item, demand, wantedCopies(view, item, demand));
+    private WantedModel wantedModel(PlacementInput input, PlanBuilder builder, Bundle.Model model) {
+        PlanItem item = builder.item(model.item(), model.sizeBytes());
+        double demand = input.demandUnitsPerSecond().getOrDefault(item.name, 0.0);
+        return new WantedModel(model, item, demand, wantedCopies(input, item, demand));
     }
 
     /** Between the marks the number stays; below the low one it shrinks by one, and only after the hold time. */
-    private int wantedCopies(PlacementInput view, Item item, double demand) {
-        int now = Math.max(BASE_HOMES, item.residentAt.size());
-        if (demand > now * marks.highUnitsPerSecond()) {
-            return (int) Math.min(view.sides().size(), Math.ceil(demand / marks.highUnitsPerSecond()));
+    private int wantedCopies(PlacementInput input, PlanItem item, double demand) {
+        int currentCopies = Math.max(BASE_COPIES, item.residentSides.size());
+        if (demand > currentCopies * thresholds.highUnitsPerSecond()) {
+            return (int) Math.min(input.sides().size(), Math.ceil(demand / thresholds.highUnitsPerSecond()));
         }
-        boolean isHeld = Optional.ofNullable(view.lowDemandSinceMillis().get(item.name))
-                .map(sinceMillis -> view.nowMillis() - sinceMillis < marks.scaleDownDelayMillis())
+        boolean isDelayPending = Optional.ofNullable(
+                        input.lowDemandSinceMillis().get(item.name))
+                .map(sinceMillis -> input.nowMillis() - sinceMillis < thresholds.scaleDownDelayMillis())
                 .orElse(true);
-        return isLow(demand, now) && !isHeld ? Math.max(BASE_HOMES, now - 1) : now;
+        return isBelowLowThreshold(demand, currentCopies) && !isDelayPending
+                ? Math.max(BASE_COPIES, currentCopies - 1)
+                : currentCopies;
     }
 
-    private boolean isLow(double demand, int copies) {
-        return copies > BASE_HOMES && demand < copies * marks.lowUnitsPerSecond();
+    private boolean isBelowLowThreshold(double demand, int copies) {
+        return copies > BASE_COPIES && demand < copies * thresholds.lowUnitsPerSecond();
     }
 
-    private Map<String, Long> lowSince(PlacementInput view, List<Wish> wishes) {
+    private Map<String, Long> lowDemandSince(PlacementInput input, List<WantedModel> wantedModels) {
         Map<String, Long> next = new HashMap<>();
-        wishes.stream()
-                .filter(wish -> isLow(wish.demandUnitsPerSecond, wish.item.residentAt.size()))
-                .forEach(wish -> next.put(
-                        wish.item.name, view.lowDemandSinceMillis().getOrDefault(wish.item.name, view.nowMillis())));
+        wantedModels.stream()
+                .filter(wanted -> isBelowLowThreshold(wanted.demandUnitsPerSecond, wanted.item.residentSides.size()))
+                .forEach(wanted -> next.put(
+                        wanted.item.name,
+                        input.lowDemandSinceMillis().getOrDefault(wanted.item.name, input.nowMillis())));
         return Map.copyOf(next);
     }
 
-    private static void placeSecondHomes(List<Wish> wishes, Fleet fleet) {
-        wishes.forEach(wish -> fleet.keepSecond(wish.item));
-        wishes.forEach(wish -> fleet.placeFirst(wish.item));
-        wishes.forEach(wish -> fleet.placeElsewhere(wish.item));
+    private static void placeSecondCopies(List<WantedModel> wantedModels, PlanBuilder builder) {
+        wantedModels.forEach(wanted -> builder.retainSecondCopy(wanted.item));
+        wantedModels.forEach(wanted -> builder.placeFirstCopy(wanted.item));
+        wantedModels.forEach(wanted -> builder.placeSecondCopy(wanted.item));
     }
 
-    private static void placeForDemand(List<Wish> wishes, Fleet fleet) {
-        wishes.stream()
-                .filter(wish -> wish.copies > BASE_HOMES)
-                .sorted(Comparator.comparingDouble(Wish::loadPerCopy).reversed())
-                .forEach(wish -> fleet.placeUpTo(wish.item, wish.copies));
+    private static void placeDemandCopies(List<WantedModel> wantedModels, PlanBuilder builder) {
+        wantedModels.stream()
+                .filter(wanted -> wanted.copies > BASE_COPIES)
+                .sorted(Comparator.comparingDouble(WantedModel::demandPerCopy).reversed())
+                .forEach(wanted -> builder.placeCopies(wanted.item, wanted.copies));
     }
 
     /** Adapters go beside their model, the most asked first: one copy, and one more for each high mark of demand. */
-    private void placeAdapters(PlacementInput view, List<Wish> wishes, Fleet fleet) {
-        Map<String, Item> models =
-                wishes.stream().collect(Collectors.toMap(wish -> wish.model.name(), wish -> wish.item));
-        view.bundle().adapters().stream()
+    private void placeAdapters(PlacementInput input, List<WantedModel> wantedModels, PlanBuilder builder) {
+        Map<String, PlanItem> models =
+                wantedModels.stream().collect(Collectors.toMap(wanted -> wanted.model.name(), wanted -> wanted.item));
+        input.bundle().adapters().stream()
                 .filter(adapter -> models.containsKey(adapter.model()))
-                .sorted(Comparator.comparingDouble((Bundle.Adapter adapter) -> -demandFor(view, adapter))
+                .sorted(Comparator.comparingDouble((Bundle.Adapter adapter) -> -demandFor(input, adapter))
                         .thenComparing(Bundle.Adapter::item))
                 .forEach(adapter -> {
-                    int copies = 1 + (int) (demandFor(view, adapter) / marks.highUnitsPerSecond());
-                    Item item = fleet.item(adapter.item(), adapter.sizeBytes());
-                    fleet.placeBeside(item, models.get(adapter.model()), copies);
+                    int copies = 1 + (int) (demandFor(input, adapter) / thresholds.highUnitsPerSecond());
+                    PlanItem item = builder.item(adapter.item(), adapter.sizeBytes());
+                    builder.placeAdapter(item, models.get(adapter.model()), copies);
                 });
     }
 
-    private static double demandFor(PlacementInput view, Bundle.Adapter adapter) {
-        return view.demandUnitsPerSecond().getOrDefault(adapter.item(), 0.0);
+    private static double demandFor(PlacementInput input, Bundle.Adapter adapter) {
+        return input.demandUnitsPerSecond().getOrDefault(adapter.item(), 0.0);
     }
 
     /**
@@ -169,25 +173,25 @@
      * a rollout into full accelerators stops half way for good. The old version's memory therefore counts as taken;
      * its size is not known any more, so that of the new one stands for it.
      */
-    private static void guardOldVersions(PlacementInput view, Fleet fleet) {
-        Map<String, Bundle.Model> byPrefix = view.bundle().models().stream()
-                .filter(model -> model.service().equals(view.service()))
+    private static void protectOldVersions(PlacementInput input, PlanBuilder builder) {
+        Map<String, Bundle.Model> modelsByItemPrefix = input.bundle().models().stream()
+                .filter(model -> model.service().equals(input.service()))
                 .collect(Collectors.toMap(model -> "model:" + model.name(), model -> model));
-        List<Item> old = new ArrayList<>();
-        fleet.residentNames().forEach(name -> {
+        List<PlanItem> oldVersions = new ArrayList<>();
+        builder.residentNames().forEach(name -> {
             int versionAt = name.lastIndexOf('@');
-            Bundle.Model current = byPrefix.get(versionAt < 0 ? name : name.substring(0, versionAt));
-            if (current != null && !current.item().equals(name) && !fleet.isResident(current.item())) {
-                old.add(fleet.item(name, current.sizeBytes()));
+            Bundle.Model current = modelsByItemPrefix.get(versionAt < 0 ? name : name.substring(0, versionAt));
+            if (current != null && !current.item().equals(name) && !builder.isResident(current.item())) {
+                oldVersions.add(builder.item(name, current.sizeBytes()));
             }
         });
-        old.stream().sorted(Comparator.comparing(item -> item.name)).forEach(fleet::guard);
+        oldVersions.stream().sorted(Comparator.comparing(item -> item.name)).forEach(builder::protectOldVersion);
     }
 
-    private record Wish(Bundle.Model model, Item item, double demandUnitsPerSecond, int copies) {
+    private record WantedModel(Bundle.Model model, PlanItem item, double demandUnitsPerSecond, int copies) {
 
-        double loadPerCopy() {
-            return demandUnitsPerSecond / Math.max(1, item.residentAt.size());
+        double demandPerCopy() {
+            return demandUnitsPerSecond / Math.max(1, item.residentSides.size());
         }
     }
 }
--- a/src/main/java/io/waxwingquay/routing/LoadTracker.java
+++ b/src/main/java/io/waxwingquay/routing/LoadTracker.java
@@ -16,7 +16,7 @@
 
     private static final double SMOOTHING = 0.2;
 
-    private final ConcurrentMap<String, Entry> entries = new ConcurrentHashMap<>();
+    private final ConcurrentMap<String, SideLoad> loadBySideId = new ConcurrentHashMap<>();
 
     /**
      * Takes in a report that came with an answer.
@@ -27,7 +27,7 @@
      */
     public void recordReport(String sideId, LoadReport report, long nowMillis) {
         if (report != null) {
-            change(sideId, entry -> entry.withReport(report, nowMillis - report.getAgeMillis()));
+            update(sideId, load -> load.withReport(report, nowMillis - report.getAgeMillis()));
         }
     }
 
@@ -37,7 +37,7 @@
      * @param sideId the side.
      */
     public void recordSent(String sideId) {
-        change(sideId, entry -> entry.withOutstanding(entry.outstanding() + 1));
+        update(sideId, load -> load.withOutstanding(load.outstanding() + 1));
     }
 
     /**
@@ -46,7 +46,7 @@
      * @param sideId the side.
      */
     public void recordCompletion(String sideId) {
-        change(sideId, entry -> entry.withOutstanding(Math.max(0, entry.outstanding() - 1)));
+        update(sideId, load -> load.withOutstanding(Math.max(0, load.outstanding() - 1)));
     }
 
     /**
@@ -56,7 +56,7 @@
      * @param tookMillis from submission to the end of the answer.
      */
     public void recordLatency(String sideId, long tookMillis) {
-        change(sideId, entry -> entry.withLatency(tookMillis));
+        update(sideId, load -> load.withLatency(tookMillis));
     }
 
     /**
@@ -76,7 +76,7 @@
      * @return the number.
      */
     public long totalOutstanding() {
-        return entries.values().stream().mapToLong(Entry::outstanding).sum();
+        return loadBySideId.values().stream().mapToLong(SideLoad::outstanding).sum();
     }
 
     /**
@@ -85,12 +85,12 @@
      * @param sideIds the sides that still exist.
      */
     public void retain(Set<String> sideIds) {
-        entries.keySet().retainAll(sideIds);
+        loadBySideId.keySet().retainAll(sideIds);
     }
 
     private SideView view(Side side, long nowMillis) {
-        Entry entry = entries.getOrDefault(side.id(), Entry.EMPTY);
-        LoadReport report = entry.report();
+        SideLoad load = loadBySideId.getOrDefault(side.id(), SideLoad.EMPTY);
+        LoadReport report = load.report();
         if (report == null) {
             return new SideView(
                     side,
@@ -100,8 +100,8 @@
                     0,
                     side.capacityBytes(),
                     SideView.NO_REPORT,
-                    entry.outstanding(),
-                    entry.latencyMillis());
+                    load.outstanding(),
+                    load.latencyMillis());
         }
         return new SideView(
                 side,
@@ -110,32 +110,32 @@
                 report.getQueuedTokens(),
                 report.getTokensPerSecond(),
                 report.getFreeBytes(),
-                Math.max(0, nowMillis - entry.reportedAtMillis()),
-                entry.outstanding(),
-                entry.latencyMillis());
+                Math.max(0, nowMillis - load.reportedAtMillis()),
+                load.outstanding(),
+                load.latencyMillis());
     }
 
-    private void change(String sideId, UnaryOperator<Entry> step) {
-        entries.compute(sideId, (id, entry) -> step.apply(entry == null ? Entry.EMPTY : entry));
+    private void update(String sideId, UnaryOperator<SideLoad> change) {
+        loadBySideId.compute(sideId, (id, load) -> change.apply(load == null ? SideLoad.EMPTY : load));
     }
 
-    private record Entry(LoadReport report, long reportedAtMillis, int outstanding, double latencyMillis) {
+    private record SideLoad(LoadReport report, long reportedAtMillis, int outstanding, double latencyMillis) {
 
-        private static final Entry EMPTY = new Entry(null, 0, 0, 0);
+        private static final SideLoad EMPTY = new SideLoad(null, 0, 0, 0);
 
-        private Entry withReport(LoadReport newer, long atMillis) {
-            boolean older = report != null && atMillis < reportedAtMillis;
-            return older ? this : new Entry(newer, atMillis, outstanding, latencyMillis);
+        private SideLoad withReport(LoadReport newReport, long newReportedAtMillis) {
+            boolean isOlder = report != null && newReportedAtMillis < reportedAtMillis;
+            return isOlder ? this : new SideLoad(newReport, newReportedAtMillis, outstanding, latencyMillis);
         }
 
-        private Entry withOutstanding(int count) {
-            return new Entry(report, reportedAtMillis, count, latencyMillis);
+        private SideLoad withOutstanding(int count) {
+            return new SideLoad(report, reportedAtMillis, count, latencyMillis);
         }
 
-        private Entry withLatency(long tookMillis) {
+        private SideLoad withLatency(long tookMillis) {
             double smoothed =
                     latencyMillis == 0 ? tookMillis : latencyMillis + SMOOTHING * (tookMillis - latencyMillis);
-            return new Entry(report, reportedAtMillis, outstanding, smoothed);
+            return new SideLoad(report, reportedAtMillis, outstanding, smoothed);
         }
     }
 }
--- a/src/main/java/io/waxwingquay/routing/RouteQuery.java
+++ b/src/main/java/io/waxwingquay/routing/RouteQuery.java
@@ -63,8 +63,8 @@
      * @return the new query.
      */
     public RouteQuery excluding(String sideId) {
-        Set<String> more = new HashSet<>(excludedSideIds);
-        more.add(sideId);
-        return new RouteQuery(service, dataCentre, items, prefixHash, sequence, Set.copyOf(more));
+        Set<String> extended = new HashSet<>(excludedSideIds);
+        extended.add(sideId);
+        return new RouteQuery(service, dataCentre, items, prefixHash, sequence, Set.copyOf(extended));
     }
 }
--- a/src/main/java/io/waxwingquay/routing/RoutingPolicy.java
+++ b/src/main/java/io/waxwingquay/routing/RoutingPolicy.java
@@ -81,9 +81,9 @@
      */
     final class Default implements RoutingPolicy {
 
-        private static final double COLD_PREFIX = 1.5;
-        private static final double ABSENT_ADAPTER = 4;
-        private static final double OTHER_DATA_CENTRE = 0.25;
+        private static final double COLD_PREFIX_COST_REQUESTS = 1.5;
+        private static final double ABSENT_ADAPTER_COST_REQUESTS = 4;
+        private static final double OTHER_DATA_CENTRE_COST_REQUESTS = 0.25;
 
         /** {@inheritDoc} */
         @Override
@@ -96,13 +96,13 @@
                 ordered.sort(Comparator.comparingLong(SideView::freeBytes).reversed());
                 return ordered;
             }
-            String home = home(query, holders.isEmpty() ? views : holders);
+            String prefixOwnerId = prefixOwner(query, holders.isEmpty() ? views : holders);
             ordered.sort(Comparator.comparing((SideView view) -> query.countResidentItems(view.side()) == 0)
-                    .thenComparingDouble(view -> cost(query, view, home)));
+                    .thenComparingDouble(view -> costRequests(query, view, prefixOwnerId)));
             return ordered;
         }
 
-        private static String home(RouteQuery query, List<SideView> holders) {
+        private static String prefixOwner(RouteQuery query, List<SideView> holders) {
             return holders.stream()
                     .max(Comparator.comparingLong(view ->
                             rendezvousWeight(query.prefixHash(), view.side().id())))
@@ -110,11 +110,13 @@
                     .orElse("");
         }
 
-        private static double cost(RouteQuery query, SideView view, String home) {
-            int missing = query.items().size() - query.countResidentItems(view.side());
-            double distance = view.side().dataCentre().equals(query.dataCentre()) ? 0 : OTHER_DATA_CENTRE;
-            double prefix = query.items().isEmpty() || view.side().id().equals(home) ? 0 : COLD_PREFIX;
-            return view.inFlight() + prefix + missing * ABSENT_ADAPTER + distance;
+        private static double costRequests(RouteQuery query, SideView view, String prefixOwnerId) {
+            int absentItems = query.items().size() - query.countResidentItems(view.side());
+            double distanceRequests =
+                    view.side().dataCentre().equals(query.dataCentre()) ? 0 : OTHER_DATA_CENTRE_COST_REQUESTS;
+            double prefixRequests =
+                    query.items().isEmpty() || view.side().id().equals(prefixOwnerId) ? 0 : COLD_PREFIX_COST_REQUESTS;
+            return view.inFlight() + prefixRequests + absentItems * ABSENT_ADAPTER_COST_REQUESTS + distanceRequests;
         }
     }
 
@@ -124,7 +126,7 @@
      */
     final class LeastExpectedCompletion implements RoutingPolicy {
 
-        private static final double PREFIX_BONUS = 0.7;
+        private static final double PREFIX_OWNER_FACTOR = 0.7;
         private static final double OTHER_DATA_CENTRE_MILLIS = 3;
 
         /**
@@ -145,29 +147,31 @@
         /** {@inheritDoc} */
         @Override
         public List<SideView> order(RouteQuery query, List<SideView> views, RandomGenerator random) {
-            List<Rated> rated = new ArrayList<>();
-            int most = 0;
+            List<ScoredSide> scoredSides = new ArrayList<>();
+            int maxResidentItems = 0;
             for (SideView view : views) {
-                Rated next = new Rated(view, query.countResidentItems(view.side()), 0);
-                most = Math.max(most, next.residentItems);
-                rated.add(next);
+                ScoredSide scored = new ScoredSide(view, query.countResidentItems(view.side()), 0);
+                maxResidentItems = Math.max(maxResidentItems, scored.residentItems);
+                scoredSides.add(scored);
             }
-            if (!query.items().isEmpty() && most == 0) {
-                List<SideView> roomiestFirst = new ArrayList<>(views);
-                roomiestFirst.sort(Comparator.comparingLong(SideView::freeBytes).reversed());
-                return roomiestFirst;
+            if (!query.items().isEmpty() && maxResidentItems == 0) {
+                List<SideView> mostFreeMemoryFirst = new ArrayList<>(views);
+                mostFreeMemoryFirst.sort(
+                        Comparator.comparingLong(SideView::freeBytes).reversed());
+                return mostFreeMemoryFirst;
             }
-            String home = prefixHome(query, rated, most);
-            rated.replaceAll(each -> each.withCost(cost(query, each.view, home)));
-            rated.sort(
-                    Comparator.<Rated>comparingInt(each -> -each.residentItems).thenComparingDouble(Rated::cost));
-            List<SideView> ordered = new ArrayList<>(rated.size());
-            rated.forEach(each -> ordered.add(each.view));
-            int bestResidentItems = most;
-            int equals = (int) rated.stream()
-                    .filter(each -> each.residentItems == bestResidentItems)
+            String prefixOwnerId = prefixOwner(query, scoredSides, maxResidentItems);
+            scoredSides.replaceAll(
+                    scoredSide -> scoredSide.withCostMillis(costMillis(query, scoredSide.view, prefixOwnerId)));
+            scoredSides.sort(Comparator.<ScoredSide>comparingInt(scoredSide -> -scoredSide.residentItems)
+                    .thenComparingDouble(ScoredSide::costMillis));
+            List<SideView> ordered = new ArrayList<>(scoredSides.size());
+            scoredSides.forEach(scoredSide -> ordered.add(scoredSide.view));
+            int bestResidentItems = maxResidentItems;
+            int bestCount = (int) scoredSides.stream()
+                    .filter(scoredSide -> scoredSide.residentItems == bestResidentItems)
                     .count();
-            chooseOfTwo(equals, ordered, random, home);
+            preferBetterOfTwoRandom(bestCount, ordered, random, prefixOwnerId);
             return ordered;
         }
 
@@ -175,34 +179,35 @@
          * Puts the better of two random sides first. If all entries sent to the one best side of the same
          * lagging reports, it would be flooded until its next report; two random choices spread them.
          */
-        private static void chooseOfTwo(int equals, List<SideView> ordered, RandomGenerator random, String home) {
-            if (equals < 3 || ordered.get(0).side().id().equals(home)) {
+        private static void preferBetterOfTwoRandom(
+                int bestCount, List<SideView> ordered, RandomGenerator random, String prefixOwnerId) {
+            if (bestCount < 3 || ordered.get(0).side().id().equals(prefixOwnerId)) {
                 return;
             }
-            int one = random.nextInt(equals);
-            int two = random.nextInt(equals);
-            ordered.add(0, ordered.remove(Math.min(one, two)));
+            int first = random.nextInt(bestCount);
+            int second = random.nextInt(bestCount);
+            ordered.add(0, ordered.remove(Math.min(first, second)));
         }
 
-        private static String prefixHome(RouteQuery query, List<Rated> rated, int mostResidentItems) {
-            return rated.stream()
-                    .filter(each -> each.residentItems == mostResidentItems)
-                    .map(each -> each.view.side().id())
+        private static String prefixOwner(RouteQuery query, List<ScoredSide> scoredSides, int maxResidentItems) {
+            return scoredSides.stream()
+                    .filter(scoredSide -> scoredSide.residentItems == maxResidentItems)
+                    .map(scoredSide -> scoredSide.view.side().id())
                     .max(Comparator.comparingLong(id -> rendezvousWeight(query.prefixHash(), id)))
                     .orElse("");
         }
 
-        private static double cost(RouteQuery query, SideView view, String home) {
-            double bonus = view.side().id().equals(home) ? PREFIX_BONUS : 1;
-            double distance = view.side().dataCentre().equals(query.dataCentre()) ? 0 : OTHER_DATA_CENTRE_MILLIS;
-            return view.expectedCompletionMillis() * bonus + distance;
+        private static double costMillis(RouteQuery query, SideView view, String prefixOwnerId) {
+            double prefixFactor = view.side().id().equals(prefixOwnerId) ? PREFIX_OWNER_FACTOR : 1;
+            double distanceMillis = view.side().dataCentre().equals(query.dataCentre()) ? 0 : OTHER_DATA_CENTRE_MILLIS;
+            return view.expectedCompletionMillis() * prefixFactor + distanceMillis;
         }
 
         /** Each side is rated once, as a comparison that rates afresh does so some twenty times a side. */
-        private record Rated(SideView view, int residentItems, double cost) {
+        private record ScoredSide(SideView view, int residentItems, double costMillis) {
 
-            private Rated withCost(double newCost) {
-                return new Rated(view, residentItems, newCost);
+            private ScoredSide withCostMillis(double newCostMillis) {
+                return new ScoredSide(view, residentItems, newCostMillis);
             }
         }
     }
--- a/src/main/java/io/waxwingquay/routing/SideIndex.java
+++ b/src/main/java/io/waxwingquay/routing/SideIndex.java
@@ -14,7 +14,7 @@
 
     private final List<Side> sides;
     private final Map<String, List<Side>> byService = new HashMap<>();
-    private final Map<Holding, List<Side>> byHolding = new HashMap<>();
+    private final Map<ItemKey, List<Side>> byItem = new HashMap<>();
 
     private SideIndex(List<Side> sides) {
         this.sides = sides;
@@ -49,22 +49,22 @@
      * @return the sides in the snapshot's order.
      */
     public List<Side> holding(String service, String item) {
-        return byHolding.getOrDefault(new Holding(service, item), List.of());
+        return byItem.getOrDefault(new ItemKey(service, item), List.of());
     }
 
     private void add(Side side) {
         byService.computeIfAbsent(side.service(), name -> new ArrayList<>()).add(side);
-        side.residentItems().forEach(item -> byHolding
-                .computeIfAbsent(new Holding(side.service(), item), key -> new ArrayList<>())
-                .add(side));
+        side.residentItems()
+                .forEach(item -> byItem.computeIfAbsent(new ItemKey(side.service(), item), key -> new ArrayList<>())
+                        .add(side));
     }
 
-    private record Holding(String service, String item) {}
+    private record ItemKey(String service, String item) {}
 
     /** The index of the snapshot last asked for; it is made again only when the snapshot is another. */
     public static final class Cache {
 
-        private volatile SideIndex latest = SideIndex.of(List.of());
+        private volatile SideIndex cached = SideIndex.of(List.of());
 
         /**
          * The index of a snapshot.
@@ -73,13 +73,13 @@
          * @return its index.
          */
         public SideIndex of(List<Side> sides) {
-            SideIndex known = latest;
-            if (known.sides == sides) {
-                return known;
+            SideIndex current = cached;
+            if (current.sides == sides) {
+                return current;
             }
-            SideIndex next = SideIndex.of(sides);
-            latest = next;
-            return next;
+            SideIndex created = SideIndex.of(sides);
+            cached = created;
+            return created;
         }
     }
 }
--- a/src/main/java/io/waxwingquay/routing/SideView.java
+++ b/src/main/java/io/waxwingquay/routing/SideView.java
@@ -49,11 +49,11 @@
      * @return milliseconds.
      */
     public double expectedCompletionMillis() {
-        double unitMillis = latencyMillis > 0 ? latencyMillis : ASSUMED_LATENCY_MILLIS;
-        double reportedMillis = reportedWorkMillis(unitMillis);
-        double agedMillis = Math.max(0, reportedMillis - Math.min(reportAgeMillis, reportedMillis));
-        double ownMillis = outstanding * unitMillis / Math.max(1, running);
-        return unitMillis + Math.max(agedMillis, 0) + ownMillis;
+        double requestMillis = latencyMillis > 0 ? latencyMillis : ASSUMED_LATENCY_MILLIS;
+        double reportedMillis = reportedWorkMillis(requestMillis);
+        double remainingMillis = Math.max(0, reportedMillis - Math.min(reportAgeMillis, reportedMillis));
+        double ownRequestsMillis = outstanding * requestMillis / Math.max(1, running);
+        return requestMillis + Math.max(remainingMillis, 0) + ownRequestsMillis;
     }
 
     /**
@@ -65,12 +65,12 @@
         return Math.max(running + queued, outstanding);
     }
 
-    private double reportedWorkMillis(double unitMillis) {
+    private double reportedWorkMillis(double requestMillis) {
         if (reportAgeMillis == NO_REPORT) {
             return 0;
         }
         return tokensPerSecond > 0
                 ? queuedTokens * MILLIS_PER_SECOND / tokensPerSecond
-                : queued * unitMillis / Math.max(1, running);
+                : queued * requestMillis / Math.max(1, running);
     }
 }
--- a/src/main/java/io/waxwingquay/suspect/Fingerprint.java
+++ b/src/main/java/io/waxwingquay/suspect/Fingerprint.java
@@ -32,12 +32,12 @@
      */
     public static long of(List<byte[]> parts) {
         // Lengths go in, so that no two different lists are the same bytes.
-        List<byte[]> measured = parts.subList(0, parts.size() - 1);
+        List<byte[]> lengthPrefixed = parts.subList(0, parts.size() - 1);
         int size = parts.stream().mapToInt(part -> part.length).sum();
-        ByteBuffer all = ByteBuffer.allocate(measured.size() * Integer.BYTES + size);
-        measured.forEach(part -> all.putInt(part.length));
-        parts.forEach(all::put);
-        return MurmurHash3.hash128x64(all.array())[0];
+        ByteBuffer buffer = ByteBuffer.allocate(lengthPrefixed.size() * Integer.BYTES + size);
+        lengthPrefixed.forEach(part -> buffer.putInt(part.length));
+        parts.forEach(buffer::put);
+        return MurmurHash3.hash128x64(buffer.array())[0];
     }
 
     private static byte[] bytesOf(String text) {
--- a/src/main/java/io/waxwingquay/suspect/SharedSuspects.java
+++ b/src/main/java/io/waxwingquay/suspect/SharedSuspects.java
@@ -29,20 +29,20 @@
     /** Longer than a caller comes again and again with one request. */
     private static final long RETENTION_MILLIS = 600_000L;
 
-    private static final int MOST_RECORDS = 512;
+    private static final int MAX_RECORDS = 512;
 
     /**
      * Failure: a record is told in durations, and does not age on its way. Symptom: two processes that tell it each other
      * over slow ways keep it for ever. Each hop takes off more than a datagram's usual way, so that what comes back is
      * older than what is known, and the older one never counts.
      */
-    private static final long HOP_MILLIS = 500L;
+    private static final long HOP_DEDUCTION_MILLIS = 500L;
 
     /** The most records taken from one datagram. */
-    private static final int MOST_TAKEN = 64;
+    private static final int MAX_MERGED_RECORDS = 64;
 
     /** How many records of each standing go with one datagram, drawn anew for each; some 0.6 kB in all. */
-    private static final Map<Standing, Integer> TOLD =
+    private static final Map<Standing, Integer> RECORDS_PER_UPDATE =
             Map.of(Standing.QUARANTINED, 4, Standing.SUSPECT, 8, Standing.CLEAR, 4);
 
     private final LongSupplier clockMillis;
@@ -58,7 +58,7 @@
     public SharedSuspects(LongSupplier clockMillis, RandomGenerator random) {
         this.clockMillis = clockMillis;
         this.random = random;
-        this.table = SuspectTable.trustingAnswers(new Steady(clockMillis), RETENTION_MILLIS, MOST_RECORDS);
+        this.table = SuspectTable.trustingAnswers(new MonotonicClock(clockMillis), RETENTION_MILLIS, MAX_RECORDS);
     }
 
     /**
@@ -123,14 +123,14 @@
     /**
      * Takes in what a datagram tells.
      *
-     * @param news what it tells; {@code null} if nothing.
+     * @param update what it tells; {@code null} if nothing.
      */
-    public void merge(List<SuspectNews> news) {
+    public void merge(List<SuspectNews> update) {
         long nowMillis = clockMillis.getAsLong();
-        Optional.ofNullable(news)
+        Optional.ofNullable(update)
                 .ifPresent(some -> table.merge(some.stream()
-                        .limit(MOST_TAKEN)
-                        .map(each -> record(each, nowMillis))
+                        .limit(MAX_MERGED_RECORDS)
+                        .map(each -> toRecord(each, nowMillis))
                         .toList()));
     }
 
@@ -147,9 +147,9 @@
         Map<Standing, List<SuspectRecord>> byStanding = table.snapshot().stream()
                 .collect(Collectors.groupingBy(record -> table.standing(record.getFingerprint())));
         return byStanding.entrySet().stream()
-                .flatMap(some -> draw(some.getValue(), TOLD.get(some.getKey())))
-                .map(record -> news(record, nowMillis))
-                .filter(news -> news.getRemainingMillis() > 0)
+                .flatMap(some -> sample(some.getValue(), RECORDS_PER_UPDATE.get(some.getKey())))
+                .map(record -> toUpdate(record, nowMillis))
+                .filter(update -> update.getRemainingMillis() > 0)
                 .toList();
     }
 
@@ -158,35 +158,36 @@
      * the request crashes targets through each of the others. A draw for each datagram reaches them all in a few, and
      * unlike turns it does not fall into step with who gets which datagram.
      */
-    private Stream<SuspectRecord> draw(List<SuspectRecord> records, int most) {
+    private Stream<SuspectRecord> sample(List<SuspectRecord> records, int maxRecords) {
         return records.stream()
                 .map(record -> Map.entry(random.nextLong(), record))
                 .sorted(Comparator.comparingLong(Map.Entry::getKey))
-                .limit(most)
+                .limit(maxRecords)
                 .map(Map.Entry::getValue);
     }
 
-    private static SuspectNews news(SuspectRecord record, long nowMillis) {
+    private static SuspectNews toUpdate(SuspectRecord record, long nowMillis) {
         return new SuspectNews(
                 record.getFingerprint(),
-                numbers(record.getCrashIds()),
-                record.isSetAbsolvedIds() ? numbers(record.getAbsolvedIds()) : Set.of(),
-                record.getExpiresAtEpochMillis() - nowMillis - HOP_MILLIS);
+                toNumbers(record.getCrashIds()),
+                record.isSetAbsolvedIds() ? toNumbers(record.getAbsolvedIds()) : Set.of(),
+                record.getExpiresAtEpochMillis() - nowMillis - HOP_DEDUCTION_MILLIS);
     }
 
-    private static SuspectRecord record(SuspectNews news, long nowMillis) {
-        long remainingMillis = Math.min(news.getRemainingMillis(), RETENTION_MILLIS);
-        return new SuspectRecord(news.getFingerprint(), names(news.getCrashes()), nowMillis + remainingMillis, false)
-                .setAbsolvedIds(names(news.getAbsolved()));
+    private static SuspectRecord toRecord(SuspectNews update, long nowMillis) {
+        long remainingMillis = Math.min(update.getRemainingMillis(), RETENTION_MILLIS);
+        return new SuspectRecord(
+                        update.getFingerprint(), toNames(update.getCrashes()), nowMillis + remainingMillis, false)
+                .setAbsolvedIds(toNames(update.getAbsolved()));
     }
 
-    private static Set<Long> numbers(Collection<String> names) {
+    private static Set<Long> toNumbers(Collection<String> names) {
         return names.stream()
                 .map(name -> Long.parseUnsignedLong(name, Character.MAX_RADIX))
                 .collect(Collectors.toSet());
     }
 
-    private static Set<String> names(Collection<Long> numbers) {
+    private static Set<String> toNames(Collection<Long> numbers) {
         return Stream.ofNullable(numbers)
                 .flatMap(Collection::stream)
                 .map(number -> Long.toUnsignedString(number, Character.MAX_RADIX))
@@ -199,7 +200,7 @@
     }
 
     /** Wall clocks step and differ; durations are told, so the table can keep to the steady clock throughout. */
-    private record Steady(LongSupplier clockMillis) implements Clock {
+    private record MonotonicClock(LongSupplier clockMillis) implements Clock {
 
         /** {@inheritDoc} */
         @Override
--- a/src/main/java/io/waxwingquay/suspect/SuspectTable.java
+++ b/src/main/java/io/waxwingquay/suspect/SuspectTable.java
@@ -27,8 +27,8 @@
     private final Clock clock;
     private final long retentionMillis;
     private final int maxRecords;
-    private final Function<Entry, Standing> rule;
-    private final Map<Long, Entry> entries = new HashMap<>();
+    private final Function<CrashHistory, Standing> standingRule;
+    private final Map<Long, CrashHistory> histories = new HashMap<>();
 
     /**
      * An empty table where cleared counts only beside a single crash name: a request that two crashes name stays refused
@@ -39,14 +39,15 @@
      * @param maxRecords the most records kept.
      */
     public SuspectTable(Clock clock, long retentionMillis, int maxRecords) {
-        this(clock, retentionMillis, maxRecords, Entry::lastingStanding);
+        this(clock, retentionMillis, maxRecords, CrashHistory::standingUntilExpiry);
     }
 
-    private SuspectTable(Clock clock, long retentionMillis, int maxRecords, Function<Entry, Standing> rule) {
+    private SuspectTable(
+            Clock clock, long retentionMillis, int maxRecords, Function<CrashHistory, Standing> standingRule) {
         this.clock = clock;
         this.retentionMillis = retentionMillis;
         this.maxRecords = maxRecords;
-        this.rule = rule;
+        this.standingRule = standingRule;
     }
 
     /**
@@ -60,7 +61,7 @@
      * @return the table.
      */
     public static SuspectTable trustingAnswers(Clock clock, long retentionMillis, int maxRecords) {
-        return new SuspectTable(clock, retentionMillis, maxRecords, Entry::openStanding);
+        return new SuspectTable(clock, retentionMillis, maxRecords, CrashHistory::standingByOpenCrashes);
     }
 
     /**
@@ -69,34 +70,34 @@
      * @return whether there is no record.
      */
     public synchronized boolean isEmpty() {
-        return entries.isEmpty();
+        return histories.isEmpty();
     }
 
     /** {@inheritDoc} */
     @Override
     public synchronized Standing standing(long fingerprint) {
-        return Optional.ofNullable(entries.get(fingerprint))
-                .filter(entry -> entry.expiresAtEpochMillis > clock.epochMillis())
-                .map(rule)
+        return Optional.ofNullable(histories.get(fingerprint))
+                .filter(history -> history.expiresAtEpochMillis > clock.epochMillis())
+                .map(standingRule)
                 .orElse(Standing.CLEAR);
     }
 
     /** {@inheritDoc} */
     @Override
     public synchronized List<SuspectRecord> recordCrash(String crashId, Collection<Long> fingerprints) {
-        Entry crash = new Entry(Set.of(crashId), Set.of(), clock.epochMillis() + retentionMillis, false);
+        CrashHistory crash = new CrashHistory(Set.of(crashId), Set.of(), clock.epochMillis() + retentionMillis, false);
         List<SuspectRecord> changed = fingerprints.stream()
                 .distinct()
                 .map(fingerprint -> join(fingerprint, crash).toRecord(fingerprint))
                 .toList();
-        bound();
+        dropExcess();
         return changed;
     }
 
     /** {@inheritDoc} */
     @Override
     public synchronized void clear(long fingerprint) {
-        entries.computeIfPresent(fingerprint, (key, entry) -> entry.cleared());
+        histories.computeIfPresent(fingerprint, (key, history) -> history.cleared());
     }
 
     /**
@@ -106,7 +107,7 @@
      * @param fingerprint a request that it was recorded for.
      */
     public synchronized void absolve(String crashId, long fingerprint) {
-        entries.computeIfPresent(fingerprint, (key, entry) -> entry.absolved(crashId));
+        histories.computeIfPresent(fingerprint, (key, history) -> history.absolved(crashId));
     }
 
     /** {@inheritDoc} */
@@ -116,83 +117,85 @@
         records.stream()
                 .filter(record -> record.getExpiresAtEpochMillis() > nowMillis)
                 .filter(record -> record.getCrashIds() != null)
-                .forEach(record -> join(record.getFingerprint(), Entry.of(record, nowMillis + retentionMillis)));
-        bound();
+                .forEach(record -> join(record.getFingerprint(), CrashHistory.of(record, nowMillis + retentionMillis)));
+        dropExcess();
     }
 
     /** {@inheritDoc} */
     @Override
     public synchronized List<SuspectRecord> snapshot() {
         long nowMillis = clock.epochMillis();
-        entries.values().removeIf(entry -> entry.expiresAtEpochMillis <= nowMillis);
-        return entries.entrySet().stream()
+        histories.values().removeIf(entry -> entry.expiresAtEpochMillis <= nowMillis);
+        return histories.entrySet().stream()
                 .map(entry -> entry.getValue().toRecord(entry.getKey()))
                 .toList();
     }
 
-    private Entry join(long fingerprint, Entry other) {
+    private CrashHistory join(long fingerprint, CrashHistory other) {
         long nowMillis = clock.epochMillis();
-        return entries.compute(
+        return histories.compute(
                 fingerprint,
                 (key, known) -> known == null || known.expiresAtEpochMillis <= nowMillis ? other : known.join(other));
     }
 
-    private void bound() {
-        if (entries.size() <= maxRecords) {
+    private void dropExcess() {
+        if (histories.size() <= maxRecords) {
             return;
         }
         long nowMillis = clock.epochMillis();
-        entries.values().removeIf(entry -> entry.expiresAtEpochMillis <= nowMillis);
-        entries.entrySet().stream()
-                .map(entry ->
-                        new Worth(entry.getKey(), rule.apply(entry.getValue()), entry.getValue().expiresAtEpochMillis))
-                .sorted(Comparator.comparing(Worth::standing).thenComparing(Worth::expiresAtEpochMillis))
-                .limit(Math.max(0, entries.size() - maxRecords))
+        histories.values().removeIf(entry -> entry.expiresAtEpochMillis <= nowMillis);
+        histories.entrySet().stream()
+                .map(entry -> new DropRank(
+                        entry.getKey(), standingRule.apply(entry.getValue()), entry.getValue().expiresAtEpochMillis))
+                .sorted(Comparator.comparing(DropRank::standing).thenComparing(DropRank::expiresAtEpochMillis))
+                .limit(Math.max(0, histories.size() - maxRecords))
                 .toList()
-                .forEach(worth -> entries.remove(worth.fingerprint));
+                .forEach(dropped -> histories.remove(dropped.fingerprint));
     }
 
-    private record Worth(long fingerprint, Standing standing, long expiresAtEpochMillis) {}
+    private record DropRank(long fingerprint, Standing standing, long expiresAtEpochMillis) {}
 
-    private record Entry(Set<String> crashIds, Set<String> absolvedIds, long expiresAtEpochMillis, boolean isCleared) {
+    private record CrashHistory(
+            Set<String> crashIds, Set<String> absolvedIds, long expiresAtEpochMillis, boolean isCleared) {
 
-        static Entry of(SuspectRecord record, long latestEpochMillis) {
-            long expiry = Math.min(record.getExpiresAtEpochMillis(), latestEpochMillis);
+        static CrashHistory of(SuspectRecord record, long maxExpiryEpochMillis) {
+            long expiryEpochMillis = Math.min(record.getExpiresAtEpochMillis(), maxExpiryEpochMillis);
             Set<String> absolved = record.isSetAbsolvedIds() ? record.getAbsolvedIds() : Set.of();
-            return new Entry(bounded(record.getCrashIds()), bounded(absolved), expiry, record.isCleared());
+            return new CrashHistory(
+                    bounded(record.getCrashIds()), bounded(absolved), expiryEpochMillis, record.isCleared());
         }
 
-        Entry join(Entry other) {
-            return new Entry(
-                    united(crashIds, other.crashIds),
-                    united(absolvedIds, other.absolvedIds),
+        CrashHistory join(CrashHistory other) {
+            return new CrashHistory(
+                    union(crashIds, other.crashIds),
+                    union(absolvedIds, other.absolvedIds),
                     Math.max(expiresAtEpochMillis, other.expiresAtEpochMillis),
                     isCleared || other.isCleared);
         }
 
-        Entry cleared() {
-            return new Entry(crashIds, united(absolvedIds, crashIds), expiresAtEpochMillis, true);
+        CrashHistory cleared() {
+            return new CrashHistory(crashIds, union(absolvedIds, crashIds), expiresAtEpochMillis, true);
         }
 
-        Entry absolved(String crashId) {
-            return new Entry(crashIds, united(absolvedIds, Set.of(crashId)), expiresAtEpochMillis, isCleared);
+        CrashHistory absolved(String crashId) {
+            return new CrashHistory(crashIds, union(absolvedIds, Set.of(crashId)), expiresAtEpochMillis, isCleared);
         }
 
-        Standing lastingStanding() {
+        Standing standingUntilExpiry() {
             if (crashIds.size() >= QUARANTINE_CRASHES) {
                 return Standing.QUARANTINED;
             }
             return crashIds.isEmpty() || isCleared ? Standing.CLEAR : Standing.SUSPECT;
         }
 
-        Standing openStanding() {
-            long open = crashIds.stream()
+        Standing standingByOpenCrashes() {
+            long openCrashes = crashIds.stream()
                     .filter(crashId -> !absolvedIds.contains(crashId))
                     .count();
-            if (open >= QUARANTINE_CRASHES) {
+            if (openCrashes >= QUARANTINE_CRASHES) {
                 return Standing.QUARANTINED;
             }
-            return open == 0 ? Standing.CLEAR : Standing.SUSPECT;
+            return openCrashes == 0 ? Standing.CLEAR : Standing.SUSPECT;
         }
 
         SuspectRecord toRecord(long fingerprint) {
@@ -201,7 +204,7 @@
             return absolvedIds.isEmpty() ? record : record.setAbsolvedIds(new TreeSet<>(absolvedIds));
         }
 
-        private static Set<String> united(Set<String> some, Set<String> more) {
+        private static Set<String> union(Set<String> some, Set<String> more) {
             Set<String> all = new TreeSet<>(some);
             all.addAll(more);
             return bounded(all);
--- a/src/test/java/io/waxwingquay/claim/GroupCommitterTest.java
+++ b/src/test/java/io/waxwingquay/claim/GroupCommitterTest.java
@@ -20,7 +20,7 @@
     private final GroupCommitter committer = new GroupCommitter(table, 64, Runnable::run);
 
     @Test
-    void writesThatComeWhileOneIsInFlightShareATransaction() {
+    void writesDuringACommitShareTheNextTransaction() {
         CompletableFuture<Void> hold = new CompletableFuture<>();
         table.holdCommit(hold);
         List<CompletableFuture<Optional<GroupCommitter.Conflict>>> results = new ArrayList<>();
@@ -33,7 +33,7 @@
     }
 
     @Test
-    void conflictOfOneKeyDoesNotFailTheOthers() {
+    void conflictOnOneKeyDoesNotFailOtherWrites() {
         committer.commit(new Write("taken", 0, "theirs")).join();
         CompletableFuture<Void> hold = new CompletableFuture<>();
         table.holdCommit(hold);
@@ -47,7 +47,7 @@
     }
 
     @Test
-    void writeWhoseAnswerIsLostIsFoundByReadingBack() {
+    void writeWithLostAnswerIsConfirmedByReadingBack() {
         // The caller sees one claim made. The table commits the write and its answer is lost; the row read
         // back holds our own value, so the write is ours and must be neither repeated nor reported failed.
         table.failCommits(FakeTable.Fault.LOSE_ANSWER);
@@ -56,14 +56,14 @@
     }
 
     @Test
-    void writeThatDidNotTakeEffectIsSentOnceMore() {
+    void writeThatDidNotTakeEffectIsResent() {
         table.failCommits(FakeTable.Fault.OUT);
         assertTrue(committer.commit(new Write("k", 0, "attempt-1")).join().isEmpty());
         assertEquals(2, table.commits());
     }
 
     @Test
-    void outageFailsTheWritesAndTheNextOneWorks() {
+    void outageFailsPendingWritesButNotLaterOnes() {
         table.setOut(true);
         var lost = committer.commit(new Write("k", 0, "v"));
         CompletionException failure = assertThrows(CompletionException.class, lost::join);
@@ -73,7 +73,7 @@
     }
 
     @Test
-    void sameKeyTwiceAtOnceGoesIntoTwoTransactions() {
+    void concurrentWritesToOneKeyUseSeparateTransactions() {
         CompletableFuture<Void> hold = new CompletableFuture<>();
         table.holdCommit(hold);
         committer.commit(new Write("other", 0, "x"));
--- a/src/test/java/io/waxwingquay/ledger/MemoryLedgerTest.java
+++ b/src/test/java/io/waxwingquay/ledger/MemoryLedgerTest.java
@@ -34,15 +34,15 @@
     private final TestClock clock = new TestClock();
 
     @Test
-    void refusesWhatDoesNotFit() {
-        MemoryLedger ledger = readLedger(100L);
+    void rejectsReservationThatDoesNotFit() {
+        MemoryLedger ledger = ledgerAfterFirstReport(100L);
         assertTrue(ledger.reserve("a", 60L, "o1"));
         assertFalse(ledger.reserve("b", 41L, "o2"));
         assertTrue(ledger.reserve("c", 40L, "o3"));
     }
 
     @Test
-    void reservesNothingBeforeTheEngineWasRead() {
+    void reservesNothingBeforeTheFirstReport() {
         MemoryLedger ledger = MemoryLedger.forFencedEngine(100L, clock, QUARANTINE_MILLIS);
         assertFalse(ledger.reserve("a", 1L, "o1"));
     }
@@ -50,8 +50,8 @@
     // The caller sees requests fail because the engine ran out of memory. An eviction was ordered and its
     // confirmation never came; a ledger that frees the bytes on a timeout would load the next item beside it.
     @Test
-    void neverFreesAnEvictionThatIsNotConfirmed() {
-        MemoryLedger ledger = readLedger(100L, new Resident("a", 80L));
+    void unconfirmedEvictionFreesNoMemory() {
+        MemoryLedger ledger = ledgerAfterFirstReport(100L, new Resident("a", 80L));
         assertTrue(ledger.beginEviction("a", "o1"));
         clock.advance(10L * QUARANTINE_MILLIS);
         assertFalse(ledger.reserve("b", 80L, "o2"));
@@ -66,7 +66,7 @@
     // The caller sees the engine fail just after the side process was restarted. The predecessor ordered a
     // load; it is still under way when the new process reads an engine that looks empty and fills it.
     @Test
-    void countsAllFreeMemoryAsUnknownWhileThePredecessorsOrdersMayLand() {
+    void freeMemoryIsUnknownWhileOrdersOfThePredecessorMayArrive() {
         MemoryLedger ledger = MemoryLedger.forUnfencedEngine(100L, clock, QUARANTINE_MILLIS);
         ledger.observe(report("b1", List.of(), new Resident("old", 20L)));
         assertTrue(ledger.snapshot().isResident("old"));
@@ -83,8 +83,8 @@
     // The caller sees the engine fail after it came back. A lost copy of a load is still under way when the
     // engine restarts and forgets which order ids it took, so the copy would load the item once more.
     @Test
-    void keepsCountingLostOrdersOverARestartOfTheEngine() {
-        MemoryLedger ledger = readLedger(100L);
+    void lostOrdersStayCountedAcrossAnEngineRestart() {
+        MemoryLedger ledger = ledgerAfterFirstReport(100L);
         assertTrue(ledger.reserve("a", 60L, "o1"));
         ledger.recordLostAnswer();
         Observation seen = ledger.observe(report("b2", List.of()));
@@ -97,8 +97,8 @@
     }
 
     @Test
-    void doesNotEvictWhatARequestUses() {
-        MemoryLedger ledger = readLedger(100L, new Resident("a", 80L));
+    void pinnedItemIsNotEvicted() {
+        MemoryLedger ledger = ledgerAfterFirstReport(100L, new Resident("a", 80L));
         assertTrue(ledger.pin("a"));
         assertFalse(ledger.beginEviction("a", "o1"));
         ledger.unpin("a");
@@ -107,21 +107,21 @@
     }
 
     @Test
-    void reportsTheSurplusOfAnOrderThatIsNotOurs() {
-        MemoryLedger ledger = readLedger(100L, new Resident("a", 80L));
+    void reportsSurplusFromAForeignOrder() {
+        MemoryLedger ledger = ledgerAfterFirstReport(100L, new Resident("a", 80L));
         Observation seen = ledger.observe(report("b1", List.of(), new Resident("a", 80L), new Resident("x", 30L)));
         assertEquals(10L, seen.surplusBytes());
     }
 
     @Property(tries = 500, seed = "20261202")
-    void neverCountsNorHoldsMoreThanTheCapacity(
+    void countedAndUsedMemoryNeverExceedCapacity(
             @ForAll @Size(max = 80) List<@IntRange(max = 7) Integer> steps,
             @ForAll @Size(value = 80) List<@IntRange(min = 1, max = 60) Integer> picks) {
-        Play play = new Play();
+        SimulatedEngine engine = new SimulatedEngine();
         for (int i = 0; i < steps.size(); i++) {
-            play.step(steps.get(i), picks.get(i));
-            assertTrue(play.ledger.snapshot().countedBytes() <= 100L);
-            assertTrue(play.usedBytes() <= 100L, () -> "engine holds " + play.memory);
+            engine.step(steps.get(i), picks.get(i));
+            assertTrue(engine.ledger.snapshot().countedBytes() <= 100L);
+            assertTrue(engine.usedBytes() <= 100L, () -> "engine holds " + engine.memory);
         }
     }
 
@@ -132,21 +132,21 @@
                 .invocationsPerIteration(500)
                 .threads(2)
                 .actorsPerThread(3)
-                .check(Concurrent.class);
+                .check(ConcurrentOperations.class);
     }
 
-    private MemoryLedger readLedger(long capacityBytes, Resident... residents) {
+    private MemoryLedger ledgerAfterFirstReport(long capacityBytes, Resident... residents) {
         MemoryLedger ledger = MemoryLedger.forFencedEngine(capacityBytes, clock, QUARANTINE_MILLIS);
         ledger.observe(report("b1", List.of(), residents));
         return ledger;
     }
 
-    private static Residency report(String bootId, List<Order> open, Resident... residents) {
-        return new Residency(bootId, 100L, List.of(residents), open);
+    private static Residency report(String bootId, List<Order> openOrders, Resident... residents) {
+        return new Residency(bootId, 100L, List.of(residents), openOrders);
     }
 
     /** Operations that run against each other. */
-    public static class Concurrent {
+    public static class ConcurrentOperations {
 
         private final MemoryLedger ledger = withOneResident();
 
@@ -178,39 +178,39 @@
     }
 
     /** An engine to which orders arrive late, twice or never; orders come only from one ledger. */
-    private static final class Play {
+    private static final class SimulatedEngine {
 
         private final TestClock clock = new TestClock();
         private final MemoryLedger ledger = MemoryLedger.forFencedEngine(100L, clock, QUARANTINE_MILLIS);
         private final Map<String, Long> memory = new HashMap<>();
-        private final List<Order> underWay = new ArrayList<>();
-        private final List<Order> open = new ArrayList<>();
-        private final Set<String> taken = new HashSet<>();
-        private int count;
-        private int boot;
+        private final List<Order> ordersInTransit = new ArrayList<>();
+        private final List<Order> openOrders = new ArrayList<>();
+        private final Set<String> acceptedOrderIds = new HashSet<>();
+        private int orderCount;
+        private int bootCount;
 
         private void step(int kind, int pick) {
             switch (kind) {
                 case 0 -> load("item" + pick % 6, pick);
                 case 1 -> evict("item" + pick % 6);
                 case 2 -> resend(pick);
-                case 3 -> arrive(pick);
-                case 4 -> work();
-                case 5 -> read();
-                case 6 -> restart(pick);
+                case 3 -> deliver(pick);
+                case 4 -> executeOpenOrders();
+                case 5 -> reportResidency();
+                case 6 -> reboot(pick);
                 default -> clock.advance(pick * 10L);
             }
         }
 
         private void load(String item, long sizeBytes) {
-            String id = "o" + count++;
+            String id = "o" + orderCount++;
             if (ledger.reserve(item, sizeBytes, id)) {
                 send(new Order(id, OrderKind.LOAD, item, sizeBytes, 1L));
             }
         }
 
         private void evict(String item) {
-            String id = "o" + count++;
+            String id = "o" + orderCount++;
             if (ledger.beginEviction(item, id)) {
                 send(new Order(id, OrderKind.EVICT, item, 0L, 1L));
             }
@@ -225,52 +225,52 @@
         }
 
         private void send(Order order) {
-            underWay.add(order);
+            ordersInTransit.add(order);
             ledger.recordLostAnswer();
         }
 
-        private void arrive(int pick) {
-            if (!underWay.isEmpty()) {
-                Order order = underWay.remove(pick % underWay.size());
-                if (taken.add(order.id())) {
-                    open.add(order);
+        private void deliver(int pick) {
+            if (!ordersInTransit.isEmpty()) {
+                Order order = ordersInTransit.remove(pick % ordersInTransit.size());
+                if (acceptedOrderIds.add(order.id())) {
+                    openOrders.add(order);
                 }
             }
         }
 
-        private void work() {
-            for (Order order : open) {
+        private void executeOpenOrders() {
+            for (Order order : openOrders) {
                 if (order.kind() == OrderKind.LOAD) {
                     memory.put(order.item(), order.bytes());
                 } else {
                     memory.remove(order.item());
                 }
             }
-            open.clear();
+            openOrders.clear();
         }
 
-        private void read() {
+        private void reportResidency() {
             List<Resident> residents = new ArrayList<>();
             memory.forEach((item, sizeBytes) -> residents.add(new Resident(item, sizeBytes)));
-            ledger.observe(report("b" + boot, List.copyOf(open), residents.toArray(Resident[]::new)));
+            ledger.observe(report("b" + bootCount, List.copyOf(openOrders), residents.toArray(Resident[]::new)));
         }
 
         /** Each restart is seen, and what was under way before it has landed when the quarantine is over. */
-        private void restart(int pick) {
-            boot++;
+        private void reboot(int pick) {
+            bootCount++;
             memory.clear();
-            open.clear();
-            taken.clear();
-            read();
+            openOrders.clear();
+            acceptedOrderIds.clear();
+            reportResidency();
             if (pick % 2 == 0) {
-                underWay.forEach(order -> {
-                    if (taken.add(order.id())) {
-                        open.add(order);
+                ordersInTransit.forEach(order -> {
+                    if (acceptedOrderIds.add(order.id())) {
+                        openOrders.add(order);
                     }
                 });
-                underWay.clear();
-                work();
-                read();
+                ordersInTransit.clear();
+                executeOpenOrders();
+                reportResidency();
                 clock.advance(QUARANTINE_MILLIS);
             }
         }
--- a/src/test/java/io/waxwingquay/permit/PermitHomeLincheckTest.java
+++ b/src/test/java/io/waxwingquay/permit/PermitLenderLincheckTest.java
@@ -12,21 +12,21 @@
 
 /** The home behaves as if its calls came one after another, whatever the threads do. */
 @Param(name = "permit", gen = IntGen.class, conf = "1:3")
-public class PermitHomeLincheckTest {
+public class PermitLenderLincheckTest {
 
     private static final long LEASE_MILLIS = 10;
 
-    private final PermitLender home = openHome();
+    private final PermitLender lender = lenderPastFirstLease();
 
     @Operation
     public boolean borrow(@Param(name = "permit") int permit) {
-        return home.borrow(new PermitRequest(Limit.ADAPTER_LOADS.name(), "holder", "permit-" + permit, LEASE_MILLIS))
+        return lender.borrow(new PermitRequest(Limit.ADAPTER_LOADS.name(), "holder", "permit-" + permit, LEASE_MILLIS))
                 .isGranted();
     }
 
     @Operation
-    public boolean giveBack(@Param(name = "permit") int permit) {
-        return home.returnPermit(new PermitReturn(Limit.ADAPTER_LOADS.name(), "permit-" + permit));
+    public boolean returnPermit(@Param(name = "permit") int permit) {
+        return lender.returnPermit(new PermitReturn(Limit.ADAPTER_LOADS.name(), "permit-" + permit));
     }
 
     @Test
@@ -36,10 +36,10 @@
                 .invocationsPerIteration(500)
                 .threads(3)
                 .actorsPerThread(3)
-                .check(PermitHomeLincheckTest.class);
+                .check(PermitLenderLincheckTest.class);
     }
 
-    private static PermitLender openHome() {
+    private static PermitLender lenderPastFirstLease() {
         long[] nowMillis = {0};
         Clock clock = new Clock() {
             @Override
@@ -52,9 +52,10 @@
                 return nowMillis[0];
             }
         };
-        PermitLender home = new PermitLender(clock, LEASE_MILLIS, LEASE_MILLIS, new PermitLender.Slots(0, 1, 0, 0, 2));
+        PermitLender lender =
+                new PermitLender(clock, LEASE_MILLIS, LEASE_MILLIS, new PermitLender.Slots(0, 1, 0, 0, 2));
         nowMillis[0] = LEASE_MILLIS;
-        home.heartbeat();
-        return home;
+        lender.heartbeat();
+        return lender;
     }
 }
--- a/src/test/java/io/waxwingquay/permit/PermitWorld.java
+++ b/src/test/java/io/waxwingquay/permit/PermitSimulation.java
@@ -24,7 +24,7 @@
 import java.util.stream.Stream;
 
 /** Replicas of one service that lend weight loads to each other over calls that may be lost. */
-final class PermitWorld {
+final class PermitSimulation {
 
     static final long LEASE_MILLIS = 10_000;
     static final long PAUSE_MILLIS = 3_000;
@@ -34,11 +34,11 @@
     private final int replicas;
     private final int weightLoads;
     private final double loadsPerSecond;
-    private final List<PermitLender> homes = new ArrayList<>();
+    private final List<PermitLender> lenders = new ArrayList<>();
     private final List<LeasedPermits> holders = new ArrayList<>();
-    private final List<LeasedPermits> retired = new ArrayList<>();
+    private final List<LeasedPermits> retiredHolders = new ArrayList<>();
     private final MemberTable table;
-    private Supplier<Fate> fate = () -> Fate.DELIVERED;
+    private Supplier<DeliveryOutcome> deliveryOutcome = () -> DeliveryOutcome.DELIVERED;
     private long nowMillis = 5_000;
     private final Clock clock = new Clock() {
         @Override
@@ -52,44 +52,44 @@
         }
     };
 
-    PermitWorld(int replicas, int weightLoads, double loadsPerSecond) {
+    PermitSimulation(int replicas, int weightLoads, double loadsPerSecond) {
         this.replicas = replicas;
         this.weightLoads = weightLoads;
         this.loadsPerSecond = loadsPerSecond;
         this.table = new MemberTable(clock, MemberTable.Timing.DEFAULT);
         for (int replica = 0; replica < replicas; replica++) {
             table.publish(record(replica));
-            homes.add(newHome(replica));
+            lenders.add(newLender(replica));
         }
         for (int replica = 0; replica < replicas; replica++) {
             holders.add(newHolder(replica));
         }
     }
 
-    void open() {
-        pass(LEASE_MILLIS);
+    void passFirstLease() {
+        advance(LEASE_MILLIS);
     }
 
-    void fate(Supplier<Fate> next) {
-        fate = next;
+    void deliveryOutcome(Supplier<DeliveryOutcome> next) {
+        deliveryOutcome = next;
     }
 
-    void pass(long millis) {
+    void advance(long millis) {
         long untilMillis = nowMillis + millis;
         while (nowMillis < untilMillis) {
             nowMillis = Math.min(untilMillis, nowMillis + PAUSE_MILLIS);
-            homes.forEach(PermitLender::heartbeat);
+            lenders.forEach(PermitLender::heartbeat);
         }
     }
 
-    void passUnnoticed(long millis) {
+    void advanceWithoutHeartbeats(long millis) {
         nowMillis += millis;
     }
 
     /** A new process: nothing is remembered, and what the old one had begun still runs at the weight store. */
     void restart(int replica) {
-        retired.add(holders.get(replica));
-        homes.set(replica, newHome(replica));
+        retiredHolders.add(holders.get(replica));
+        lenders.set(replica, newLender(replica));
         holders.set(replica, newHolder(replica));
     }
 
@@ -109,36 +109,36 @@
         return all;
     }
 
-    int inUse() {
-        return Stream.concat(holders.stream(), retired.stream())
+    int countInUse() {
+        return Stream.concat(holders.stream(), retiredHolders.stream())
                 .mapToInt(holder -> holder.countInUse(Limit.WEIGHT_LOADS))
                 .sum();
     }
 
-    PermitLender home(int replica) {
-        return homes.get(replica);
+    PermitLender lender(int replica) {
+        return lenders.get(replica);
     }
 
     PermitAnswer borrowFrom(int replica, String permitId) {
-        return home(replica).borrow(new PermitRequest(Limit.WEIGHT_LOADS.name(), "test", permitId, LEASE_MILLIS));
+        return lender(replica).borrow(new PermitRequest(Limit.WEIGHT_LOADS.name(), "test", permitId, LEASE_MILLIS));
     }
 
-    void giveBackTo(int replica, PermitReturn request) {
-        home(replica).returnPermit(request);
+    void returnTo(int replica, PermitReturn request) {
+        lender(replica).returnPermit(request);
     }
 
     PermitLender.Slots slots(int replica) {
         return new PermitLender.Slots(replica, replicas, weightLoads, loadsPerSecond, 0);
     }
 
-    private PermitLender newHome(int replica) {
+    private PermitLender newLender(int replica) {
         return new PermitLender(clock, LEASE_MILLIS, PAUSE_MILLIS, slots(replica));
     }
 
     private LeasedPermits newHolder(int replica) {
-        return LeasedPermits.forHolder("side-" + replica, homes.get(replica))
+        return LeasedPermits.forHolder("side-" + replica, lenders.get(replica))
                 .withPeers("models", table, new LossyConnections())
-                .withClock(clock, new Random(replica + retired.size() * (long) replicas))
+                .withClock(clock, new Random(replica + retiredHolders.size() * (long) replicas))
                 .withTotalSlots(limit -> weightLoads)
                 .withBounds(replicas, LEASE_MILLIS, MARGIN_MILLIS)
                 .build();
@@ -161,7 +161,7 @@
     }
 
     /** What becomes of one call. */
-    enum Fate {
+    enum DeliveryOutcome {
         DELIVERED,
         REQUEST_LOST,
         ANSWER_LOST
@@ -178,14 +178,14 @@
         }
 
         private CompletableFuture<?> call(int replica, Object request) {
-            Fate next = fate.get();
-            if (next == Fate.REQUEST_LOST) {
+            DeliveryOutcome next = deliveryOutcome.get();
+            if (next == DeliveryOutcome.REQUEST_LOST) {
                 return CompletableFuture.failedFuture(new TransportException(false, "request lost", null));
             }
             Object answer = request instanceof PermitRequest borrow
-                    ? home(replica).borrow(borrow)
-                    : (Object) home(replica).returnPermit((PermitReturn) request);
-            return next == Fate.ANSWER_LOST
+                    ? lender(replica).borrow(borrow)
+                    : (Object) lender(replica).returnPermit((PermitReturn) request);
+            return next == DeliveryOutcome.ANSWER_LOST
                     ? CompletableFuture.failedFuture(new TransportException(true, "answer lost", null))
                     : CompletableFuture.completedFuture(answer);
         }
--- a/src/test/java/io/waxwingquay/placement/DriftComparisonTest.java
+++ b/src/test/java/io/waxwingquay/placement/DriftComparisonTest.java
@@ -24,14 +24,14 @@
     private static final int MODELS = 30;
     private static final int MINUTES = 240;
     private static final long CAPACITY_BYTES = 100;
-    private static final int REQUESTS_A_SIDE = 12;
-    private static final DemandThresholds MARKS = new DemandThresholds(6, 2, 5 * 60_000);
+    private static final int REQUESTS_PER_SIDE = 12;
+    private static final DemandThresholds THRESHOLDS = new DemandThresholds(6, 2, 5 * 60_000);
 
     @Test
-    void underDriftThePlanKeepsEveryModelReachableAndServesMore() {
-        Outcome planned = run(PlacementStrategy.named("planned", MARKS));
-        Outcome fixed = run(PlacementStrategy.named("static", MARKS));
-        Outcome onMiss = run(PlacementStrategy.named("load-on-miss", MARKS));
+    void plannedPlacementKeepsEveryModelResidentAndServesMoreUnderDrift() {
+        Outcome planned = run(PlacementStrategy.named("planned", THRESHOLDS));
+        Outcome fixed = run(PlacementStrategy.named("static", THRESHOLDS));
+        Outcome onMiss = run(PlacementStrategy.named("load-on-miss", THRESHOLDS));
         System.out.printf("placement drift: planned %s, static %s, load-on-miss %s%n", planned, fixed, onMiss);
         assertEquals(0, planned.absentModelMinutes());
         assertEquals(0, fixed.absentModelMinutes());
@@ -42,19 +42,19 @@
     private static Outcome run(PlacementStrategy strategy) {
         Random random = new Random(5);
         Bundle bundle = bundle(new Random(3));
-        List<SketchSide> sides =
-                IntStream.range(0, SIDES).mapToObj(SketchSide::new).toList();
+        List<SimulatedSide> sides =
+                IntStream.range(0, SIDES).mapToObj(SimulatedSide::new).toList();
         Plan plan = Plan.EMPTY;
         Outcome outcome = new Outcome(0, 0, 0, 0);
         for (int minute = 0; minute < MINUTES; minute++) {
             Map<String, Double> total = new HashMap<>();
             sides.forEach(side -> side.demand.forEach((item, units) -> total.merge(item, units, Double::sum)));
-            List<LiveSide> holders = sides.stream().map(SketchSide::holder).toList();
+            List<LiveSide> holders = sides.stream().map(SimulatedSide::holder).toList();
             plan = strategy.plan(new PlacementInput(
                     bundle, "models", holders, total, plan.lowDemandSinceMillis(), minute * 60_000L));
             int moves = 0;
-            for (SketchSide side : sides) {
-                moves += side.follow(plan.shareOf(side.id()), bundle);
+            for (SimulatedSide side : sides) {
+                moves += side.apply(plan.shareOf(side.id()), bundle);
             }
             // The first minutes fill empty sides, which every strategy must.
             Outcome minuteOutcome = serve(bundle, sides, minute, random);
@@ -65,9 +65,9 @@
         return outcome;
     }
 
-    private static Outcome serve(Bundle bundle, List<SketchSide> sides, int minute, Random random) {
-        sides.forEach(SketchSide::startMinute);
-        int asked = 0;
+    private static Outcome serve(Bundle bundle, List<SimulatedSide> sides, int minute, Random random) {
+        sides.forEach(SimulatedSide::startMinute);
+        int requested = 0;
         int served = 0;
         int absent = 0;
         for (int index = 0; index < MODELS; index++) {
@@ -76,20 +76,20 @@
             absent += isResident ? 0 : 1;
             int requests = requests(index, minute, random);
             for (int request = 0; request < requests; request++) {
-                Optional<SketchSide> side = sides.stream()
+                Optional<SimulatedSide> side = sides.stream()
                         .filter(candidate -> candidate.resident.contains(item))
                         .min(Comparator.comparingInt(candidate -> candidate.load));
-                SketchSide asking = side.orElseGet(() -> sides.get(random.nextInt(SIDES)));
-                asking.seen.merge(item, 1.0, Double::sum);
-                asked++;
-                if (side.isPresent() && asking.load < REQUESTS_A_SIDE) {
-                    asking.load++;
+                SimulatedSide chosen = side.orElseGet(() -> sides.get(random.nextInt(SIDES)));
+                chosen.requestsThisMinute.merge(item, 1.0, Double::sum);
+                requested++;
+                if (side.isPresent() && chosen.load < REQUESTS_PER_SIDE) {
+                    chosen.load++;
                     served++;
                 }
             }
         }
-        sides.forEach(SketchSide::endMinute);
-        return new Outcome(asked, served, 0, absent);
+        sides.forEach(SimulatedSide::endMinute);
+        return new Outcome(requested, served, 0, absent);
     }
 
     /** A peak that moves over the models once in the run, over a base of about one request in two minutes. */
@@ -107,26 +107,26 @@
         return new Bundle(1, keys, List.of(), models, List.of(), List.of());
     }
 
-    private record Outcome(int asked, int served, int moves, int absentModelMinutes) {
+    private record Outcome(int requested, int served, int moves, int absentModelMinutes) {
 
         Outcome plus(Outcome other) {
             return new Outcome(
-                    asked + other.asked,
+                    requested + other.requested,
                     served + other.served,
                     moves + other.moves,
                     absentModelMinutes + other.absentModelMinutes);
         }
     }
 
-    private static final class SketchSide {
+    private static final class SimulatedSide {
 
         private final int index;
         private final Set<String> resident = new HashSet<>();
         private final Map<String, Double> demand = new HashMap<>();
-        private final Map<String, Double> seen = new HashMap<>();
+        private final Map<String, Double> requestsThisMinute = new HashMap<>();
         private int load;
 
-        private SketchSide(int index) {
+        private SimulatedSide(int index) {
             this.index = index;
         }
 
@@ -139,7 +139,7 @@
         }
 
         /** Loads what is wanted and evicts only for room; counts both. */
-        private int follow(Plan.Share share, Bundle bundle) {
+        private int apply(Plan.Share share, Bundle bundle) {
             Map<String, Long> sizes = new HashMap<>();
             bundle.models().forEach(model -> sizes.put(model.item(), model.sizeBytes()));
             int moves = 0;
@@ -170,12 +170,12 @@
 
         private void startMinute() {
             load = 0;
-            seen.clear();
+            requestsThisMinute.clear();
         }
 
         private void endMinute() {
             demand.replaceAll((item, units) -> units / 2);
-            seen.forEach((item, count) -> demand.merge(item, count / 2, Double::sum));
+            requestsThisMinute.forEach((item, count) -> demand.merge(item, count / 2, Double::sum));
             demand.values().removeIf(units -> units < 0.01);
         }
     }
--- a/src/test/java/io/waxwingquay/placement/PlacementTest.java
+++ b/src/test/java/io/waxwingquay/placement/RendezvousPlacementTest.java
@@ -20,57 +20,58 @@
 import net.jqwik.api.constraints.IntRange;
 import org.junit.jupiter.api.Test;
 
-class PlacementTest {
+class RendezvousPlacementTest {
 
     private static final String SERVICE = "models";
     private static final long CAPACITY_BYTES = 100;
     private static final long LARGEST_BYTES = 30;
-    private static final DemandThresholds MARKS = new DemandThresholds(3, 1, 60_000);
+    private static final DemandThresholds THRESHOLDS = new DemandThresholds(3, 1, 60_000);
 
-    private final RendezvousPlacement placement = new RendezvousPlacement(MARKS);
+    private final RendezvousPlacement placement = new RendezvousPlacement(THRESHOLDS);
 
     @Property(tries = 300, seed = "20261202")
-    void withRoomEveryModelHasAHomeAndThePlanFits(@ForAll @IntRange(min = 1, max = 24) int sides, @ForAll long seed) {
+    void everyModelIsPlacedAndThePlanFitsWhenCapacitySuffices(
+            @ForAll @IntRange(min = 1, max = 24) int sides, @ForAll long seed) {
         Random random = new Random(seed);
         Bundle bundle = bundle(modelsThatFit(sides, random));
-        PlacementInput view =
-                view(bundle, withRandomResidency(bundle, sides(sides), random), randomDemand(bundle, random));
-        Plan plan = placement.plan(view);
+        PlacementInput input =
+                input(bundle, withRandomResidency(bundle, sides(sides), random), randomDemand(bundle, random));
+        Plan plan = placement.plan(input);
         assertEquals(List.of(), plan.unplacedModels());
         bundle.models().forEach(model -> assertFalse(holders(plan, model.item()).isEmpty(), model.name()));
-        assertFits(bundle, view, plan);
+        assertFits(bundle, input, plan);
     }
 
     @Property(tries = 200, seed = "20261202")
-    void aSideThatLeavesMovesOnlyItsOwnModelsWhileTwoCopiesFit(
+    void leavingSideMovesOnlyItsOwnModelsWhileTwoCopiesFit(
             @ForAll @IntRange(min = 4, max = 24) int sides, @ForAll long seed) {
         Random random = new Random(seed);
         Bundle bundle = bundle(modelsThatFit((sides - 1) / 2, random));
-        PlacementInput before = settled(view(bundle, sides(sides), Map.of()));
+        PlacementInput before = withPlanLoaded(input(bundle, sides(sides), Map.of()));
         Plan old = placement.plan(before);
-        LiveSide leaver = before.sides().get(random.nextInt(sides));
+        LiveSide leavingSide = before.sides().get(random.nextInt(sides));
         List<LiveSide> rest =
-                before.sides().stream().filter(side -> side != leaver).toList();
-        Plan next = placement.plan(view(bundle, rest, Map.of()));
+                before.sides().stream().filter(side -> side != leavingSide).toList();
+        Plan next = placement.plan(input(bundle, rest, Map.of()));
         Set<String> moved = new HashSet<>();
         rest.forEach(side -> next.shareOf(side.id()).wantedItems().stream()
                 .filter(item -> !side.residentItems().contains(item))
                 .forEach(moved::add));
         assertTrue(
-                old.shareOf(leaver.id()).wantedItems().containsAll(moved),
-                () -> "moved " + moved + " but the leaver held " + old.shareOf(leaver.id()));
+                old.shareOf(leavingSide.id()).wantedItems().containsAll(moved),
+                () -> "moved " + moved + " but the leaver held " + old.shareOf(leavingSide.id()));
     }
 
     @Property(tries = 200, seed = "20261202")
-    void howeverTightTheFirstCopiesOfTheOthersStayWhenASideLeaves(
+    void firstCopiesOnRemainingSidesStayWhenASideLeaves(
             @ForAll @IntRange(min = 4, max = 24) int sides, @ForAll long seed) {
         Random random = new Random(seed);
         Bundle bundle = bundle(modelsThatFit(sides - 1, random));
-        PlacementInput before = settled(view(bundle, sides(sides), Map.of()));
+        PlacementInput before = withPlanLoaded(input(bundle, sides(sides), Map.of()));
         Plan old = placement.plan(before);
         List<LiveSide> rest = new ArrayList<>(before.sides());
         rest.remove(random.nextInt(sides));
-        Plan next = placement.plan(view(bundle, rest, Map.of()));
+        Plan next = placement.plan(input(bundle, rest, Map.of()));
         rest.forEach(side -> assertTrue(next.shareOf(side.id())
                 .wantedItems()
                 .containsAll(old.shareOf(side.id()).protectedItems())));
@@ -78,14 +79,14 @@
     }
 
     @Property(tries = 200, seed = "20261202")
-    void aResidentModelIsProtectedAtOneSideOnly(@ForAll @IntRange(min = 1, max = 12) int sides, @ForAll long seed) {
+    void residentModelIsProtectedOnExactlyOneSide(@ForAll @IntRange(min = 1, max = 12) int sides, @ForAll long seed) {
         Random random = new Random(seed);
         Bundle bundle = bundle(modelsThatFit(sides, random));
-        PlacementInput view = view(bundle, withRandomResidency(bundle, sides(sides), random), Map.of());
-        Plan plan = placement.plan(view);
+        PlacementInput input = input(bundle, withRandomResidency(bundle, sides(sides), random), Map.of());
+        Plan plan = placement.plan(input);
         bundle.models().stream().map(Bundle.Model::item).forEach(item -> {
             boolean isResident =
-                    view.sides().stream().anyMatch(side -> side.residentItems().contains(item));
+                    input.sides().stream().anyMatch(side -> side.residentItems().contains(item));
             long protecting = plan.shares().values().stream()
                     .filter(share -> share.protectedItems().contains(item))
                     .count();
@@ -94,9 +95,9 @@
     }
 
     @Test
-    void twoHomesAreInDifferentDataCentres() {
+    void baseCopiesAreInDifferentDataCentres() {
         Bundle bundle = bundle(List.of(20L, 20L, 10L));
-        Plan plan = placement.plan(view(bundle, sides(6), Map.of()));
+        Plan plan = placement.plan(input(bundle, sides(6), Map.of()));
         bundle.models().forEach(model -> {
             Set<Integer> dataCentres = new HashSet<>();
             holders(plan, model.item()).forEach(id -> dataCentres.add(Integer.parseInt(id.substring(5)) % 3));
@@ -110,15 +111,15 @@
      * Its third copy takes the room of second copies; every other model keeps one home.
      */
     @Test
-    void demandTakesTheRoomOfIdleSecondHomes() {
+    void demandDisplacesSecondCopiesOfIdleModels() {
         Bundle bundle = bundle(List.of(50L, 50L, 50L));
         String busy = bundle.models().get(0).item();
-        PlacementInput full = settled(view(bundle, sides(3), Map.of()));
-        PlacementInput asked = new PlacementInput(bundle, SERVICE, full.sides(), Map.of(busy, 20.0), Map.of(), 0);
-        Plan plan = placement.plan(asked);
-        RendezvousPlacement earlier =
-                new RendezvousPlacement(MARKS, RendezvousPlacement.Precedence.SECOND_COPIES_FIRST);
-        assertEquals(2, holders(earlier.plan(asked), busy).size());
+        PlacementInput full = withPlanLoaded(input(bundle, sides(3), Map.of()));
+        PlacementInput underDemand = new PlacementInput(bundle, SERVICE, full.sides(), Map.of(busy, 20.0), Map.of(), 0);
+        Plan plan = placement.plan(underDemand);
+        RendezvousPlacement secondCopiesFirst =
+                new RendezvousPlacement(THRESHOLDS, RendezvousPlacement.Precedence.SECOND_COPIES_FIRST);
+        assertEquals(2, holders(secondCopiesFirst.plan(underDemand), busy).size());
         assertEquals(3, holders(plan, busy).size());
         assertEquals(List.of(), plan.unplacedModels());
     }
@@ -129,23 +130,25 @@
      * A share that only first copies may take leaves room for adapters.
      */
     @Test
-    void secondCopiesLeaveRoomForAdapters() {
+    void secondCopiesKeepTheAdapterReserve() {
         Bundle bundle = bundle(List.of(45L, 45L));
-        PlacementInput view = view(bundle, sides(2), Map.of());
-        Plan roomy = new RendezvousPlacement(MARKS, RendezvousPlacement.Precedence.DEMAND_FIRST, 0.2).plan(view);
-        Plan full = new RendezvousPlacement(MARKS, RendezvousPlacement.Precedence.DEMAND_FIRST).plan(view);
-        assertEquals(4, copies(full));
-        assertTrue(copies(roomy) < 4);
-        assertEquals(List.of(), roomy.unplacedModels());
+        PlacementInput input = input(bundle, sides(2), Map.of());
+        Plan withReserve =
+                new RendezvousPlacement(THRESHOLDS, RendezvousPlacement.Precedence.DEMAND_FIRST, 0.2).plan(input);
+        Plan withoutReserve =
+                new RendezvousPlacement(THRESHOLDS, RendezvousPlacement.Precedence.DEMAND_FIRST).plan(input);
+        assertEquals(4, copies(withoutReserve));
+        assertTrue(copies(withReserve) < 4);
+        assertEquals(List.of(), withReserve.unplacedModels());
     }
 
     @Test
-    void demandAddsReplicasAndGivesThemUpOnlyAfterTheHold() {
+    void demandAddsCopiesAndRemovesThemOnlyAfterTheDelay() {
         Bundle bundle = bundle(List.of(20L));
         String item = bundle.models().get(0).item();
-        PlacementInput busy = view(bundle, sides(6), Map.of(item, 12.0));
+        PlacementInput busy = input(bundle, sides(6), Map.of(item, 12.0));
         assertEquals(4, holders(placement.plan(busy), item).size());
-        PlacementInput quiet = settled(busy);
+        PlacementInput quiet = withPlanLoaded(busy);
         quiet = new PlacementInput(bundle, SERVICE, quiet.sides(), Map.of(item, 3.5), Map.of(), 0);
         Plan held = placement.plan(quiet);
         assertEquals(4, holders(held, item).size());
@@ -155,74 +158,74 @@
                 quiet.sides(),
                 Map.of(item, 3.5),
                 held.lowDemandSinceMillis(),
-                MARKS.scaleDownDelayMillis());
+                THRESHOLDS.scaleDownDelayMillis());
         assertEquals(3, holders(placement.plan(later), item).size());
     }
 
     @Test
-    void anOldVersionIsProtectedUntilTheNewOneIsResident() {
+    void oldVersionIsProtectedUntilTheNewOneIsResident() {
         // A rollout replaces a model's version while its only replica holds the old one. Were that not protected, a
         // side in need of room could evict it before any side serves the new one, and callers find no replica.
         Bundle bundle = bundle(List.of(20L));
         List<LiveSide> sides = new ArrayList<>(sides(3));
         sides.set(0, holding(sides.get(0), Set.of("model:m0@0")));
-        Plan during = placement.plan(view(bundle, sides, Map.of()));
+        Plan during = placement.plan(input(bundle, sides, Map.of()));
         assertEquals(Set.of("model:m0@0"), during.shareOf("side-0").protectedItems());
         sides.set(1, holding(sides.get(1), Set.of("model:m0@1")));
-        Plan after = placement.plan(view(bundle, sides, Map.of()));
+        Plan after = placement.plan(input(bundle, sides, Map.of()));
         assertEquals(Set.of(), after.shareOf("side-0").protectedItems());
     }
 
     @Test
     void strategiesAreFoundByName() {
-        PlacementInput view = view(bundle(List.of(20L)), sides(3), Map.of("model:m0@1", 100.0));
+        PlacementInput input = input(bundle(List.of(20L)), sides(3), Map.of("model:m0@1", 100.0));
         assertEquals(
                 2,
-                holders(PlacementStrategy.named("static", MARKS).plan(view), "model:m0@1")
+                holders(PlacementStrategy.named("static", THRESHOLDS).plan(input), "model:m0@1")
                         .size());
         assertEquals(
                 3,
-                holders(PlacementStrategy.named("planned", MARKS).plan(view), "model:m0@1")
+                holders(PlacementStrategy.named("planned", THRESHOLDS).plan(input), "model:m0@1")
                         .size());
         assertEquals(
                 0,
-                holders(PlacementStrategy.named("load-on-miss", MARKS).plan(view), "model:m0@1")
+                holders(PlacementStrategy.named("load-on-miss", THRESHOLDS).plan(input), "model:m0@1")
                         .size());
-        assertThrows(IllegalArgumentException.class, () -> PlacementStrategy.named("none", MARKS));
+        assertThrows(IllegalArgumentException.class, () -> PlacementStrategy.named("none", THRESHOLDS));
     }
 
     @Test
-    void oneEvaluationAtFullSizeIsMeasured() {
+    void evaluationTimeAtFullSizeIsPrinted() {
         int sides = 2_400;
         Random random = new Random(1);
         Bundle bundle = bundle(random.longs(620, 5, LARGEST_BYTES).boxed().toList());
-        PlacementInput view = settled(view(bundle, sides(sides), randomDemand(bundle, random)));
-        IntStream.range(0, 10).forEach(ignored -> placement.plan(view));
+        PlacementInput input = withPlanLoaded(input(bundle, sides(sides), randomDemand(bundle, random)));
+        IntStream.range(0, 10).forEach(ignored -> placement.plan(input));
         long startNanos = System.nanoTime();
-        IntStream.range(0, 10).forEach(ignored -> placement.plan(view));
+        IntStream.range(0, 10).forEach(ignored -> placement.plan(input));
         System.out.printf(
                 "placement: %d sides, %d models, %.1f ms an evaluation%n",
                 sides, 620, (System.nanoTime() - startNanos) / 10 / 1e6);
-        PlacementInput cold = view(bundle, sides(sides), Map.of());
+        PlacementInput cold = input(bundle, sides(sides), Map.of());
         startNanos = System.nanoTime();
         IntStream.range(0, 10).forEach(ignored -> placement.plan(cold));
         System.out.printf("placement: with nothing resident %.1f ms%n", (System.nanoTime() - startNanos) / 10 / 1e6);
-        assertFits(bundle, view, placement.plan(view));
+        assertFits(bundle, input, placement.plan(input));
     }
 
     /** The view after every side has loaded what it is to hold. */
-    private PlacementInput settled(PlacementInput view) {
-        Plan plan = placement.plan(view);
-        List<LiveSide> loaded = view.sides().stream()
+    private PlacementInput withPlanLoaded(PlacementInput input) {
+        Plan plan = placement.plan(input);
+        List<LiveSide> loaded = input.sides().stream()
                 .map(side -> holding(side, Set.copyOf(plan.shareOf(side.id()).wantedItems())))
                 .toList();
-        return view(view.bundle(), loaded, view.demandUnitsPerSecond());
+        return input(input.bundle(), loaded, input.demandUnitsPerSecond());
     }
 
-    private static void assertFits(Bundle bundle, PlacementInput view, Plan plan) {
+    private static void assertFits(Bundle bundle, PlacementInput input, Plan plan) {
         Map<String, Long> sizes = new HashMap<>();
         bundle.models().forEach(model -> sizes.put(model.item(), model.sizeBytes()));
-        view.sides().forEach(side -> {
+        input.sides().forEach(side -> {
             List<String> wanted = plan.shareOf(side.id()).wantedItems();
             long usedBytes = wanted.stream().mapToLong(sizes::get).sum();
             assertTrue(usedBytes <= side.capacityBytes(), side.id());
@@ -233,11 +236,11 @@
     // First fit always finds room while what is placed is at most sides * (capacity - largest).
     private static List<Long> modelsThatFit(int sides, Random random) {
         List<Long> sizes = new ArrayList<>();
-        long leftBytes = sides * (CAPACITY_BYTES - LARGEST_BYTES);
-        while (leftBytes > LARGEST_BYTES) {
+        long remainingBytes = sides * (CAPACITY_BYTES - LARGEST_BYTES);
+        while (remainingBytes > LARGEST_BYTES) {
             long size = 1 + random.nextLong(LARGEST_BYTES);
             sizes.add(size);
-            leftBytes -= size;
+            remainingBytes -= size;
         }
         return sizes;
     }
@@ -281,7 +284,7 @@
                 .sum();
     }
 
-    private static PlacementInput view(Bundle bundle, List<LiveSide> sides, Map<String, Double> demand) {
+    private static PlacementInput input(Bundle bundle, List<LiveSide> sides, Map<String, Double> demand) {
         return new PlacementInput(bundle, SERVICE, sides, demand, Map.of(), 0);
     }
 
--- a/src/test/java/io/waxwingquay/routing/RouterTest.java
+++ b/src/test/java/io/waxwingquay/routing/RouterTest.java
@@ -27,7 +27,7 @@
             "waxwingquay", "waxwingquay-1", "round-robin", "round-robin-resident", "least-outstanding", "model-hash");
 
     @Property(tries = 200, seed = "20261202")
-    void everyPolicyReturnsExactlyTheSidesThatMayBeAsked(@ForAll long seed) {
+    void everyPolicyReturnsExactlyTheAdmittedSides(@ForAll long seed) {
         List<SideView> views = randomViews(new Random(seed));
         RouteQuery query = query(Set.of("s1"));
         Set<SideView> admitted = new HashSet<>(
@@ -40,7 +40,7 @@
     }
 
     @Property(tries = 200, seed = "20261202")
-    void sameInputGivesSameOrderAndSidesThatHoldTheModelComeFirst(@ForAll long seed) {
+    void orderIsDeterministicAndPutsSidesWithTheModelFirst(@ForAll long seed) {
         List<SideView> views = randomViews(new Random(seed));
         RouteQuery query = query(Set.of());
         Router router = new Router(RoutingPolicy.named("waxwingquay"));
@@ -53,7 +53,7 @@
     }
 
     @Property(tries = 200, seed = "20261202")
-    void firstPolicyPutsResidentAdaptersFirst(@ForAll long seed) {
+    void leastExpectedCompletionPutsResidentAdaptersFirst(@ForAll long seed) {
         RouteQuery query = query(Set.of());
         List<Integer> residency = new Router(RoutingPolicy.named("waxwingquay-1"))
                 .candidates(query, randomViews(new Random(seed)), new Random(seed)).stream()
@@ -65,15 +65,15 @@
     // An entry looks only at the sides that the policy considers. Were one left out that would have come first, a
     // request would go to a worse side, or be refused though a side could serve it.
     @Property(tries = 200, seed = "20261202")
-    void theSidesConsideredGiveTheSameBestSideAsAllSides(@ForAll long seed) {
+    void relevantSidesYieldTheSameBestSideAsAllSides(@ForAll long seed) {
         List<SideView> views = randomViews(new Random(seed));
         RouteQuery query = query(Set.of("s1"));
         SideIndex index = SideIndex.of(views.stream().map(SideView::side).toList());
         for (String name : POLICIES) {
             Router router = new Router(RoutingPolicy.named(name));
-            List<Side> considered = router.policy().relevantSides(query, index);
+            List<Side> relevant = router.policy().relevantSides(query, index);
             List<SideView> seen = views.stream()
-                    .filter(view -> considered.contains(view.side()))
+                    .filter(view -> relevant.contains(view.side()))
                     .toList();
             assertEquals(
                     router.candidates(query, views, new Random(seed)).stream().findFirst(),
@@ -83,7 +83,7 @@
     }
 
     @Test
-    void residentAdapterDecidesAmongEquallyLoadedSides() {
+    void residentAdapterBreaksTiesBetweenEquallyLoadedSides() {
         List<SideView> views = List.of(
                 view(side("a", Set.of(MODEL), true), 0, 5), view(side("b", Set.of(MODEL, ADAPTER), true), 0, 5));
         assertEquals("b", first(views));
@@ -95,14 +95,14 @@
      * An adapter loads in milliseconds, so a side with far fewer requests is the better one without it.
      */
     @Test
-    void busySideDoesNotWinByItsAdapter() {
+    void idleSideWithoutAdapterWinsOverBusySideWithIt() {
         List<SideView> views = List.of(
                 view(side("a", Set.of(MODEL), true), 0, 0), view(side("b", Set.of(MODEL, ADAPTER), true), 0, 12));
         assertEquals("a", first(views));
     }
 
     @Test
-    void modelThatIsResidentNowhereGoesWhereMostRoomIs() {
+    void absentModelGoesToTheSideWithMostFreeMemory() {
         List<SideView> views = List.of(
                 view(side("a", Set.of(), true), 10, 0),
                 view(side("b", Set.of(), true), 30, 0),
@@ -114,39 +114,39 @@
     }
 
     @Test
-    void busySideLosesThePrefixBonus() {
+    void busyPrefixOwnerIsNotPreferred() {
         List<SideView> idle =
                 List.of(view(side("a", Set.of(MODEL), true), 0, 0), view(side("b", Set.of(MODEL), true), 0, 0));
         Router router = new Router(RoutingPolicy.named("waxwingquay"));
-        String home = router.candidates(query(Set.of()), idle, new Random(1))
+        String prefixOwner = router.candidates(query(Set.of()), idle, new Random(1))
                 .get(0)
                 .side()
                 .id();
         List<SideView> busy = idle.stream()
-                .map(view -> view.side().id().equals(home) ? view(view.side(), 0, 40) : view)
+                .map(view -> view.side().id().equals(prefixOwner) ? view(view.side(), 0, 40) : view)
                 .toList();
         String other = router.candidates(query(Set.of()), busy, new Random(1))
                 .get(0)
                 .side()
                 .id();
-        assertTrue(!other.equals(home), "the prefix home has 40 requests outstanding");
+        assertTrue(!other.equals(prefixOwner), "the prefix home has 40 requests outstanding");
     }
 
     @Test
-    void loadBoardJoinsTheLatestReportWithOwnRequests() {
-        LoadTracker board = new LoadTracker();
+    void loadTrackerCombinesLatestReportWithOwnRequests() {
+        LoadTracker tracker = new LoadTracker();
         Side side = side("a", Set.of(), true);
-        board.recordSent("a");
-        board.recordReport("a", new LoadReport(1, 2, 300, 10, 5, 0), 1_000);
-        board.recordReport("a", new LoadReport(9, 9, 900, 10, 5, 500), 1_100);
-        SideView view = board.views(List.of(side), 1_500).get(0);
+        tracker.recordSent("a");
+        tracker.recordReport("a", new LoadReport(1, 2, 300, 10, 5, 0), 1_000);
+        tracker.recordReport("a", new LoadReport(9, 9, 900, 10, 5, 500), 1_100);
+        SideView view = tracker.views(List.of(side), 1_500).get(0);
         assertEquals(2, view.queued(), "a report that is older at its source does not replace a newer one");
         assertEquals(500, view.reportAgeMillis());
         assertEquals(1, view.outstanding());
     }
 
     @Test
-    void namesTheUnknownPolicy() {
+    void unknownPolicyNameIsReported() {
         IllegalArgumentException failure =
                 assertThrows(IllegalArgumentException.class, () -> RoutingPolicy.named("fastest"));
         assertTrue(failure.getMessage().contains("'fastest'"));
@@ -160,8 +160,8 @@
                 .id();
     }
 
-    private static RouteQuery query(Set<String> excluded) {
-        return new RouteQuery("llm", "dc1", List.of(MODEL, ADAPTER), 77, 5, excluded);
+    private static RouteQuery query(Set<String> excludedSideIds) {
+        return new RouteQuery("llm", "dc1", List.of(MODEL, ADAPTER), 77, 5, excludedSideIds);
     }
 
     private static List<SideView> randomViews(Random random) {
--- a/src/test/java/io/waxwingquay/suspect/SharedSuspectsTest.java
+++ b/src/test/java/io/waxwingquay/suspect/SharedSuspectsTest.java
@@ -28,7 +28,7 @@
     // A request ends one replica through each of two entries. Neither has seen two crashes; only together they
     // know, and a third entry that has seen none has to know too.
     @Test
-    void crashesSeenAtTwoEntriesCountTogether() {
+    void crashesSeenByDifferentEntriesAddUp() {
         entry1.recordCrash("a", POISON);
         entry2.recordCrash("b", POISON);
         assertEquals(Standing.SUSPECT, entry1.standing(POISON));
@@ -41,7 +41,7 @@
 
     // Two entries lose requests that look alike to the same crash. It is one crash, and condemns nothing.
     @Test
-    void oneCrashSeenAtTwoEntriesIsOneCrash() {
+    void crashSeenByTwoEntriesCountsOnce() {
         entry1.recordCrash("a", POISON);
         entry2.recordCrash("a", POISON);
         entry1.merge(entry2.nextUpdate());
@@ -49,7 +49,7 @@
     }
 
     @Test
-    void goodAnswerTakesBackWhatWasKnownBeforeIt() {
+    void successClearsEarlierCrashes() {
         entry1.recordCrash("a", POISON);
         entry1.recordSuccess(POISON);
         assertEquals(Standing.CLEAR, entry1.standing(POISON));
@@ -61,7 +61,7 @@
     // that ran elsewhere are answered. Were the others refused all the same, a busy page would be gone for ten
     // minutes.
     @Test
-    void goodAnswerFreesARefusedOneEverywhere() {
+    void successLiftsQuarantineInEveryProcess() {
         entry1.recordCrash("a", POISON);
         entry1.recordCrash("b", POISON);
         entry2.merge(entry1.nextUpdate());
@@ -72,7 +72,7 @@
     }
 
     @Test
-    void crashThatWasNoneCountsNoMore() {
+    void retractedCrashNoLongerCounts() {
         entry1.recordCrash("a", POISON);
         entry1.recordCrash("b", POISON);
         entry1.retractCrash("a", POISON);
@@ -81,7 +81,7 @@
 
     // Datagrams come doubled, late and in any order; what is known in the end is the same.
     @Test
-    void orderAndRepetitionOfDatagramsDoNotMatter() {
+    void updatesMayArriveRepeatedAndInAnyOrder() {
         List<List<SuspectNews>> sent = new ArrayList<>();
         entry1.recordCrash("a", POISON);
         sent.add(entry1.nextUpdate());
@@ -100,7 +100,7 @@
     }
 
     @Test
-    void lostDatagramsAreMadeUpForByLaterOnes() {
+    void laterUpdateReplacesLostOnes() {
         entry1.recordCrash("a", POISON);
         entry1.recordCrash("b", POISON);
         entry1.nextUpdate();
@@ -111,7 +111,7 @@
 
     // An entry starts anew while it is the only one that saw the crashes. The processes beside engines know still.
     @Test
-    void restartedEntryLearnsFromTheOthers() {
+    void restartedEntryRelearnsSuspectsFromPeers() {
         entry1.recordCrash("a", POISON);
         entry1.recordCrash("b", POISON);
         side.merge(entry1.nextUpdate());
@@ -123,7 +123,7 @@
     // Two processes tell each other of a suspect over and over, each datagram 400 ms under way. A record does not
     // age on its way; if each telling made it younger, an innocent one would never go free.
     @Test
-    void suspectThatIsToldToAndFroGoesFree() {
+    void suspectExchangedBackAndForthStillExpires() {
         entry1.recordCrash("a", POISON);
         entry1.recordCrash("b", POISON);
         long endMillis = nowMillis + RETENTION_MILLIS;
@@ -141,7 +141,7 @@
     }
 
     @Test
-    void tellingAnOldRecordDoesNotKeepItLonger() {
+    void forwardedRecordDoesNotOutliveItsRetention() {
         entry1.recordCrash("a", POISON);
         nowMillis += RETENTION_MILLIS - 5_000;
         side.merge(entry1.nextUpdate());
@@ -152,19 +152,19 @@
     // A busy replica goes and takes hundreds of requests with it, and one of them is what ended it. Each datagram
     // takes a few; the one that counts has to be among them soon.
     @Test
-    void eachOfManySuspectsIsToldWithinSomeDatagrams() {
+    void everySuspectIsSentWithinAHundredUpdates() {
         for (long fingerprint = 0; fingerprint < 100; fingerprint++) {
             entry1.recordCrash("a", fingerprint);
         }
         for (int number = 0; number < 100; number++) {
             side.merge(entry1.nextUpdate());
         }
-        long heard = side.countSuspected();
-        assertTrue(heard >= 99, "heard of " + heard);
+        long known = side.countSuspected();
+        assertTrue(known >= 99, "heard of " + known);
     }
 
     @Test
-    void refusedOnesAreToldBesideManySuspects() {
+    void quarantinedRequestsAreSentDespiteManySuspects() {
         for (long fingerprint = 100; fingerprint < 400; fingerprint++) {
             entry1.recordCrash("a", fingerprint);
         }
@@ -175,12 +175,12 @@
     }
 
     @Test
-    void memoryAndDatagramsAreBounded() throws Exception {
+    void recordsAndUpdateSizeAreBounded() throws Exception {
         for (long fingerprint = 0; fingerprint < 3_000; fingerprint++) {
             entry1.recordCrash("a", random.nextLong());
-            long busy = random.nextLong();
-            entry1.recordCrash("a", busy);
-            entry1.recordCrash("b", busy);
+            long twiceCrashed = random.nextLong();
+            entry1.recordCrash("a", twiceCrashed);
+            entry1.recordCrash("b", twiceCrashed);
         }
         assertTrue(entry1.countSuspected() <= 512, "records " + entry1.countSuspected());
         assertTrue(
@@ -191,7 +191,7 @@
     }
 
     @Test
-    void datagramThatTellsTooMuchOrNothingIsTakenInPart() {
+    void oversizedOrEmptyUpdateIsMergedWithinBounds() {
         side.merge(null);
         List<SuspectNews> many = new ArrayList<>();
         for (long fingerprint = 0; fingerprint < 5_000; fingerprint++) {
--- a/src/test/java/io/waxwingquay/suspect/SuspectTableTest.java
+++ b/src/test/java/io/waxwingquay/suspect/SuspectTableTest.java
@@ -43,7 +43,7 @@
     private final SuspectTable table = table(100);
 
     @Test
-    void aSecondCrashQuarantinesWhoeverClearedIt() {
+    void secondCrashQuarantinesEvenAfterClearing() {
         // A caller's request kills a target, runs to its end elsewhere by luck and is cleared, then kills a second
         // target through another entry. Were the clearing to count, it would be free to kill a third.
         table.recordCrash("crash-1", List.of(POISON));
@@ -56,7 +56,7 @@
     }
 
     @Test
-    void oneCrashHeardTwiceIsOneCrash() {
+    void repeatedCrashCountsOnce() {
         List<SuspectRecord> records = table.recordCrash("crash-1", List.of(POISON));
         table.merge(records);
         table.recordCrash("crash-1", List.of(POISON));
@@ -64,7 +64,7 @@
     }
 
     @Test
-    void aRecordExpires() {
+    void recordExpiresAfterRetention() {
         table.recordCrash("crash-1", List.of(POISON));
         table.recordCrash("crash-2", List.of(POISON));
         nowMillis += RETENTION_MILLIS;
@@ -73,7 +73,7 @@
     }
 
     @Test
-    void aFullTableKeepsQuarantines() {
+    void fullTableKeepsQuarantinedRecords() {
         SuspectTable small = table(2);
         small.recordCrash("crash-1", List.of(POISON));
         small.recordCrash("crash-2", List.of(POISON, 8L, 9L, 10L));
@@ -82,14 +82,14 @@
     }
 
     @Test
-    void fingerprintsTellPartsApart() {
+    void fingerprintSeparatesParts() {
         assertEquals(Fingerprint.of("m", null, "p"), Fingerprint.of("m", null, "p"));
         assertNotEquals(Fingerprint.of("m", "ap", ""), Fingerprint.of("m", "a", "p"));
         assertNotEquals(Fingerprint.of("ma", null, "p"), Fingerprint.of("m", "a", "p"));
     }
 
     @Property(tries = 200, seed = "20261202")
-    void mergesInAnyOrderAndRepeatedAgree(@ForAll("records") List<SuspectRecord> records, @ForAll long seed) {
+    void mergeIsCommutativeAndIdempotent(@ForAll("records") List<SuspectRecord> records, @ForAll long seed) {
         SuspectTable once = table(100);
         once.merge(records);
         List<SuspectRecord> shuffled = new ArrayList<>(records);
@@ -101,7 +101,7 @@
     }
 
     @Property(tries = 200, seed = "20261203")
-    void mergesOfAbsolvedCrashesInAnyOrderAgree(
+    void mergeOfAbsolvedCrashesIsCommutativeAndIdempotent(
             @ForAll("absolvedRecords") List<SuspectRecord> records, @ForAll long seed) {
         SuspectTable once = SuspectTable.trustingAnswers(clock, RETENTION_MILLIS, 100);
         once.merge(records);
@@ -117,7 +117,7 @@
     // A page that many callers ask for was under way at two crashes that it did not cause, and is then answered.
     // Where good answers are trusted it is free, and two crashes after that are needed to refuse it again.
     @Test
-    void whereAnswersAreTrustedOneTakesBackTheCrashesBeforeIt() {
+    void successAbsolvesEarlierCrashesWhenAnswersAreTrusted() {
         SuspectTable trusting = SuspectTable.trustingAnswers(clock, RETENTION_MILLIS, 100);
         trusting.recordCrash("crash-1", List.of(POISON));
         trusting.recordCrash("crash-2", List.of(POISON));
@@ -131,7 +131,7 @@
     }
 
     @Test
-    void crashThatWasNoneIsTakenBackAlone() {
+    void absolvingOneCrashKeepsTheOther() {
         SuspectTable trusting = SuspectTable.trustingAnswers(clock, RETENTION_MILLIS, 100);
         trusting.recordCrash("crash-1", List.of(POISON));
         trusting.recordCrash("crash-2", List.of(POISON));
