--- a/src/main/java/io/waxwingquay/admission/RetryAfterEstimator.java
+++ b/src/main/java/io/waxwingquay/admission/RetryAfterEstimator.java
@@ -3,8 +3,8 @@
 import java.util.random.RandomGenerator;
 
 /**
- * When a refused caller should come back: the time in which the measured drain rate empties what waits now,
- * with jitter so that refused callers spread out. Safe for concurrent use.
+ * Estimates the retry-after delay of a rejected caller: the time in which the measured drain rate empties the queue,
+ * with jitter so that rejected callers spread out. Safe for concurrent use.
  */
 public final class RetryAfterEstimator {
 
@@ -18,10 +18,11 @@
     private double drainedPerSecond;
 
     /**
-     * A measure that knows no rate yet.
+     * Creates an estimator that has not measured a rate yet.
      *
-     * @param minimumMillis the shortest come-back time.
-     * @param maximumMillis the longest come-back time, also used while the rate is unknown and work waits.
+     * @param minimumMillis the shortest retry-after delay.
+     * @param maximumMillis the longest retry-after delay before jitter, also used while the rate is unknown and
+     *     requests are queued.
      * @param nowMillis the monotonic time.
      */
     public RetryAfterEstimator(long minimumMillis, long maximumMillis, long nowMillis) {
@@ -31,7 +32,7 @@
     }
 
     /**
-     * Notes a finished request.
+     * Records a completed request.
      *
      * @param nowMillis the monotonic time.
      */
@@ -41,9 +42,9 @@
     }
 
     /**
-     * The come-back time for a caller refused now.
+     * Returns the retry-after delay of a caller rejected now.
      *
-     * @param waiting requests ahead of it.
+     * @param waiting requests queued ahead of it.
      * @param nowMillis the monotonic time.
      * @param random the source of jitter.
      * @return milliseconds.
@@ -54,12 +55,12 @@
     }
 
     /**
-     * The come-back time from a known rate.
+     * Returns the retry-after delay for a known drain rate.
      *
-     * @param waiting requests ahead.
-     * @param drainedPerSecond requests finished a second.
-     * @param minimumMillis the shortest come-back time.
-     * @param maximumMillis the longest come-back time before jitter.
+     * @param waiting requests queued ahead of the caller.
+     * @param drainedPerSecond requests completed per second.
+     * @param minimumMillis the shortest retry-after delay.
+     * @param maximumMillis the longest retry-after delay before jitter.
      * @param random the source of jitter.
      * @return milliseconds, up to half more than the time needed.
      */
--- a/src/main/java/io/waxwingquay/admission/RetryBudget.java
+++ b/src/main/java/io/waxwingquay/admission/RetryBudget.java
@@ -4,20 +4,20 @@
 import java.util.function.LongSupplier;
 
 /**
- * Limits retries to a share of first tries. Without it, an overloaded target answers with failures, each
- * failure brings a retry, and the retries keep it overloaded after the first cause is gone. A share bounds
- * the load that retries add, whatever fails. Safe for concurrent use.
+ * Token bucket that limits retries to a fraction of first attempts. Without it, an overloaded target answers with
+ * failures, each failure causes a retry, and the retries keep the target overloaded after the original cause is gone.
+ * The fraction bounds the load that retries add, whatever fails. Safe for concurrent use.
  *
- * <p>Several senders may share one bound. Failure: there are many, the part of each is less than one retry, and each may
- * save up one all the same. Symptom: when a quiet service fails, as many retries at once as there are senders. So what a
- * sender holds without having earned it is none or one, drawn so that the parts add up, and what it has earned beyond that
- * lapses once it sends nothing more.
+ * <p>Several senders may share one budget without coordination. When there are many, the burst share of each is less
+ * than one retry. If each rounded it up, as many retries as there are senders would be sent at once when an idle
+ * service fails. The unearned tokens of a sender are therefore none or one whole retry, rounded at random so that the
+ * shares add up to the burst, and tokens earned beyond that expire once the sender makes no more first attempts.
  */
 public final class RetryBudget {
 
     private static final long MICRO_TOKENS_PER_RETRY = 1_000_000L;
 
-    /** What was earned by first tries counts for as long as the bound counts those. */
+    /** How long earned tokens stay valid; the shared bound counts first attempts over the same period. */
     private static final long EARNED_RETENTION_MILLIS = 10_000L;
 
     private final long microTokensPerAttempt;
@@ -38,10 +38,10 @@
     }
 
     /**
-     * A budget that starts full, of a sender with a bound of its own.
+     * Creates a full budget for a sender that shares it with no other.
      *
-     * @param retryRatio retries allowed for each first try, between 0 and 1.
-     * @param burst the most retries that may be saved up.
+     * @param retryRatio retries allowed per first attempt, between 0 and 1.
+     * @param burst the most retries that may accumulate.
      * @return the budget.
      */
     public static RetryBudget of(double retryRatio, int burst) {
@@ -49,25 +49,26 @@
     }
 
     /**
-     * One sender's part of a budget that several share without talking to each other.
+     * Creates one sender's share of a budget that several senders share without coordination.
      *
-     * @param retryRatio retries allowed for each first try, between 0 and 1.
-     * @param burstShare the most retries that all may save up, divided by the number of senders.
-     * @param roundingOffset from 0 up to 1; each sender draws its own.
-     * @param clockMillis the steady time.
-     * @return the part.
+     * @param retryRatio retries allowed per first attempt, between 0 and 1.
+     * @param burstShare the most retries that may accumulate over all senders, divided by the number of senders.
+     * @param roundingOffset a random number from 0 up to 1, drawn separately by each sender, that rounds its burst
+     *     share.
+     * @param clockMillis the monotonic time.
+     * @return the share.
      */
     public static RetryBudget shared(
             double retryRatio, double burstShare, double roundingOffset, LongSupplier clockMillis) {
         if (!(retryRatio >= 0 && retryRatio <= 1)) {
-            throw new IllegalArgumentException("retry share " + retryRatio + " is not between 0 and 1");
+            throw new IllegalArgumentException("retry ratio " + retryRatio + " is not between 0 and 1");
         }
         return new RetryBudget(
                 Math.round(retryRatio * MICRO_TOKENS_PER_RETRY), burstShare, roundingOffset, clockMillis);
     }
 
     /**
-     * What is left.
+     * Returns the remaining budget.
      *
      * @return retries that may be sent now.
      */
@@ -76,17 +77,17 @@
     }
 
     /**
-     * Sets how many retries may be saved up from now on. What is saved is cut to that, and never raised: a number that
-     * goes down and up again must not fill the budget anew.
+     * Sets how many retries may accumulate from now on. Accumulated tokens are cut to the new limit and never raised: a
+     * limit that shrinks and grows again must not refill the budget.
      *
-     * @param burstShare the most retries that may be saved up; of several senders, divided by their number.
+     * @param burstShare the most retries that may accumulate; for several senders, divided by their number.
      */
     public void limitBurst(double burstShare) {
         burstMicroTokens = roundedBurstMicroTokens(burstShare);
         microTokens.updateAndGet(current -> Math.min(current, maxMicroTokens()));
     }
 
-    /** Notes a first try, which earns a share of a retry. */
+    /** Records a first attempt, which earns a fraction of a retry. */
     public void recordFirstAttempt() {
         expireEarnedTokens();
         lastAttemptMillis = clockMillis.getAsLong();
@@ -115,7 +116,7 @@
         return (long) (burstShare + roundingOffset) * MICRO_TOKENS_PER_RETRY;
     }
 
-    /** Whatever its part, a sender may earn a whole retry. */
+    /** A sender may earn a whole retry, however small its burst share. */
     private long maxMicroTokens() {
         return Math.max(MICRO_TOKENS_PER_RETRY, burstMicroTokens);
     }
--- a/src/main/java/io/waxwingquay/admission/RetryPolicy.java
+++ b/src/main/java/io/waxwingquay/admission/RetryPolicy.java
@@ -6,12 +6,12 @@
 import java.util.Set;
 
 /**
- * Which failures may be tried again.
+ * Decides which failed attempts may be retried.
  */
 public enum RetryPolicy {
-    /** A repeated run does no harm, as with a generation: an unknown outcome may be tried again too. */
+    /** A repeated run does no harm, as with a text generation: an attempt with unknown outcome may be retried too. */
     IDEMPOTENT,
-    /** Only what certainly did not run may be tried again. */
+    /** Only an attempt that certainly did not run may be retried. */
     AT_MOST_ONCE;
 
     private static final Set<RefusalReason> FINAL =
@@ -20,13 +20,13 @@
             EnumSet.of(RefusalReason.NOT_RESIDENT, RefusalReason.LEAVING, RefusalReason.OVERLOADED);
 
     /**
-     * Whether a failed try may be followed by another.
+     * Returns whether a failed attempt may be followed by a retry.
      *
-     * @param execution what became of the failed try.
+     * @param execution whether the failed attempt ran.
      * @param reason why it failed.
      * @param remainingMillis time left before the deadline.
-     * @param neededMillis time that another try is expected to need.
-     * @return whether another try is allowed.
+     * @param neededMillis time that a retry is expected to need.
+     * @return whether a retry is allowed.
      */
     public boolean allows(Execution execution, RefusalReason reason, long remainingMillis, long neededMillis) {
         if (FINAL.contains(reason) || remainingMillis <= neededMillis) {
@@ -36,10 +36,10 @@
     }
 
     /**
-     * Whether a refusal cost its side next to nothing, so that asking another side needs no retry budget.
+     * Returns whether a rejection cost its side next to nothing, so that a retry on another side needs no retry budget.
      *
-     * @param reason why the side refused.
-     * @return whether it was refused at the door.
+     * @param reason why the side rejected the request.
+     * @return whether it was rejected at admission.
      */
     public static boolean isCheap(RefusalReason reason) {
         return CHEAP.contains(reason);
--- a/src/main/java/io/waxwingquay/admission/SharedRateLimiter.java
+++ b/src/main/java/io/waxwingquay/admission/SharedRateLimiter.java
@@ -1,19 +1,19 @@
 package io.waxwingquay.admission;
 
 /**
- * One sender's part of a rate that several senders keep together without talking to each other.
+ * One sender's share of a rate limit that several senders keep together without coordination.
  *
- * <p>Each sender earns an equal part and may save one request. Failure: there are many senders, each part is far less than
- * one request, and all have saved one when demand comes. Symptom: as many requests at once as there are senders. So where
- * there are many, a saved request lapses soon after it was earned, and senders begin at different points of their cycle:
- * at any time few of them hold one.
+ * <p>Each sender earns an equal share of the rate and may accumulate one request. With many senders, each share is
+ * worth far less than one request. If every sender kept an accumulated request until demand comes, as many requests as
+ * there are senders would be sent at once. With many senders an accumulated request therefore expires soon after it was
+ * earned, and senders start at different phases of that cycle, so that only a few of them hold one at any time.
  */
 public final class SharedRateLimiter {
 
-    /** What all senders together may hold saved: this many requests, or what the rate gives in a second if that is more. */
+    /** Requests that all senders together may accumulate; one second's worth of the rate if that is more. */
     private static final double BURST_REQUESTS = 5.0;
 
-    /** A lower rate is taken for this one; a sender that sends nothing would never hear that the limit is gone. */
+    /** Lower bound of the rate; a sender that sends nothing would never learn that the limit is gone. */
     private static final double MIN_PER_SECOND = 0.01;
 
     private static final double MILLIS_PER_SECOND = 1_000.0;
@@ -30,24 +30,24 @@
     }
 
     /**
-     * A part of a rate, of which nothing is saved yet.
+     * Creates a share with no accumulated request.
      *
-     * @param perSecond requests a second that all senders may send together.
-     * @param senders how many share it.
-     * @param phase where in its cycle this sender begins, from 0 up to 1; each sender draws its own.
-     * @param nowMillis the steady time.
-     * @return the part.
+     * @param perSecond requests per second that all senders together may send.
+     * @param senders the number of senders that share the rate.
+     * @param phase the point of its cycle at which this sender starts, from 0 up to 1, drawn separately by each sender.
+     * @param nowMillis the monotonic time.
+     * @return the share.
      */
     public static SharedRateLimiter of(double perSecond, int senders, double phase, long nowMillis) {
         return new SharedRateLimiter(perSecond, senders, phase, nowMillis);
     }
 
     /**
-     * Sets the rate and the number of senders from now on; what was earned is kept.
+     * Sets the rate and the number of senders from now on; earned tokens are kept.
      *
-     * @param newPerSecond requests a second that all senders may send together.
-     * @param newSenders how many share it.
-     * @param nowMillis the steady time.
+     * @param newPerSecond requests per second that all senders together may send.
+     * @param newSenders the number of senders that share the rate.
+     * @param nowMillis the monotonic time.
      */
     public void reconfigure(double newPerSecond, int newSenders, long nowMillis) {
         refill(nowMillis);
@@ -55,10 +55,10 @@
     }
 
     /**
-     * How long until this sender may send its next request.
+     * Returns how long this sender must wait before its next request.
      *
-     * @param nowMillis the steady time.
-     * @return the time, 0 if it may now.
+     * @param nowMillis the monotonic time.
+     * @return milliseconds; 0 if it may send now.
      */
     public long waitMillis(long nowMillis) {
         refill(nowMillis);
@@ -66,9 +66,9 @@
     }
 
     /**
-     * Notes a request that is sent now.
+     * Records a request that is sent now.
      *
-     * @param nowMillis the steady time.
+     * @param nowMillis the monotonic time.
      */
     public void recordSent(long nowMillis) {
         refill(nowMillis);
--- a/src/main/java/io/waxwingquay/admission/package-info.java
+++ b/src/main/java/io/waxwingquay/admission/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Whether a request is taken at all: deadlines, retry budget and come-back times.
+ * Admission control: retry policies, retry budgets, shared rate limits, backoff and retry-after delays.
  */
 package io.waxwingquay.admission;
--- a/src/main/java/io/waxwingquay/claim/BatchQueue.java
+++ b/src/main/java/io/waxwingquay/claim/BatchQueue.java
@@ -7,10 +7,10 @@
 import java.util.function.Function;
 
 /**
- * Collects items while a batch is in flight. At most one batch is in flight, a batch holds each key once, and
- * no item is lost or handed out twice. Safe for concurrent use.
+ * Queue that collects items while a batch is in flight. At most one batch is in flight, a batch holds each key once,
+ * and no item is lost or returned twice. Safe for concurrent use.
  *
- * @param <T> the items.
+ * @param <T> the type of the items.
  */
 public final class BatchQueue<T> {
 
@@ -20,10 +20,10 @@
     private boolean inFlight;
 
     /**
-     * An idle queue.
+     * Creates an idle queue.
      *
      * @param maximumItems the largest batch.
-     * @param keyOf the key of an item.
+     * @param keyOf returns the key of an item.
      */
     public BatchQueue(int maximumItems, Function<T, String> keyOf) {
         this.maximumItems = maximumItems;
@@ -42,7 +42,7 @@
     }
 
     /**
-     * Ends the batch in flight.
+     * Completes the batch in flight.
      *
      * @return the next batch, which the calling thread must now send; empty if the queue is idle.
      */
--- a/src/main/java/io/waxwingquay/claim/ClaimException.java
+++ b/src/main/java/io/waxwingquay/claim/ClaimException.java
@@ -1,17 +1,17 @@
 package io.waxwingquay.claim;
 
 /**
- * A claim could not be written or read. No attempt was handed on because of it.
+ * Thrown when a claim could not be written or read. No attempt was submitted because of it.
  */
 public final class ClaimException extends RuntimeException {
 
     private static final long serialVersionUID = 1L;
 
     /**
-     * A failure.
+     * Creates an exception.
      *
      * @param message what failed, naming the claim.
-     * @param cause the failure below.
+     * @param cause the underlying failure.
      */
     public ClaimException(String message, Throwable cause) {
         super(message, cause);
--- a/src/main/java/io/waxwingquay/claim/ClaimRecord.java
+++ b/src/main/java/io/waxwingquay/claim/ClaimRecord.java
@@ -6,16 +6,16 @@
 import java.util.Optional;
 
 /**
- * The row that lets a non-idempotent call run at most once. Only the named side, in the named epoch, may run
- * the named attempt.
+ * The table row that lets a non-idempotent call run at most once. Only the named side, in the named epoch, may run the
+ * named attempt.
  *
  * @param attemptId the attempt that holds the claim.
  * @param sideId the side that may run it.
  * @param sideEpoch the boot epoch in which that side may run it.
- * @param state how far the call has come.
- * @param requestFingerprint hash of the operation and body, to catch a key used for another request.
+ * @param state the state of the call.
+ * @param requestFingerprint hash of the operation and body, which detects a key reused for another request.
  * @param outcome the answer, once settled.
- * @param claimedAtEpochMillis when the attempt was made, by the wall clock of its entry.
+ * @param claimedAtEpochMillis when the attempt was created, by the wall clock of its entry.
  */
 public record ClaimRecord(
         String attemptId,
@@ -26,12 +26,12 @@
         Optional<Outcome> outcome,
         long claimedAtEpochMillis) {
 
-    /** The name of the chart. */
+    /** The name of the state chart of claims. */
     public static final String CHART_NAME = "claim";
 
     private static final StateChart<State, Event> CHART = StateChart.load(CHART_NAME, State.class, Event.class);
 
-    /** How far a claimed call has come. */
+    /** The state of a claimed call. */
     public enum State {
         /** It may be running, or may have run without a recorded outcome. */
         CLAIMED,
@@ -41,11 +41,11 @@
         DID_NOT_RUN
     }
 
-    /** What moves a claim. {@code charts/claim.chart} has the moves. */
+    /** Events of a claim. {@code charts/claim.chart} defines the transitions. */
     public enum Event {
         /** The side process reported the outcome. */
         SETTLE,
-        /** The side process answered that it did not run and never will. */
+        /** The side process answered that the attempt did not run and never will. */
         WITHDRAW,
         /** A new attempt takes its place. */
         RECLAIM
@@ -56,13 +56,13 @@
      *
      * @param status the target's HTTP status.
      * @param contentType the body's media type.
-     * @param body the body; in base64 within the row.
+     * @param body the body; base64 in the row.
      * @param bodyOmitted whether the body was too large to record.
      */
     public record Outcome(int status, String contentType, byte[] body, boolean bodyOmitted) {
 
         /**
-         * An outcome whose body is left out if it is too large for a row.
+         * Creates an outcome, and omits a body that is too large for a row.
          *
          * @param status the target's HTTP status.
          * @param contentType the body's media type.
@@ -77,13 +77,13 @@
     }
 
     /**
-     * A new claim.
+     * Creates a claim.
      *
      * @param attemptId the attempt.
      * @param sideId the side that may run it.
-     * @param sideEpoch the epoch in which it may.
+     * @param sideEpoch the epoch in which that side may run it.
      * @param requestFingerprint hash of the request.
-     * @param nowEpochMillis the wall clock.
+     * @param nowEpochMillis the wall-clock time.
      * @return the record.
      */
     public static ClaimRecord of(
@@ -93,9 +93,9 @@
     }
 
     /**
-     * The same claim with its outcome.
+     * Creates a copy of this claim with its outcome.
      *
-     * @param answer what the target answered.
+     * @param answer the target's answer.
      * @return the new record.
      */
     public ClaimRecord settled(Outcome answer) {
@@ -110,7 +110,7 @@
     }
 
     /**
-     * The same claim, after its attempt was withdrawn or refused.
+     * Creates a copy of this claim whose attempt was withdrawn or rejected.
      *
      * @return the new record.
      */
@@ -126,11 +126,11 @@
     }
 
     /**
-     * The claim of a new attempt that takes the place of this one.
+     * Creates the claim of a new attempt that replaces this one.
      *
      * @param next the claim of the new attempt.
-     * @return the same, checked.
-     * @throws io.waxwingquay.chart.ChartException.IllegalEvent unless this one did not run and never will.
+     * @return the claim of the new attempt, with the transition checked.
+     * @throws io.waxwingquay.chart.ChartException.IllegalEvent unless this attempt did not run and never will.
      */
     public ClaimRecord reclaimedBy(ClaimRecord next) {
         return new ClaimRecord(
@@ -148,7 +148,7 @@
     }
 
     /**
-     * Writes the record as the row's value.
+     * Serializes the record to the value of its row.
      *
      * @return JSON.
      */
@@ -161,17 +161,17 @@
     }
 
     /**
-     * Reads a row's value.
+     * Deserializes the value of a row.
      *
      * @param json the value.
      * @return the record.
-     * @throws ClaimException if the value is no claim.
+     * @throws ClaimException if the value is not a claim.
      */
     public static ClaimRecord fromJson(String json) {
         try {
             return Json.MAPPER.readValue(json, ClaimRecord.class);
         } catch (JsonProcessingException failure) {
-            throw new ClaimException("claim row is not readable: " + failure.getOriginalMessage(), failure);
+            throw new ClaimException("claim row cannot be read: " + failure.getOriginalMessage(), failure);
         }
     }
 }
--- a/src/main/java/io/waxwingquay/claim/ClaimStore.java
+++ b/src/main/java/io/waxwingquay/claim/ClaimStore.java
@@ -5,7 +5,7 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * Claims of non-idempotent calls in the platform's table service. Futures fail with {@link ClaimException}.
+ * Stores claims of non-idempotent calls in the platform's table service. Futures fail with {@link ClaimException}.
  */
 public final class ClaimStore {
 
@@ -14,7 +14,7 @@
     private final GroupCommitter committer;
 
     /**
-     * A store.
+     * Creates a store.
      *
      * @param committer writes the rows.
      */
@@ -23,34 +23,35 @@
     }
 
     /**
-     * The row of a key.
+     * Returns the row key of an idempotency key.
      *
      * @param service the service called.
      * @param key the caller's idempotency key.
-     * @return the table's key.
+     * @return the key in the table.
      */
     public static String rowKey(String service, String key) {
         return PREFIX + service + "/" + key;
     }
 
     /**
-     * Claims a key that nobody has claimed.
+     * Claims a key that has no claim.
      *
-     * @param rowKey the row, of {@link #rowKey}.
+     * @param rowKey the row key, from {@link #rowKey}.
      * @param record the claim.
-     * @return whose claim the row holds now.
+     * @return the claim that the row holds now.
      */
     public CompletableFuture<StoredClaim> claim(String rowKey, ClaimRecord record) {
         return write(rowKey, TableService.ABSENT, record);
     }
 
     /**
-     * Replaces a claim by compare-and-set: by a new attempt after the old one was withdrawn, or by its outcome.
+     * Replaces a claim by compare-and-set: with that of a new attempt after the old one was withdrawn, or with the same
+     * claim and its outcome.
      *
-     * @param rowKey the row.
+     * @param rowKey the row key.
      * @param version the version of the row to replace.
      * @param record the new claim.
-     * @return whose claim the row holds now.
+     * @return the claim that the row holds now.
      */
     public CompletableFuture<StoredClaim> replace(String rowKey, long version, ClaimRecord record) {
         return write(rowKey, version, record);
@@ -59,7 +60,7 @@
     /**
      * Reads a claim.
      *
-     * @param rowKey the row.
+     * @param rowKey the row key.
      * @return the claim, or empty if there is none.
      */
     public CompletableFuture<Optional<StoredClaim>> find(String rowKey) {
@@ -67,14 +68,14 @@
             if (failure != null) {
                 throw new ClaimException("claim '" + rowKey + "' could not be read", failure);
             }
-            return row.map(held -> new StoredClaim(false, ClaimRecord.fromJson(held.value()), held.version()));
+            return row.map(stored -> new StoredClaim(false, ClaimRecord.fromJson(stored.value()), stored.version()));
         });
     }
 
     /**
-     * What a row holds after a write.
+     * The claim that a row holds.
      *
-     * @param ours whether our write took effect.
+     * @param ours whether it was written by this call.
      * @param record the claim in the row.
      * @param version the row's version.
      */
@@ -94,7 +95,7 @@
 
     private static StoredClaim storedByOther(String rowKey, GroupCommitter.Conflict conflict) {
         Optional<TableService.Row> row = conflict.row();
-        return row.map(held -> new StoredClaim(false, ClaimRecord.fromJson(held.value()), held.version()))
-                .orElseThrow(() -> new ClaimException("claim '" + rowKey + "' has vanished from the table", null));
+        return row.map(stored -> new StoredClaim(false, ClaimRecord.fromJson(stored.value()), stored.version()))
+                .orElseThrow(() -> new ClaimException("claim '" + rowKey + "' no longer exists in the table", null));
     }
 }
--- a/src/main/java/io/waxwingquay/claim/GroupCommitter.java
+++ b/src/main/java/io/waxwingquay/claim/GroupCommitter.java
@@ -10,9 +10,9 @@
 import java.util.concurrent.Executor;
 
 /**
- * Commits the writes of concurrent callers in shared transactions, because the table service takes only
- * several hundred transactions a second. A write goes out at once when none is in flight; otherwise it joins
- * the next transaction. Safe for concurrent use.
+ * Group commit: commits the writes of concurrent callers in shared transactions, because the table service accepts only
+ * several hundred transactions per second. A write is sent at once when no transaction is in flight; otherwise it joins
+ * the next one. Safe for concurrent use.
  */
 public final class GroupCommitter {
 
@@ -23,11 +23,11 @@
     private final BatchQueue<PendingWrite> queue;
 
     /**
-     * A committer.
+     * Creates a committer.
      *
      * @param table the table service.
      * @param maximumWrites the most writes in one transaction.
-     * @param executor runs what follows each transaction.
+     * @param executor runs the continuation of each transaction.
      */
     public GroupCommitter(TableService table, int maximumWrites, Executor executor) {
         this.table = table;
@@ -36,12 +36,12 @@
     }
 
     /**
-     * Commits one write. Values must be unique to their writer, because an equal value found in the row
-     * counts as this write having taken effect.
+     * Commits one write. Values must be unique to their writer, because an equal value found in the row counts as this
+     * write having taken effect.
      *
      * @param write the conditional write.
-     * @return empty if it took effect, else the row found instead; fails with {@link PlatformException}, and
-     *     the write may then still take effect later.
+     * @return empty if it took effect, else the conflicting row; fails with {@link PlatformException}, and the write
+     *     may then still take effect later.
      */
     public CompletableFuture<Optional<Conflict>> commit(TableService.Write write) {
         PendingWrite pending = new PendingWrite(write, new CompletableFuture<>());
@@ -60,7 +60,7 @@
     }
 
     /**
-     * The row that stood in the way of a write.
+     * The row that conflicted with a write.
      *
      * @param row the row, or empty if there is none.
      */
@@ -104,7 +104,7 @@
                 .filter(pending -> !conflicts.containsKey(pending.write().key()))
                 .toList();
         if (rest.size() == batch.size()) {
-            fail(batch, new PlatformException("table: refused a commit and named no conflict", null));
+            fail(batch, new PlatformException("table: rejected a commit without naming a conflict", null));
             return CompletableFuture.completedFuture(null);
         }
         batch.stream()
@@ -115,9 +115,9 @@
     }
 
     /**
-     * The answer may have been lost after the write took effect. Reading back tells it by the value, which
-     * names the attempt. A write still under way when it is read back is caught by the repeated commit, which
-     * then conflicts with its own value.
+     * Handles a failed commit, whose answer may have been lost after the writes took effect. Reading the rows back
+     * shows that by their values, which name the attempt. A write still in transit when its row is read back is caught
+     * by the repeated commit, which then conflicts with its own value.
      */
     private CompletableFuture<Void> onFailure(List<PendingWrite> batch, Throwable failure, int attemptNumber) {
         if (!(failure instanceof PlatformException.Unavailable)) {
--- a/src/main/java/io/waxwingquay/ledger/MemoryLedger.java
+++ b/src/main/java/io/waxwingquay/ledger/MemoryLedger.java
@@ -15,13 +15,13 @@
 import java.util.TreeMap;
 
 /**
- * Counts the accelerator memory of one target. Every item that is, or may come to be, in memory counts in
- * full; bytes are freed only by the engine's own report. Safe for concurrent use, but reports must be handed
- * in one after the other, each read after the one before it was handed in.
+ * Accounts for the accelerator memory of one target. Every item that is or may come to be in memory counts in full;
+ * bytes are freed only by the engine's own report. Safe for concurrent use, but reports must be passed in one after
+ * another, each read after the previous one was passed in.
  */
 public final class MemoryLedger {
 
-    /** The name of the chart that moves items. */
+    /** The name of the state chart of items. */
     public static final String CHART_NAME = "item";
 
     private static final StateChart<State, Event> CHART = StateChart.load(CHART_NAME, State.class, Event.class);
@@ -44,11 +44,11 @@
     }
 
     /**
-     * A ledger for an engine that refuses the orders of an earlier side process.
+     * Creates a ledger for an engine that rejects the orders of a previous side process.
      *
      * @param capacityBytes the memory known from the bundle, until the engine reports its own.
      * @param clock the clock.
-     * @param quarantineMillis longer than the longest delay of an order; used after an engine's restart.
+     * @param quarantineMillis longer than the longest delay of an order; used after an engine restart.
      * @return the ledger.
      */
     public static MemoryLedger forFencedEngine(long capacityBytes, Clock clock, long quarantineMillis) {
@@ -56,8 +56,8 @@
     }
 
     /**
-     * A ledger for an engine that ignores fencing numbers: the orders of an earlier side process may still
-     * land, so all memory not known to be resident counts as unknown until the quarantine is over.
+     * Creates a ledger for an engine that ignores fencing numbers: the orders of a previous side process may still take
+     * effect, so all memory not known to be resident counts as unknown until the quarantine is over.
      *
      * @param capacityBytes the memory known from the bundle, until the engine reports its own.
      * @param clock the clock.
@@ -74,7 +74,7 @@
      * @param item the item.
      * @param sizeBytes the memory it takes.
      * @param orderId the order that will load it.
-     * @return whether it was reserved; false if it does not fit, is held already or the engine was not read yet.
+     * @return whether it was reserved; false if it does not fit, is already held, or the engine has not reported yet.
      */
     public synchronized boolean reserve(String item, long sizeBytes, String orderId) {
         if (bootId.isEmpty() || sizeBytes > capacityBytes - countedBytes()) {
@@ -98,7 +98,7 @@
      * Keeps a resident item from being evicted while a request needs it.
      *
      * @param item the item.
-     * @return whether it is resident and now pinned; each success needs one {@link #unpin}.
+     * @return whether it is resident and now pinned; each success requires one {@link #unpin}.
      */
     public synchronized boolean pin(String item) {
         if (!isResident(item)) {
@@ -109,7 +109,7 @@
     }
 
     /**
-     * Gives back one pin.
+     * Releases one pin.
      *
      * @param item the item.
      */
@@ -118,21 +118,21 @@
     }
 
     /**
-     * Notes that the answer to an order was lost, so that a copy of it may land late.
+     * Records that the answer to an order was lost, so that a copy of the order may arrive late.
      */
     public synchronized void recordLostAnswer() {
         lastLostAnswerMillis = clock.monotonicMillis();
     }
 
     /**
-     * Counts all free memory as unknown for another quarantine, because someone else may have ordered.
+     * Counts all free memory as unknown for another quarantine, because another process may have sent orders.
      */
     public synchronized void quarantine() {
         quarantinedUntilMillis = clock.monotonicMillis() + quarantineMillis;
     }
 
     /**
-     * Takes in the engine's report.
+     * Applies a report of the engine.
      *
      * @param report the report.
      * @return what it changed.
@@ -152,7 +152,7 @@
     }
 
     /**
-     * The ledger as of now.
+     * Returns the current state of the ledger.
      *
      * @return an immutable snapshot.
      */
@@ -184,10 +184,10 @@
     }
 
     /**
-     * A restart of the engine empties its memory, and with it its list of order ids already taken. A copy of
-     * an order whose answer was lost may still be under way and would now load again, unreserved; the symptom
-     * would be an overcommit soon after a restart. Quarantine outlasts the longest such copy. Loads still
-     * waited for stay counted, and are sent again under the same id.
+     * Forgets the items that an engine restart removed from memory. The restart also clears the engine's list of order
+     * ids it has accepted, so a copy of an order whose answer was lost may still be in transit and would load again
+     * without a reservation, overcommitting the memory soon after the restart. The quarantine outlasts the longest
+     * delay of such a copy. Awaited loads stay counted and are resent under the same id.
      */
     private void forgetResidents() {
         boolean mayArriveLate = holdings.values().stream().anyMatch(Holding::awaitsLoad)
@@ -257,33 +257,33 @@
         return known == null ? 0L : known.sizeBytes();
     }
 
-    /** What is known of an item's memory. Every state but {@link #ABSENT} counts in full. */
+    /** The state of an item's memory. Every state but {@link #ABSENT} counts in full. */
     public enum State {
-        /** It takes no memory, and nothing is held for it. */
+        /** It takes no memory, and none is reserved for it. */
         ABSENT,
-        /** A load was reserved and perhaps ordered. */
+        /** Memory was reserved for a load, which may have been ordered. */
         RESERVED,
         /** The engine reported it in memory. */
         RESIDENT,
-        /** An eviction was marked and perhaps ordered. */
+        /** An eviction was marked and may have been ordered. */
         EVICTING,
-        /** A load was ordered before the engine restarted and may still land. */
+        /** A load was ordered before the engine restarted and may still take effect. */
         UNKNOWN
     }
 
-    /** What moves an item. {@code charts/item.chart} has the moves. */
+    /** Events of an item. {@code charts/item.chart} defines the transitions. */
     public enum Event {
-        /** Its memory is set aside before the load order. */
+        /** Memory is reserved before the load is ordered. */
         RESERVE,
         /** Its eviction is about to be ordered. */
         EVICT,
-        /** The engine has a load order for it open. */
+        /** The engine has an open order to load it. */
         FIND_LOAD,
-        /** The engine has it and an eviction order for it open. */
+        /** The engine has it in memory and has an open order to evict it. */
         FIND_EVICTION,
         /** The engine reports it in memory. */
         REPORT_PRESENT,
-        /** The engine reports it not in memory, with no open order for it. */
+        /** The engine reports it absent, with no open order for it. */
         REPORT_ABSENT,
         /** The engine has restarted with empty memory. */
         REBOOT
@@ -294,13 +294,13 @@
      *
      * @param item the item.
      * @param sizeBytes the memory it takes.
-     * @param state what is known.
+     * @param state the state of that memory.
      * @param orderId the last order for it, or empty for an adopted item.
      */
     public record Holding(String item, long sizeBytes, State state, String orderId) {
 
         /**
-         * Whether a load has yet to land.
+         * Returns whether a load is still awaited.
          *
          * @return whether the state is reserved or unknown.
          */
@@ -310,24 +310,24 @@
     }
 
     /**
-     * What a report changed.
+     * The changes that a report made.
      *
      * @param rebooted whether the engine had restarted.
      * @param adopted items found that this ledger had not ordered.
-     * @param vanished resident items that were gone without an eviction of ours.
+     * @param vanished resident items that were gone without an eviction order from this ledger.
      * @param surplusBytes memory held beyond the capacity.
      */
     public record Observation(boolean rebooted, List<String> adopted, List<String> vanished, long surplusBytes) {}
 
     /**
-     * The ledger at one moment.
+     * The state of the ledger at one moment.
      *
      * @param capacityBytes the accelerator memory.
-     * @param countedBytes memory that counts as taken, unknown memory included.
+     * @param countedBytes memory that counts as taken, including unknown memory.
      * @param holdings memory held, by item.
      * @param pinned items that requests use.
      * @param quarantined whether all free memory counts as unknown.
-     * @param bootId the engine's boot, or empty before its first report.
+     * @param bootId the engine's boot id, or empty before its first report.
      */
     public record Snapshot(
             long capacityBytes,
@@ -338,7 +338,7 @@
             Optional<String> bootId) {
 
         /**
-         * Memory that may be reserved now.
+         * Returns the memory that may be reserved now.
          *
          * @return the bytes.
          */
@@ -347,10 +347,10 @@
         }
 
         /**
-         * Whether an item serves from memory.
+         * Returns whether an item is resident.
          *
          * @param item the item.
-         * @return whether it is resident.
+         * @return whether its state is resident.
          */
         public boolean isResident(String item) {
             Holding holding = holdings.get(item);
--- a/src/main/java/io/waxwingquay/ledger/package-info.java
+++ b/src/main/java/io/waxwingquay/ledger/package-info.java
@@ -1,4 +1,4 @@
 /**
- * The memory ledger of one target: what is reserved, resident or uncertain on its accelerators.
+ * The memory ledger of one target: which accelerator memory is reserved, resident or uncertain.
  */
 package io.waxwingquay.ledger;
--- a/src/main/java/io/waxwingquay/permit/LeasedPermits.java
+++ b/src/main/java/io/waxwingquay/permit/LeasedPermits.java
@@ -25,11 +25,12 @@
 import java.util.stream.Collectors;
 
 /**
- * Takes a permit from this replica's own home first, then asks a few other homes at random.
+ * Leases permits from this replica's own lender first, then from a few lenders on other replicas, chosen at random.
  *
- * <p>A holder counts its lease from before it asked and stops a margin early, so it ends before the home's lease does.
- * {@link #renew()} extends the leases of permits still open. An answer that is lost leaves the permit out at its home
- * until the lease ends, or until the return that is sent at once arrives: the limit may be used less, never more.
+ * <p>The holder counts its lease from before the request and stops using it a margin early, so its lease ends before
+ * the lender's does. {@link #renew()} extends the leases of open permits. When an answer is lost, the lender counts the
+ * permit as lent until the lease ends or until the return, which is sent at once, arrives: the limit may be underused,
+ * but is never exceeded.
  */
 public final class LeasedPermits implements Permits {
 
@@ -41,10 +42,10 @@
     }
 
     /**
-     * Starts the wiring of a holder.
+     * Creates a builder.
      *
      * @param holderId this side's name.
-     * @param lender this replica's own home.
+     * @param lender this replica's own lender.
      * @return a builder.
      */
     public static Builder forHolder(String holderId, PermitLender lender) {
@@ -60,16 +61,16 @@
         return requestNext(limit, lenders, 0);
     }
 
-    /** Extends the lease of every open permit; to be called several times within a lease. */
+    /** Extends the lease of every open permit; must be called several times within a lease. */
     public void renew() {
         leases.forEach((permitId, lease) -> lease.request(permitId));
     }
 
     /**
-     * How many permits this holder counts on now.
+     * Counts the permits that this holder may use now.
      *
      * @param limit the limit.
-     * @return permits open whose lease has not ended.
+     * @return open permits whose lease has not ended.
      */
     public int countInUse(Limit limit) {
         long nowMillis = builder.clock.monotonicMillis();
@@ -170,7 +171,7 @@
         }
     }
 
-    /** Wiring of a holder. */
+    /** Builder of a permit holder. */
     public static final class Builder {
 
         private static final int DEFAULT_MAX_PEERS_ASKED = 3;
@@ -196,10 +197,10 @@
         }
 
         /**
-         * Sets how other homes are found and reached.
+         * Sets how other lenders are found and reached.
          *
          * @param newService the service whose replicas share the limits.
-         * @param newMembership the sides known.
+         * @param newMembership the known sides.
          * @param newConnections connections to them.
          * @return this builder.
          */
@@ -211,10 +212,10 @@
         }
 
         /**
-         * Sets the time and the randomness.
+         * Sets the clock and the source of randomness.
          *
-         * @param newClock the time.
-         * @param newRandom picks homes and names permits.
+         * @param newClock the clock.
+         * @param newRandom shuffles the other lenders and seeds permit ids.
          * @return this builder.
          */
         public Builder withClock(Clock newClock, RandomGenerator newRandom) {
@@ -226,7 +227,7 @@
         /**
          * Sets the limits over all replicas, so that only replicas with a slot are asked.
          *
-         * @param newTotalSlots the slots of each limit in the bundle in force.
+         * @param newTotalSlots the total slots of each limit in the bundle in force.
          * @return this builder.
          */
         public Builder withTotalSlots(Function<Limit, Integer> newTotalSlots) {
@@ -235,11 +236,11 @@
         }
 
         /**
-         * Sets the bounds.
+         * Sets the bounds of a request for a permit.
          *
-         * @param newMaxPeersAsked other homes asked for one permit.
-         * @param newLeaseMillis the lease asked for; at most the homes' longest.
-         * @param newMarginMillis how long before the lease's end the holder stops counting on it.
+         * @param newMaxPeersAsked the most other lenders asked for one permit.
+         * @param newLeaseMillis the lease requested; at most the longest that lenders grant.
+         * @param newMarginMillis how long before the end of its lease the holder stops using a permit.
          * @return this builder.
          */
         public Builder withBounds(int newMaxPeersAsked, long newLeaseMillis, long newMarginMillis) {
@@ -252,7 +253,7 @@
         /**
          * Builds the holder.
          *
-         * @return a holder of no permits.
+         * @return a holder without permits.
          */
         public LeasedPermits build() {
             Objects.requireNonNull(membership, "membership");
--- a/src/main/java/io/waxwingquay/permit/PermitLender.java
+++ b/src/main/java/io/waxwingquay/permit/PermitLender.java
@@ -12,14 +12,14 @@
 import java.util.Optional;
 
 /**
- * Lends the permits homed on one replica: slot i of a limit is homed on replica i mod replicas.
+ * Lends the permits assigned to one replica: slot i of a limit is assigned to replica i mod replicas.
  *
- * <p>A permit is lent for a lease by the monotonic clock and comes back by return or by the lease's end. A home keeps
- * nothing on disk, so a restarted one does not know what its predecessor lent: it grants nothing for one longest
- * lease, after which all of that has ended. A home that was paused may meanwhile have been replaced, and the
- * replacement lends the same slots: seen from outside, more permits are out than the limit. So a home that notices
- * a gap in its own heartbeat grants nothing for one lease either, within which membership tells it that it is
- * superseded.
+ * <p>A permit is lent for a lease, measured by the monotonic clock, and becomes free when it is returned or its lease
+ * ends. A lender stores nothing on disk, so a restarted one does not know what its previous incarnation lent: it grants
+ * nothing for one longest lease, after which all those leases have ended. A paused lender may have been replaced
+ * meanwhile, and if both lent the same slots, more permits would be out than the limit allows. A lender that notices a
+ * gap in its own heartbeat therefore also grants nothing for one longest lease, within which membership reports that it
+ * is superseded.
  */
 public final class PermitLender {
 
@@ -33,12 +33,12 @@
     private boolean isSuperseded;
 
     /**
-     * A home that starts now, and so is quiet for one lease.
+     * Creates a lender, which grants nothing for one longest lease.
      *
-     * @param clock the time; leases are by its monotonic part.
+     * @param clock the clock; leases use its monotonic time.
      * @param maxLeaseMillis the longest lease granted.
-     * @param maxHeartbeatGapMillis the longest gap between heartbeats that is no pause.
-     * @param slots which slots are homed here.
+     * @param maxHeartbeatGapMillis the longest gap between heartbeats that does not count as a pause.
+     * @param slots the slots assigned to this replica.
      */
     public PermitLender(Clock clock, long maxLeaseMillis, long maxHeartbeatGapMillis, Slots slots) {
         this.clock = clock;
@@ -50,21 +50,24 @@
         Arrays.stream(Limit.values()).forEach(limit -> pools.put(limit, new Pool(lastHeartbeatMillis)));
     }
 
-    /** To be called several times within the pause limit, so that a pause of this process shows as a gap. */
+    /**
+     * Records a heartbeat; must be called several times within the longest gap, so that a pause of this process shows
+     * as a longer one.
+     */
     public synchronized void heartbeat() {
         recordHeartbeat();
     }
 
-    /** Stops granting for good, once membership shows a newer side in this replica's place. */
+    /** Stops granting for good, once membership shows a newer side for this replica. */
     public synchronized void supersede() {
         isSuperseded = true;
     }
 
     /**
-     * Takes the numbers of a new bundle. A slot may have moved from another home that still has it lent, so a
-     * change is followed by a quiet lease.
+     * Applies the limits of a new bundle. A slot may have moved here from another lender that still has it lent, so a
+     * change suspends grants for one longest lease.
      *
-     * @param newSlots the slots homed here from now on.
+     * @param newSlots the slots assigned to this replica from now on.
      */
     public synchronized void configure(Slots newSlots) {
         if (!newSlots.equals(slots)) {
@@ -74,10 +77,10 @@
     }
 
     /**
-     * Lends a permit, or extends it when the same permit is still out.
+     * Lends a permit, or extends the lease if the same permit is still lent.
      *
-     * @param request what is asked; the lease is cut to the longest one.
-     * @return whether it was granted, else when to ask again.
+     * @param request the request; its lease is cut to the longest one.
+     * @return whether the permit was granted, else the retry-after delay.
      */
     public synchronized PermitAnswer borrow(PermitRequest request) {
         long nowMillis = recordHeartbeat();
@@ -99,20 +102,20 @@
     }
 
     /**
-     * Takes a permit back. A repeated return changes nothing.
+     * Takes a permit back. A repeated return has no effect.
      *
-     * @param request which permit.
-     * @return whether it was out.
+     * @param request the permit.
+     * @return whether it was lent.
      */
     public synchronized boolean returnPermit(PermitReturn request) {
         recordHeartbeat();
         return limitNamed(request.getLimit())
-                .map(limit -> pools.get(limit).leaseEndMillis.remove(request.getPermitId()) != null)
+                .map(limit -> pools.get(limit).leaseEndMillisByPermitId.remove(request.getPermitId()) != null)
                 .orElse(false);
     }
 
     /**
-     * What is lent now, for dumps.
+     * Counts the permits lent now, for state dumps.
      *
      * @param limit the limit.
      * @return permits whose lease has not ended.
@@ -142,22 +145,22 @@
     }
 
     /**
-     * The slots homed on one replica.
+     * The slots assigned to one replica.
      *
      * @param replica this replica's number.
-     * @param replicas how many replicas the service has.
-     * @param weightLoadsAtOnce the service's limit of weight loads.
-     * @param weightLoadsPerSecond the service's limit of weight loads started a second; 0 for none.
-     * @param adapterLoadsAtOnce the service's limit of adapter loads.
+     * @param replicas the number of replicas of the service.
+     * @param weightLoadsAtOnce the service's limit of concurrent weight loads.
+     * @param weightLoadsPerSecond the service's limit of weight loads started per second; 0 for none.
+     * @param adapterLoadsAtOnce the service's limit of concurrent adapter loads.
      */
     public record Slots(
             int replica, int replicas, int weightLoadsAtOnce, double weightLoadsPerSecond, int adapterLoadsAtOnce) {
 
         /**
-         * How many slots of a limit are homed here.
+         * Returns how many slots of a limit are assigned to this replica.
          *
          * @param limit the limit.
-         * @return the number; 0 for most replicas when there are more replicas than slots.
+         * @return the number of slots; 0 for most replicas when there are more replicas than slots.
          */
         public int assignedSlots(Limit limit) {
             int total = totalSlots(limit);
@@ -165,7 +168,7 @@
         }
 
         /**
-         * The limit over all replicas.
+         * Returns the limit over all replicas.
          *
          * @param limit the limit.
          * @return the number of slots.
@@ -175,10 +178,10 @@
         }
 
         /**
-         * This home's share of the rate of starts: the same for each slot.
+         * Returns this replica's share of the start rate, in proportion to its slots.
          *
          * @param limit the limit.
-         * @return starts a second, or infinity where no rate is set.
+         * @return starts per second, or infinity where no rate is set.
          */
         public double startsPerSecond(Limit limit) {
             boolean isLimited = limit == Limit.WEIGHT_LOADS && weightLoadsPerSecond > 0 && weightLoadsAtOnce > 0;
@@ -188,13 +191,13 @@
         }
     }
 
-    /** What is out of one limit, and the token bucket of its starts, which holds at most one token. */
+    /** The permits lent of one limit, and the token bucket of their starts, which holds at most one token. */
     private static final class Pool {
 
         private static final double MILLIS_PER_SECOND = 1000.0;
         private static final long RETRY_AFTER_MILLIS = 50;
 
-        private final Map<String, Long> leaseEndMillis = new HashMap<>();
+        private final Map<String, Long> leaseEndMillisByPermitId = new HashMap<>();
         private long nextStartMillis;
 
         private Pool(long nowMillis) {
@@ -202,25 +205,25 @@
         }
 
         int countLent(long nowMillis) {
-            return (int) leaseEndMillis.values().stream()
+            return (int) leaseEndMillisByPermitId.values().stream()
                     .filter(endMillis -> endMillis > nowMillis)
                     .count();
         }
 
         PermitAnswer lend(String permitId, long nowMillis, long leaseMillis, int slots, double startsPerSecond) {
-            leaseEndMillis.values().removeIf(endMillis -> endMillis <= nowMillis);
-            if (leaseEndMillis.containsKey(permitId)) {
-                leaseEndMillis.merge(permitId, nowMillis + leaseMillis, Math::max);
+            leaseEndMillisByPermitId.values().removeIf(endMillis -> endMillis <= nowMillis);
+            if (leaseEndMillisByPermitId.containsKey(permitId)) {
+                leaseEndMillisByPermitId.merge(permitId, nowMillis + leaseMillis, Math::max);
                 return new PermitAnswer(true, 0);
             }
-            if (leaseEndMillis.size() >= slots) {
+            if (leaseEndMillisByPermitId.size() >= slots) {
                 return new PermitAnswer(false, RETRY_AFTER_MILLIS);
             }
             if (nowMillis < nextStartMillis) {
                 return new PermitAnswer(false, nextStartMillis - nowMillis);
             }
             nextStartMillis = nowMillis + (long) Math.ceil(MILLIS_PER_SECOND / startsPerSecond);
-            leaseEndMillis.put(permitId, nowMillis + leaseMillis);
+            leaseEndMillisByPermitId.put(permitId, nowMillis + leaseMillis);
             return new PermitAnswer(true, 0);
         }
     }
--- a/src/main/java/io/waxwingquay/permit/Permits.java
+++ b/src/main/java/io/waxwingquay/permit/Permits.java
@@ -9,22 +9,22 @@
 public interface Permits {
 
     /**
-     * Asks once for a permit; never waits for one to become free.
+     * Requests a permit once; never waits for one to become free.
      *
-     * @param limit which limit.
+     * @param limit the limit.
      * @return a permit, or empty if none is free now.
      */
     CompletableFuture<Optional<Permit>> acquire(Limit limit);
 
-    /** The limits that are shared. */
+    /** The shared limits. */
     enum Limit {
-        /** Loads of models from the weight store, at once. */
+        /** Concurrent loads of models from the weight store. */
         WEIGHT_LOADS,
-        /** Loads of adapters, in flight. */
+        /** Concurrent loads of adapters. */
         ADAPTER_LOADS
     }
 
-    /** A permit, given back when closed. */
+    /** A permit, returned when closed. */
     interface Permit extends AutoCloseable {
 
         /** {@inheritDoc} */
--- a/src/main/java/io/waxwingquay/permit/StaticShares.java
+++ b/src/main/java/io/waxwingquay/permit/StaticShares.java
@@ -7,8 +7,8 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * The baseline: a replica uses only the slots homed on it and never asks another. Where there are more replicas
- * than slots, most replicas may never load.
+ * Baseline: a replica uses only the slots assigned to it and borrows from no other. Where there are more replicas than
+ * slots, most replicas may never load.
  */
 public final class StaticShares implements Permits {
 
@@ -16,10 +16,10 @@
     private final long leaseMillis;
 
     /**
-     * Uses the slots of one home.
+     * Creates permits from the slots of one lender.
      *
-     * @param lender this replica's home.
-     * @param leaseMillis the lease taken, longer than any load.
+     * @param lender this replica's own lender.
+     * @param leaseMillis the lease requested, longer than any load.
      */
     public StaticShares(PermitLender lender, long leaseMillis) {
         this.lender = lender;
--- a/src/main/java/io/waxwingquay/permit/package-info.java
+++ b/src/main/java/io/waxwingquay/permit/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Limits that hold across replicas, lent between side processes.
+ * Permits of limits that hold across replicas, lent between side processes.
  */
 package io.waxwingquay.permit;
--- a/src/main/java/io/waxwingquay/placement/LoadOnMiss.java
+++ b/src/main/java/io/waxwingquay/placement/LoadOnMiss.java
@@ -9,8 +9,8 @@
 import java.util.Set;
 
 /**
- * The baseline: each side holds what was asked of it most of late, as a cache that evicts the least used, and
- * protects nothing.
+ * Baseline strategy: each side holds the items most requested from it of late, like a cache that evicts the least used,
+ * and protects nothing.
  */
 public final class LoadOnMiss implements PlacementStrategy {
 
--- a/src/main/java/io/waxwingquay/placement/PlacementInput.java
+++ b/src/main/java/io/waxwingquay/placement/PlacementInput.java
@@ -10,13 +10,14 @@
 import java.util.Set;
 
 /**
- * What placement decides from.
+ * The input of a placement decision.
  *
  * @param bundle the bundle in force.
  * @param service the service whose sides share the models.
- * @param sides the live sides of that service, in order of name.
- * @param demandUnitsPerSecond smoothed requests a second for each item over all sides.
- * @param lowDemandSinceMillis for each item whose load is below the low mark, since when; from the plan before.
+ * @param sides the live sides of that service, ordered by name.
+ * @param demandUnitsPerSecond smoothed requests per second for each item, summed over all sides.
+ * @param lowDemandSinceMillis when the demand of each item below the low threshold fell below it; from the previous
+ *     plan.
  * @param nowMillis the monotonic time.
  */
 public record PlacementInput(
@@ -28,14 +29,14 @@
         long nowMillis) {
 
     /**
-     * The view of this process.
+     * Creates the input from what this process knows.
      *
      * @param bundle the bundle in force.
      * @param service the service.
-     * @param sides all sides known; those of other services, leaving or silent are passed over.
-     * @param previous the plan before, or {@link Plan#EMPTY}.
+     * @param sides all known sides; those of other services, leaving or unreachable are ignored.
+     * @param previous the previous plan, or {@link Plan#EMPTY}.
      * @param nowMillis the monotonic time.
-     * @return the view.
+     * @return the input.
      */
     public static PlacementInput of(
             Bundle bundle, String service, Collection<Side> sides, Plan previous, long nowMillis) {
@@ -57,7 +58,7 @@
     }
 
     /**
-     * A live side as placement sees it.
+     * The properties of a live side that placement depends on.
      *
      * @param id the side's name.
      * @param dataCentre its data centre.
--- a/src/main/java/io/waxwingquay/placement/PlacementStrategy.java
+++ b/src/main/java/io/waxwingquay/placement/PlacementStrategy.java
@@ -1,28 +1,29 @@
 package io.waxwingquay.placement;
 
 /**
- * Decides which items each side of a service is to hold. Pure: the same view gives the same plan in every process,
- * so no process has to lead.
+ * Decides which items each side of a service should hold. Pure: the same input gives the same plan in every process, so
+ * no leader is needed.
  */
 @FunctionalInterface
 public interface PlacementStrategy {
 
-    /** The share of each side's memory that the product keeps for adapters and first copies. */
+    /** The share of each side's memory that the default strategy reserves for adapters and first copies. */
     double ADAPTER_MEMORY_SHARE = 1.0 / 16;
 
     /**
-     * Decides.
+     * Computes a plan.
      *
-     * @param input what is known.
-     * @return what each side is to hold.
+     * @param input the state to decide from.
+     * @return the items that each side should hold.
      */
     Plan plan(PlacementInput input);
 
     /**
-     * A strategy by the name that settings use.
+     * Finds a strategy by its name in the settings.
      *
-     * @param name {@code planned}, its earlier {@code planned-1} and {@code planned-2}, {@code static} or {@code load-on-miss}.
-     * @param thresholds the marks of the planned ones.
+     * @param name {@code planned}, its earlier versions {@code planned-1} and {@code planned-2}, {@code static} or
+     *     {@code load-on-miss}.
+     * @param thresholds the demand thresholds of the planned strategies.
      * @return the strategy.
      * @throws IllegalArgumentException if no strategy has that name.
      */
@@ -35,7 +36,7 @@
             case "static" -> PlacementStrategy::planBaseCopies;
             case "load-on-miss" -> new LoadOnMiss();
             default -> throw new IllegalArgumentException(
-                    "placement strategy '" + name + "' is not known; write planned, static or load-on-miss");
+                    "placement strategy '" + name + "' is unknown; write planned, static or load-on-miss");
         };
     }
 
--- a/src/main/java/io/waxwingquay/placement/Plan.java
+++ b/src/main/java/io/waxwingquay/placement/Plan.java
@@ -5,20 +5,21 @@
 import java.util.Set;
 
 /**
- * What each side is to hold. It orders no eviction: an item that is neither wanted nor protected may go when room is
- * needed, and stays until then.
+ * The items that each side should hold. A plan orders no eviction: an item that is neither wanted nor protected stays
+ * until its memory is needed.
  *
  * @param shares the share of each side, by the side's name.
- * @param lowDemandSinceMillis since when each item's load is below the low mark; handed to the next view.
- * @param unplacedModels models for which no side has room.
+ * @param lowDemandSinceMillis when the demand of each item below the low threshold fell below it; passed on to the next
+ *     input.
+ * @param unplacedModels models that fit on no side.
  */
 public record Plan(Map<String, Share> shares, Map<String, Long> lowDemandSinceMillis, List<String> unplacedModels) {
 
-    /** The plan before any other. */
+    /** The plan before the first one is computed. */
     public static final Plan EMPTY = new Plan(Map.of(), Map.of(), List.of());
 
     /**
-     * One side's share.
+     * Returns one side's share.
      *
      * @param sideId the side's name.
      * @return its share, empty if it is not in the plan.
@@ -28,14 +29,14 @@
     }
 
     /**
-     * What one side is to hold.
+     * The items that one side should hold.
      *
-     * @param wantedItems what it is to hold, most important first; fits its memory together.
-     * @param protectedItems what it must not evict by choice.
+     * @param wantedItems items to hold, most important first; together they fit in the side's memory.
+     * @param protectedItems items that the side must not choose to evict.
      */
     public record Share(List<String> wantedItems, Set<String> protectedItems) {
 
-        /** Nothing. */
+        /** A share without items. */
         public static final Share EMPTY = new Share(List.of(), Set.of());
     }
 }
--- a/src/main/java/io/waxwingquay/placement/PlanBuilder.java
+++ b/src/main/java/io/waxwingquay/placement/PlanBuilder.java
@@ -9,7 +9,7 @@
 import java.util.Set;
 import java.util.function.IntPredicate;
 
-/** The sides' memory while one plan is drawn up. */
+/** Assigns copies of items to sides while one plan is computed, and tracks the memory that is left on each side. */
 final class PlanBuilder {
 
     private static final int NO_SIDE = -1;
@@ -60,8 +60,8 @@
         List<Scored> scored = new ArrayList<>();
         residentSides.getOrDefault(name, List.of()).forEach(index -> scored.add(new Scored(index, score(hash, index))));
         scored.sort(Comparator.comparingDouble(Scored::score).reversed().thenComparingInt(Scored::index));
-        List<Integer> residentSides = scored.stream().map(Scored::index).toList();
-        return new PlanItem(name, sizeBytes, residentSides);
+        List<Integer> rankedSides = scored.stream().map(Scored::index).toList();
+        return new PlanItem(name, sizeBytes, rankedSides);
     }
 
     Set<String> residentNames() {
@@ -94,7 +94,7 @@
         item.residentSides.stream().limit(1).filter(index -> fits(item, index)).forEach(index -> place(item, index));
     }
 
-    /** Plans a second copy where it is resident in another data centre than the first. */
+    /** Plans the second copy on a side where it is resident, in another data centre than the first. */
     void retainSecondCopy(PlanItem item) {
         if (plannedCopies(item) != 1) {
             return;
@@ -110,7 +110,10 @@
                 });
     }
 
-    /** Plans a first copy if there is none; where nothing is free, second copies of others make room. */
+    /**
+     * Plans a first copy if there is none; where no side has enough free memory, second copies of other items are
+     * displaced.
+     */
     void placeFirstCopy(PlanItem item) {
         if (plannedCopies(item) > 0 || placeBest(item, index -> true)) {
             return;
@@ -128,7 +131,7 @@
         }
     }
 
-    /** Plans a second copy, in another data centre where room allows. */
+    /** Plans a second copy, in another data centre if one has enough free memory. */
     void placeSecondCopy(PlanItem item) {
         if (plannedCopies(item) != 1) {
             return;
@@ -139,7 +142,7 @@
         }
     }
 
-    /** Plans copies up to a number, while there is room. */
+    /** Plans further copies up to a number, while memory lasts. */
     void placeCopies(PlanItem item, int copies) {
         boolean isPlaced = true;
         while (isPlaced && plannedCopies(item) < copies) {
@@ -171,7 +174,7 @@
                 .sum();
     }
 
-    /** The last kept is the least important. */
+    /** Displaces the copies retained last, which are the least important. */
     private void displaceSecondCopies(PlanItem item, int index) {
         List<PlanItem> candidates = secondCopies.get(index);
         while (item.sizeBytes > freeBytes[index]) {
@@ -182,7 +185,7 @@
         }
     }
 
-    /** A resident copy goes before any other, so that nothing moves without need. */
+    /** Prefers a side where the item is resident, so that nothing moves without need. */
     private boolean placeBest(PlanItem item, IntPredicate isEligible) {
         int best = item.residentSides.stream()
                 .mapToInt(index -> index)
@@ -203,7 +206,7 @@
         double bestScore = Double.NEGATIVE_INFINITY;
         for (int index = 0; index < sides.size(); index++) {
             double uniform = RendezvousHash.uniform(item.hash, sideHashes[index]);
-            // The logarithm is the cost of a rank, and a side that is behind in both parts cannot win.
+            // The logarithm dominates the cost of a score; a side that is no better in either factor cannot win.
             boolean cannotWin = best != NO_SIDE && uniform <= bestUniform && weights[index] <= weights[best];
             if (cannotWin || !fits(item, index) || !isEligible.test(index)) {
                 continue;
@@ -223,8 +226,9 @@
     }
 
     /**
-     * A request waits for an adapter until its deadline where planned copies of models fill the memory, because
-     * what is planned is not evicted for it. So only first copies may take the last of the memory.
+     * Returns whether the adapter reserve stays free. Planned copies of models are not evicted for an adapter, so where
+     * they fill the memory a request waits for its adapter until its deadline. Only first copies may therefore use the
+     * reserve.
      */
     private boolean keepsAdapterReserve(PlanItem item, int index) {
         return freeBytes[index] - item.sizeBytes >= adapterReserveBytes[index];
@@ -240,6 +244,6 @@
         return RendezvousHash.score(RendezvousHash.uniform(itemHash, sideHashes[index]), weights[index]);
     }
 
-    /** A side's rank for one item, worked out once and not at each comparison. */
+    /** A side's score for one item, computed once instead of at each comparison. */
     private record Scored(int index, double score) {}
 }
--- a/src/main/java/io/waxwingquay/placement/PlanItem.java
+++ b/src/main/java/io/waxwingquay/placement/PlanItem.java
@@ -3,14 +3,14 @@
 import java.util.BitSet;
 import java.util.List;
 
-/** An item during one evaluation. */
+/** An item while one plan is computed. */
 final class PlanItem {
 
     final String name;
     final long sizeBytes;
     final long hash;
 
-    /** Indexes of the sides where it is resident, the best by rank first. */
+    /** Indexes of the sides where it is resident, the highest score first. */
     final List<Integer> residentSides;
 
     /** Indexes of the sides where a copy is planned. */
--- a/src/main/java/io/waxwingquay/placement/RendezvousHash.java
+++ b/src/main/java/io/waxwingquay/placement/RendezvousHash.java
@@ -4,8 +4,8 @@
 import org.apache.commons.codec.digest.MurmurHash3;
 
 /**
- * Weighted rendezvous hashing: a side wins an item with a chance in proportion to its weight, and a side that comes
- * or goes changes only the items that it wins.
+ * Weighted rendezvous hashing: the probability that a side wins an item is proportional to its weight, and adding or
+ * removing a side reassigns only the items that it wins.
  */
 final class RendezvousHash {
 
@@ -14,23 +14,23 @@
 
     private RendezvousHash() {}
 
-    /** Hashed once for a name; pairs are then mixed from two of these. */
+    /** Hashes a name. A pair of name hashes is combined by {@link #uniform}. */
     static long hash(String name) {
         return MurmurHash3.hash128x64(name.getBytes(StandardCharsets.UTF_8))[0];
     }
 
-    /** A number between 0 and 1, both left out, that a pair always gets. */
+    /** Maps a pair to a number between 0 and 1, both exclusive; the same pair always gives the same number. */
     static double uniform(long itemHash, long sideHash) {
         long mixed = finalizeHash(itemHash ^ Long.rotateLeft(sideHash, Integer.SIZE));
         return ((mixed >>> DROPPED_BITS) + 1) / (TWO_TO_53 + 1);
     }
 
-    /** The higher the better; grows with the uniform number and with the weight. */
+    /** Returns the score of a pair, which grows with the uniform number and the weight; the highest score wins. */
     static double score(double uniform, double weight) {
         return -weight / Math.log(uniform);
     }
 
-    // MurmurHash3's 64-bit finalizer, which the library does not offer by itself.
+    // The 64-bit finalizer of MurmurHash3, which the library does not expose separately.
     private static long finalizeHash(long value) {
         long mixed = value;
         mixed ^= mixed >>> 33;
--- a/src/main/java/io/waxwingquay/placement/RendezvousPlacement.java
+++ b/src/main/java/io/waxwingquay/placement/RendezvousPlacement.java
@@ -10,17 +10,18 @@
 import java.util.stream.Collectors;
 
 /**
- * Homes for every model by rendezvous hashing, and further replicas by demand.
+ * Places base copies of every model by weighted rendezvous hashing, and further copies by demand.
  *
  * <p>Copies are placed in passes: the first two copies of each model where they are resident, one copy of each model
- * that has none, the second base homes, copies for demand, adapters. So what is resident stays, and a side that
- * leaves moves only what it held while there is room; when there is none, a model without any home takes the room of
- * others' second copies. Every copy is counted against the side's memory; what does not fit is not planned. Larger
- * models go first, which leaves fewer without a home when room is short.
+ * that has none, the second base copies, copies for demand, adapters. {@link Precedence#DEMAND_FIRST} runs the passes
+ * for missing first copies and for demand ahead of those for second copies too. Resident copies therefore stay, and
+ * while memory suffices a leaving side moves only the items that it held; when memory is short, a model without any
+ * copy displaces second copies of others. Every copy counts against the side's memory, and a copy that does not fit is
+ * not planned. Larger models are placed first, which leaves fewer models unplaced when memory is short.
  *
- * <p>The first resident replica of each model by rank is protected. All sides agree which one it is while they agree
- * which sides are live, so the last replica is not evicted, nor are two at once. While a new version has no resident
- * replica, the first replica of an old version is protected in its place.
+ * <p>The first resident copy of each model by score is protected. All sides agree on it while they agree on which sides
+ * are live, so the last copy is not evicted, nor are two copies at once. While a new version has no resident copy, the
+ * first copy of an old version is protected in its place.
  */
 public final class RendezvousPlacement implements PlacementStrategy {
 
@@ -31,30 +32,30 @@
     private final double adapterMemoryShare;
 
     /**
-     * A strategy that gives room to demand before second homes.
+     * Creates a strategy that places copies for demand before second copies.
      *
-     * @param thresholds when replicas follow demand.
+     * @param thresholds when the number of copies follows demand.
      */
     public RendezvousPlacement(DemandThresholds thresholds) {
         this(thresholds, Precedence.DEMAND_FIRST);
     }
 
     /**
-     * A strategy.
+     * Creates a strategy that reserves no memory for adapters.
      *
-     * @param thresholds when replicas follow demand.
-     * @param precedence what goes first when room is short.
+     * @param thresholds when the number of copies follows demand.
+     * @param precedence which copies are placed first when memory is short.
      */
     public RendezvousPlacement(DemandThresholds thresholds, Precedence precedence) {
         this(thresholds, precedence, 0.0);
     }
 
     /**
-     * A strategy that leaves room for adapters.
+     * Creates a strategy that reserves memory for adapters.
      *
-     * @param thresholds when replicas follow demand.
-     * @param precedence what goes first when room is short.
-     * @param adapterMemoryShare the share of each side's memory that no second or further copy of a model takes.
+     * @param thresholds when the number of copies follows demand.
+     * @param precedence which copies are placed first when memory is short.
+     * @param adapterMemoryShare the share of each side's memory that no second or further copy of a model may use.
      */
     public RendezvousPlacement(DemandThresholds thresholds, Precedence precedence, double adapterMemoryShare) {
         this.thresholds = thresholds;
@@ -62,11 +63,11 @@
         this.adapterMemoryShare = adapterMemoryShare;
     }
 
-    /** What goes first when room is short. */
+    /** Which copies are placed first when memory is short. */
     public enum Precedence {
-        /** Copies for demand, then second homes of what is asked little. */
+        /** Copies for demand, then second copies of models with little demand. */
         DEMAND_FIRST,
-        /** Second homes of all models, then copies for demand. */
+        /** Second copies of all models, then copies for demand. */
         SECOND_COPIES_FIRST
     }
 
@@ -107,7 +108,10 @@
         return new WantedModel(model, item, demand, wantedCopies(input, item, demand));
     }
 
-    /** Between the marks the number stays; below the low one it shrinks by one, and only after the hold time. */
+    /**
+     * Returns the number of copies to plan. Between the thresholds it is unchanged; below the low threshold it shrinks
+     * by one, and only after the delay.
+     */
     private int wantedCopies(PlacementInput input, PlanItem item, double demand) {
         int currentCopies = Math.max(BASE_COPIES, item.residentSides.size());
         if (demand > currentCopies * thresholds.highUnitsPerSecond()) {
@@ -149,7 +153,10 @@
                 .forEach(wanted -> builder.placeCopies(wanted.item, wanted.copies));
     }
 
-    /** Adapters go beside their model, the most asked first: one copy, and one more for each high mark of demand. */
+    /**
+     * Places adapters on sides that hold their model, the most requested first: one copy, and one more for each
+     * multiple of the high threshold.
+     */
     private void placeAdapters(PlacementInput input, List<WantedModel> wantedModels, PlanBuilder builder) {
         Map<String, PlanItem> models =
                 wantedModels.stream().collect(Collectors.toMap(wanted -> wanted.model.name(), wanted -> wanted.item));
@@ -169,9 +176,9 @@
     }
 
     /**
-     * Failure: a new version is planned where the old one stands, which may not go before the new one is there. Symptom:
-     * a rollout into full accelerators stops half way for good. The old version's memory therefore counts as taken;
-     * its size is not known any more, so that of the new one stands for it.
+     * Protects old versions and counts their memory as taken. If a new version were planned in the memory of the old
+     * one, which must not be evicted before the new one is resident, a rollout onto full accelerators would never
+     * complete. The size of the old version is no longer known, so that of the new one is used.
      */
     private static void protectOldVersions(PlacementInput input, PlanBuilder builder) {
         Map<String, Bundle.Model> modelsByItemPrefix = input.bundle().models().stream()
--- a/src/main/java/io/waxwingquay/placement/package-info.java
+++ b/src/main/java/io/waxwingquay/placement/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Which models each target should hold: a pure function every side process evaluates for itself.
+ * Model placement: a pure function, evaluated by every side process, that decides which models each target should hold.
  */
 package io.waxwingquay.placement;
--- a/src/main/java/io/waxwingquay/routing/LoadTracker.java
+++ b/src/main/java/io/waxwingquay/routing/LoadTracker.java
@@ -9,8 +9,8 @@
 import java.util.function.UnaryOperator;
 
 /**
- * The latest load of each side, as its answers carried it, and this process's own requests there. Safe for
- * concurrent use.
+ * Tracks the latest reported load of each side and this process's own outstanding requests there. Safe for concurrent
+ * use.
  */
 public final class LoadTracker {
 
@@ -19,7 +19,7 @@
     private final ConcurrentMap<String, SideLoad> loadBySideId = new ConcurrentHashMap<>();
 
     /**
-     * Takes in a report that came with an answer.
+     * Records a load report that came with an answer.
      *
      * @param sideId the side.
      * @param report the report, or {@code null} if the answer carried none.
@@ -32,7 +32,7 @@
     }
 
     /**
-     * Notes a request sent to a side.
+     * Records that a request was sent to a side.
      *
      * @param sideId the side.
      */
@@ -41,7 +41,7 @@
     }
 
     /**
-     * Notes that a request at a side is over, answered or not.
+     * Records that a request to a side has ended, answered or not.
      *
      * @param sideId the side.
      */
@@ -50,7 +50,7 @@
     }
 
     /**
-     * Notes how long an answered request took.
+     * Records the latency of an answered request.
      *
      * @param sideId the side.
      * @param tookMillis from submission to the end of the answer.
@@ -60,7 +60,7 @@
     }
 
     /**
-     * Joins sides with their load.
+     * Combines sides with their load.
      *
      * @param sides the sides.
      * @param nowMillis the monotonic time.
@@ -71,16 +71,16 @@
     }
 
     /**
-     * All requests of this process that are at sides now.
+     * Returns this process's outstanding requests over all sides.
      *
-     * @return the number.
+     * @return the number of requests.
      */
     public long totalOutstanding() {
         return loadBySideId.values().stream().mapToLong(SideLoad::outstanding).sum();
     }
 
     /**
-     * Forgets sides that are gone, so that the board does not grow as VMs are replaced.
+     * Drops sides that no longer exist, so that the map does not grow as VMs are replaced.
      *
      * @param sideIds the sides that still exist.
      */
--- a/src/main/java/io/waxwingquay/routing/RouteQuery.java
+++ b/src/main/java/io/waxwingquay/routing/RouteQuery.java
@@ -6,14 +6,14 @@
 import java.util.Set;
 
 /**
- * What routing needs to know of one request.
+ * The properties of a request that routing depends on.
  *
  * @param service the service whose sides may serve it.
- * @param dataCentre the data centre of the asking process.
- * @param items what must be resident, the model first and then its adapter; empty for a plain service.
- * @param prefixHash hash of the prompt's beginning; equal ones share an engine's prefix cache.
- * @param sequence number of the request in this process, for policies that take turns.
- * @param excludedSideIds names of sides already tried.
+ * @param dataCentre the data centre of the sending process.
+ * @param items the items that must be resident, the model first and then its adapter; empty for a plain service.
+ * @param prefixHash hash of the start of the prompt; requests with equal hashes share an engine's prefix cache.
+ * @param sequence number of the request in this process, for policies that rotate.
+ * @param excludedSideIds sides already tried.
  */
 public record RouteQuery(
         String service,
@@ -24,20 +24,20 @@
         Set<String> excludedSideIds) {
 
     /**
-     * Whether a side may be asked at all.
+     * Returns whether a side may receive this request.
      *
      * @param side the side.
-     * @return whether it serves the service, takes work and was not tried yet.
+     * @return whether it belongs to the service, accepts work and was not tried yet.
      */
     public boolean admits(Side side) {
         return side.service().equals(service) && side.takesWork() && !excludedSideIds.contains(side.id());
     }
 
     /**
-     * How many of the items, in order, the side has resident.
+     * Counts how many of the items, in order, are resident on a side.
      *
      * @param side the side.
-     * @return 0 when even the model is absent.
+     * @return the number of items; 0 when even the model is absent.
      */
     public int countResidentItems(Side side) {
         int count = 0;
@@ -48,16 +48,16 @@
     }
 
     /**
-     * The key that hashing policies route by.
+     * Returns the key that hashing policies route by.
      *
-     * @return the model's item, or the service for a plain call.
+     * @return the model's item, or the service for a plain request.
      */
     public String hashKey() {
         return items.isEmpty() ? service : items.get(0);
     }
 
     /**
-     * The same request with one more side tried.
+     * Creates a copy of this query that excludes one more side.
      *
      * @param sideId the side.
      * @return the new query.
--- a/src/main/java/io/waxwingquay/routing/Router.java
+++ b/src/main/java/io/waxwingquay/routing/Router.java
@@ -4,19 +4,19 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Chooses the sides for a request. A pure function of the views and the random source.
+ * Selects the sides for a request. A pure function of the views and the random source.
  *
- * @param policy how the sides that may be asked are ordered.
+ * @param policy orders the sides that may receive the request.
  */
 public record Router(RoutingPolicy policy) {
 
     /**
-     * Orders the sides that may be asked for a request.
+     * Orders the sides that may receive a request.
      *
      * @param query the request.
      * @param views all sides with their load.
-     * @param random the source of choices.
-     * @return sides that serve the service and take work, best first; empty if there is none.
+     * @param random the source of randomness.
+     * @return sides that belong to the service and accept work, best first; empty if there is none.
      */
     public List<SideView> candidates(RouteQuery query, List<SideView> views, RandomGenerator random) {
         List<SideView> admitted =
--- a/src/main/java/io/waxwingquay/routing/RoutingPolicy.java
+++ b/src/main/java/io/waxwingquay/routing/RoutingPolicy.java
@@ -10,40 +10,41 @@
 import org.apache.commons.codec.digest.MurmurHash3;
 
 /**
- * Orders the sides that may be asked, best first. A pure function of its arguments.
+ * Orders the sides that may receive a request, best first. A pure function of its arguments.
  */
 @FunctionalInterface
 public interface RoutingPolicy {
 
-    /** The names that {@link #named} knows, for messages. */
+    /** The names accepted by {@link #named}, for error messages. */
     String NAMES = "waxwingquay, round-robin, least-outstanding or model-hash";
 
     /**
      * Orders sides.
      *
      * @param query the request.
-     * @param views the sides that may be asked.
-     * @param random the source of choices.
+     * @param views the sides that may receive it.
+     * @param random the source of randomness.
      * @return the same sides, best first.
      */
     List<SideView> order(RouteQuery query, List<SideView> views, RandomGenerator random);
 
     /**
-     * The sides that this policy has to see for a request; those it leaves out would not have been put first.
+     * Returns the sides that this policy must inspect for a request; a side left out would not have been ordered first.
      *
      * @param query the request.
      * @param index all sides.
-     * @return the sides, admitted or not.
+     * @return the sides, admitted by the query or not.
      */
     default List<Side> relevantSides(RouteQuery query, SideIndex index) {
         return index.ofService(query.service());
     }
 
     /**
-     * Finds a policy by the name that settings use.
+     * Finds a policy by its name in the settings.
      *
-     * @param name {@code waxwingquay}, its earlier {@code waxwingquay-1}, {@code round-robin}, {@code least-outstanding} or {@code model-hash}; the first two
-     *     baselines also with {@code -resident} behind, to ask sides that hold the model first.
+     * @param name {@code waxwingquay}, its earlier version {@code waxwingquay-1}, {@code round-robin}, {@code
+     *     least-outstanding} or {@code model-hash}; {@code round-robin} and {@code least-outstanding} also with the
+     *     suffix {@code -resident}, which prefers sides that hold the model.
      * @return the policy.
      * @throws IllegalArgumentException if no policy has the name.
      */
@@ -61,11 +62,11 @@
     }
 
     /**
-     * The weight of a side for a key in rendezvous hashing.
+     * Returns the weight of a side for a key in rendezvous hashing.
      *
      * @param key hash of the key.
-     * @param sideId the side's name.
-     * @return the weight; the side with the highest wins.
+     * @param sideId the side.
+     * @return the weight; the side with the highest weight owns the key.
      */
     static long rendezvousWeight(long key, String sideId) {
         byte[] name = sideId.getBytes(StandardCharsets.UTF_8);
@@ -74,10 +75,10 @@
     }
 
     /**
-     * Sides that hold the model first, then the fewest requests at the side, to which a prefix that is cached
-     * elsewhere, an adapter to load and another data centre add what they cost, counted in requests. An adapter
-     * loads in milliseconds: were its sides always preferred, its callers would queue at one side while the
-     * model's other sides are idle.
+     * Orders sides that hold the model first, then by load: the requests at the side plus the costs, expressed in
+     * requests, of a prefix cached elsewhere, an absent adapter and another data centre. A resident adapter lowers the
+     * cost but does not take precedence. An adapter loads in milliseconds, so always preferring its sides would queue
+     * its callers at one side while other sides of the model are idle.
      */
     final class Default implements RoutingPolicy {
 
@@ -121,8 +122,9 @@
     }
 
     /**
-     * The first policy of ours, kept to measure against. Resident items first, then the least expected finish, to which another data centre adds its distance and
-     * from which the prefix's home takes a bonus; away from that home the better of two random choices.
+     * The first version of the default policy, kept as a baseline. Orders sides by resident items, then by expected
+     * completion time, to which another data centre adds its distance; the prefix owner's time is reduced by a factor.
+     * Where the prefix owner is not the best side, the better of two random sides goes first.
      */
     final class LeastExpectedCompletion implements RoutingPolicy {
 
@@ -132,8 +134,8 @@
         /**
          * {@inheritDoc}
          *
-         * <p>Sides that hold the model go before all others, so while one of them may be asked the others need not
-         * be seen: at 2,400 sides they would cost more than the request's whole control budget.
+         * <p>Sides that hold the model precede all others, so the others need not be inspected while one of those
+         * admits the request: at 2,400 sides inspecting them would exceed the request's whole control budget.
          */
         @Override
         public List<Side> relevantSides(RouteQuery query, SideIndex index) {
@@ -176,8 +178,8 @@
         }
 
         /**
-         * Puts the better of two random sides first. If all entries sent to the one best side of the same
-         * lagging reports, it would be flooded until its next report; two random choices spread them.
+         * Puts the better of two random sides first. If every entry sent to the one side that is best by the same stale
+         * reports, that side would be flooded until its next report; two random choices spread the requests.
          */
         private static void preferBetterOfTwoRandom(
                 int bestCount, List<SideView> ordered, RandomGenerator random, String prefixOwnerId) {
@@ -203,7 +205,10 @@
             return view.expectedCompletionMillis() * prefixFactor + distanceMillis;
         }
 
-        /** Each side is rated once, as a comparison that rates afresh does so some twenty times a side. */
+        /**
+         * A side with its score, computed once per side; a comparator that computed it would do so some twenty times
+         * per side.
+         */
         private record ScoredSide(SideView view, int residentItems, double costMillis) {
 
             private ScoredSide withCostMillis(double newCostMillis) {
@@ -212,7 +217,7 @@
         }
     }
 
-    /** Baseline: turns over all sides, blind to residency. */
+    /** Baseline: rotates over all sides and ignores residency. */
     final class RoundRobin implements RoutingPolicy {
 
         /** {@inheritDoc} */
@@ -224,7 +229,7 @@
         }
     }
 
-    /** Baseline: the side with the fewest requests of this process. */
+    /** Baseline: prefers the side with the fewest outstanding requests of this process. */
     final class LeastOutstanding implements RoutingPolicy {
 
         /** {@inheritDoc} */
@@ -252,9 +257,9 @@
     }
 
     /**
-     * Baseline: another policy's order, but sides that hold the model go first.
+     * Baseline: another policy's order, with sides that hold the model first.
      *
-     * @param delegate the order among equals.
+     * @param delegate orders the sides within each of the two groups.
      */
     record ResidentFirst(RoutingPolicy delegate) implements RoutingPolicy {
 
--- a/src/main/java/io/waxwingquay/routing/SideIndex.java
+++ b/src/main/java/io/waxwingquay/routing/SideIndex.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 
 /**
- * The sides by service and by what they hold, so that a request looks at those that hold its model and not at all.
+ * Indexes sides by service and by resident item, so that a request inspects only the sides that hold its model.
  * Immutable.
  */
 public final class SideIndex {
@@ -22,7 +22,7 @@
     }
 
     /**
-     * Indexes sides.
+     * Creates an index.
      *
      * @param sides an immutable snapshot.
      * @return the index.
@@ -32,21 +32,21 @@
     }
 
     /**
-     * The sides of a service.
+     * Returns the sides of a service.
      *
-     * @param service its name.
-     * @return the sides in the snapshot's order.
+     * @param service the service's name.
+     * @return the sides in the order of the snapshot.
      */
     public List<Side> ofService(String service) {
         return byService.getOrDefault(service, List.of());
     }
 
     /**
-     * The sides of a service that hold an item.
+     * Returns the sides of a service on which an item is resident.
      *
-     * @param service its name.
+     * @param service the service's name.
      * @param item the item.
-     * @return the sides in the snapshot's order.
+     * @return the sides in the order of the snapshot.
      */
     public List<Side> holding(String service, String item) {
         return byItem.getOrDefault(new ItemKey(service, item), List.of());
@@ -61,13 +61,13 @@
 
     private record ItemKey(String service, String item) {}
 
-    /** The index of the snapshot last asked for; it is made again only when the snapshot is another. */
+    /** Caches the index of the latest snapshot and rebuilds it only when the snapshot has changed. */
     public static final class Cache {
 
         private volatile SideIndex cached = SideIndex.of(List.of());
 
         /**
-         * The index of a snapshot.
+         * Returns the index of a snapshot.
          *
          * @param sides the snapshot.
          * @return its index.
--- a/src/main/java/io/waxwingquay/routing/SideView.java
+++ b/src/main/java/io/waxwingquay/routing/SideView.java
@@ -3,17 +3,17 @@
 import io.waxwingquay.membership.Side;
 
 /**
- * A side together with what this process knows of its load; an immutable snapshot.
+ * Immutable snapshot of a side and of what this process knows of its load.
  *
  * @param side the side.
- * @param running requests its target ran, by its last report.
- * @param queued requests that waited at it, by its last report.
- * @param queuedTokens tokens of the waiting requests, by its last report.
- * @param tokensPerSecond its target's rate, by its last report; 0 if unknown.
- * @param freeBytes accelerator memory free, by its last report.
+ * @param running requests that its target was running at the last report.
+ * @param queued requests that were queued there at the last report.
+ * @param queuedTokens tokens of the queued requests at the last report.
+ * @param tokensPerSecond its target's throughput at the last report; 0 if unknown.
+ * @param freeBytes free accelerator memory at the last report.
  * @param reportAgeMillis age of the last report; {@link #NO_REPORT} if there was none.
- * @param outstanding requests of this process at the side now.
- * @param latencyMillis smoothed time of this process's requests at the side; 0 if unknown.
+ * @param outstanding this process's requests outstanding at the side now.
+ * @param latencyMillis smoothed latency of this process's requests at the side; 0 if unknown.
  */
 public record SideView(
         Side side,
@@ -26,14 +26,14 @@
         int outstanding,
         double latencyMillis) {
 
-    /** The age of a report that never came. */
+    /** The report age of a side that has sent no report. */
     public static final long NO_REPORT = Long.MAX_VALUE;
 
     private static final double ASSUMED_LATENCY_MILLIS = 50;
     private static final double MILLIS_PER_SECOND = 1_000;
 
     /**
-     * A side of which no load is known.
+     * Creates the view of a side whose load is unknown.
      *
      * @param side the side.
      * @return the view.
@@ -43,8 +43,8 @@
     }
 
     /**
-     * The expected time until a new request finishes there. What the report said of the queue is worked off
-     * as the report ages; this process's own outstanding requests are known now and count in full.
+     * Returns the expected time until a new request completes on this side. The reported queue is assumed to drain
+     * while the report ages; this process's own outstanding requests are known exactly and count in full.
      *
      * @return milliseconds.
      */
@@ -57,9 +57,9 @@
     }
 
     /**
-     * Requests at the side: those of the last report, or this process's own if they are more by now.
+     * Returns the requests at the side: those of the last report, or this process's own if they are more by now.
      *
-     * @return the number.
+     * @return the number of requests.
      */
     public int inFlight() {
         return Math.max(running + queued, outstanding);
--- a/src/main/java/io/waxwingquay/routing/package-info.java
+++ b/src/main/java/io/waxwingquay/routing/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Which target a request goes to: pure functions over a view of the targets.
+ * Replica selection: pure functions that choose the target of a request from a view of the targets.
  */
 package io.waxwingquay.routing;
--- a/src/main/java/io/waxwingquay/suspect/Fingerprint.java
+++ b/src/main/java/io/waxwingquay/suspect/Fingerprint.java
@@ -6,14 +6,14 @@
 import org.apache.commons.codec.digest.MurmurHash3;
 
 /**
- * Names a request by its content, so that a resend through another entry has the same name.
+ * Identifies a request by its content, so that a request resent through another entry has the same fingerprint.
  */
 public final class Fingerprint {
 
     private Fingerprint() {}
 
     /**
-     * The fingerprint of a model request.
+     * Computes the fingerprint of a model request.
      *
      * @param model the model's name.
      * @param adapter the adapter's name, or {@code null}.
@@ -25,13 +25,13 @@
     }
 
     /**
-     * The fingerprint of a request that is told apart by some parts.
+     * Computes the fingerprint of a request from the parts that identify it.
      *
-     * @param parts its parts, always in the same order; at least one.
+     * @param parts the parts, always in the same order; at least one.
      * @return a 64-bit hash; equal parts have equal fingerprints in every process.
      */
     public static long of(List<byte[]> parts) {
-        // Lengths go in, so that no two different lists are the same bytes.
+        // Length prefixes ensure that different lists of parts never yield the same bytes.
         List<byte[]> lengthPrefixed = parts.subList(0, parts.size() - 1);
         int size = parts.stream().mapToInt(part -> part.length).sum();
         ByteBuffer buffer = ByteBuffer.allocate(lengthPrefixed.size() * Integer.BYTES + size);
--- a/src/main/java/io/waxwingquay/suspect/SharedSuspects.java
+++ b/src/main/java/io/waxwingquay/suspect/SharedSuspects.java
@@ -18,30 +18,31 @@
 import org.apache.commons.codec.digest.MurmurHash3;
 
 /**
- * The suspects that a process knows, and the few of them that travel with each of its datagrams.
+ * The suspects known to a process, and the sample of them that is sent with each status update.
  *
- * <p>What is told is a union that only grows until it expires, so a datagram that is lost, doubled, late or overtaken
- * does no harm: the next tells it again. All processes pass on what they hear, so that one that starts again learns of
- * what it knew before.
+ * <p>The records of all processes form a union that only grows until its records expire, so a lost, repeated, late or
+ * reordered update does no harm: a later one carries the same records again. Every process forwards what it receives,
+ * so that a restarted process relearns what it knew before.
  */
 public final class SharedSuspects {
 
-    /** Longer than a caller comes again and again with one request. */
+    /** Longer than a caller keeps resending one request. */
     private static final long RETENTION_MILLIS = 600_000L;
 
     private static final int MAX_RECORDS = 512;
 
     /**
-     * Failure: a record is told in durations, and does not age on its way. Symptom: two processes that tell it each other
-     * over slow ways keep it for ever. Each hop takes off more than a datagram's usual way, so that what comes back is
-     * older than what is known, and the older one never counts.
+     * Deducted from the remaining lifetime of a record when it is sent. Records carry durations and do not age in
+     * transit, so two processes exchanging a record over a slow network could keep it alive for ever. The deduction
+     * exceeds the usual transit time, so a record that comes back expires earlier than the known one, and the later
+     * expiry counts.
      */
     private static final long HOP_DEDUCTION_MILLIS = 500L;
 
-    /** The most records taken from one datagram. */
+    /** The most records merged from one update. */
     private static final int MAX_MERGED_RECORDS = 64;
 
-    /** How many records of each standing go with one datagram, drawn anew for each; some 0.6 kB in all. */
+    /** Records of each standing sent with one update, sampled anew for each; about 0.6 kB in total. */
     private static final Map<Standing, Integer> RECORDS_PER_UPDATE =
             Map.of(Standing.QUARANTINED, 4, Standing.SUSPECT, 8, Standing.CLEAR, 4);
 
@@ -50,10 +51,10 @@
     private final SuspectTable table;
 
     /**
-     * No suspects yet.
+     * Creates an empty set of suspects.
      *
-     * @param clockMillis the steady clock.
-     * @param random draws what is told.
+     * @param clockMillis the monotonic clock.
+     * @param random samples the records to send.
      */
     public SharedSuspects(LongSupplier clockMillis, RandomGenerator random) {
         this.clockMillis = clockMillis;
@@ -62,7 +63,7 @@
     }
 
     /**
-     * Whether nothing is known.
+     * Returns whether no records are known.
      *
      * @return whether every request is clear.
      */
@@ -71,7 +72,7 @@
     }
 
     /**
-     * How a request is to be treated.
+     * Returns how a request is to be treated.
      *
      * @param fingerprint the request's fingerprint.
      * @return its standing.
@@ -81,9 +82,9 @@
     }
 
     /**
-     * Records that a target went while it ran a request.
+     * Records that a target crashed while it ran a request.
      *
-     * @param target one life of the target; the same life counts once.
+     * @param target one incarnation of the target; the same incarnation counts once.
      * @param fingerprint the request's fingerprint.
      */
     public void recordCrash(String target, long fingerprint) {
@@ -91,9 +92,9 @@
     }
 
     /**
-     * Records that a target had not gone, contrary to what was recorded.
+     * Retracts a recorded crash that turned out not to have happened.
      *
-     * @param target the life of the target.
+     * @param target the incarnation of the target.
      * @param fingerprint the request's fingerprint.
      */
     public void retractCrash(String target, long fingerprint) {
@@ -101,7 +102,7 @@
     }
 
     /**
-     * Records that a request was answered well.
+     * Records that a request was answered successfully.
      *
      * @param fingerprint the request's fingerprint.
      */
@@ -110,9 +111,9 @@
     }
 
     /**
-     * How many requests are refused or suspected.
+     * Counts the requests that are suspect or quarantined.
      *
-     * @return the number.
+     * @return the number of requests.
      */
     public long countSuspected() {
         return table.snapshot().stream()
@@ -121,9 +122,9 @@
     }
 
     /**
-     * Takes in what a datagram tells.
+     * Merges the records of a received update.
      *
-     * @param update what it tells; {@code null} if nothing.
+     * @param update the records; {@code null} if there are none.
      */
     public void merge(List<SuspectNews> update) {
         long nowMillis = clockMillis.getAsLong();
@@ -135,9 +136,9 @@
     }
 
     /**
-     * What the next datagram is to tell.
+     * Samples the records for the next update.
      *
-     * @return a few records, bounded in number; empty if there is nothing to tell.
+     * @return a bounded number of records; empty if none are known.
      */
     public List<SuspectNews> nextUpdate() {
         if (table.isEmpty()) {
@@ -154,9 +155,10 @@
     }
 
     /**
-     * Failure: there are more suspects than a datagram takes. Symptom: those beyond it stay known to one entry only, and
-     * the request crashes targets through each of the others. A draw for each datagram reaches them all in a few, and
-     * unlike turns it does not fall into step with who gets which datagram.
+     * Samples records at random for one update. With more suspects than fit in an update, a fixed selection would leave
+     * the rest known to one entry only, and those requests would crash targets through each of the other entries. A
+     * random sample for each update covers all of them within a few updates; unlike a rotation it cannot fall into step
+     * with the order of the recipients.
      */
     private Stream<SuspectRecord> sample(List<SuspectRecord> records, int maxRecords) {
         return records.stream()
@@ -199,7 +201,10 @@
         return Long.toUnsignedString(number, Character.MAX_RADIX);
     }
 
-    /** Wall clocks step and differ; durations are told, so the table can keep to the steady clock throughout. */
+    /**
+     * Uses the monotonic clock for expiry too: wall clocks jump and differ between processes, but updates carry
+     * durations only.
+     */
     private record MonotonicClock(LongSupplier clockMillis) implements Clock {
 
         /** {@inheritDoc} */
--- a/src/main/java/io/waxwingquay/suspect/SuspectRegistry.java
+++ b/src/main/java/io/waxwingquay/suspect/SuspectRegistry.java
@@ -5,12 +5,12 @@
 import java.util.List;
 
 /**
- * Fingerprints of requests that were running when targets crashed. Safe for concurrent use.
+ * Registry of requests, by fingerprint, that were running when targets crashed. Safe for concurrent use.
  */
 public interface SuspectRegistry {
 
     /**
-     * How a request is to be treated.
+     * Returns how a request is to be treated.
      *
      * @param fingerprint the request's fingerprint.
      * @return its standing.
@@ -22,26 +22,26 @@
      *
      * @param crashId unique name of the crash.
      * @param fingerprints the requests that were running.
-     * @return the changed records, to be spread.
+     * @return the changed records, to be sent to other processes.
      */
     List<SuspectRecord> recordCrash(String crashId, Collection<Long> fingerprints);
 
     /**
-     * Records that a suspect has run to its end without harm.
+     * Records that a suspect ran to completion without a crash.
      *
      * @param fingerprint the request's fingerprint.
      */
     void clear(long fingerprint);
 
     /**
-     * Takes in records of other processes; crash names are united, so order and repetition do not matter.
+     * Merges records of other processes. Crash names form a union, so order and repetition do not matter.
      *
      * @param records the records.
      */
     void merge(List<SuspectRecord> records);
 
     /**
-     * All records that have not expired.
+     * Returns all records that have not expired.
      *
      * @return an immutable snapshot.
      */
@@ -49,11 +49,11 @@
 
     /** How a request is to be treated. */
     enum Standing {
-        /** No crash names it. */
+        /** No crash counts against it. */
         CLEAR,
-        /** One crash names it: it runs beside no other suspect. */
+        /** One crash counts against it: it runs beside no other suspect. */
         SUSPECT,
-        /** Two crashes name it: it is refused. */
+        /** Two crashes count against it: it is refused. */
         QUARANTINED
     }
 }
--- a/src/main/java/io/waxwingquay/suspect/SuspectTable.java
+++ b/src/main/java/io/waxwingquay/suspect/SuspectTable.java
@@ -13,11 +13,12 @@
 import java.util.function.Function;
 
 /**
- * The suspects that this process knows, bounded in number.
+ * Bounded table of the suspects known to this process.
  *
- * <p>A record only grows: crash names are united, the later expiry stays, and cleared stays cleared. So any order
- * and any repetition of merges gives the same table. When the table is full it drops single-crash records first, as
- * losing a quarantine costs targets. What a good answer counts for is up to the factory that the table comes from.
+ * <p>Records only grow: a merge takes the union of the crash names and the later expiry, and a cleared record stays
+ * cleared. Merges in any order, with any repetition, therefore give the same table. When the table is full, records
+ * with a single crash are dropped first, because losing a quarantine costs targets. The factory that creates the table
+ * decides how much a successful answer counts.
  */
 public final class SuspectTable implements SuspectRegistry {
 
@@ -31,11 +32,11 @@
     private final Map<Long, CrashHistory> histories = new HashMap<>();
 
     /**
-     * An empty table where cleared counts only beside a single crash name: a request that two crashes name stays refused
-     * until its record expires, whoever cleared it.
+     * Creates an empty table in which clearing a record counts only while a single crash is recorded: a request with
+     * two crashes stays quarantined until its record expires, whoever cleared it.
      *
-     * @param clock the time; expiry is by wall clock, as other processes read it.
-     * @param retentionMillis how long after its last crash a record stays.
+     * @param clock the clock; expiry uses wall-clock time, as other processes read it.
+     * @param retentionMillis how long a record is kept after its last crash.
      * @param maxRecords the most records kept.
      */
     public SuspectTable(Clock clock, long retentionMillis, int maxRecords) {
@@ -51,12 +52,12 @@
     }
 
     /**
-     * An empty table where a good answer takes back all crashes known before it, two or more also. For requests that many
-     * callers send alike: those that run in many places are there at many crashes that they did not cause, and one that
-     * ends each target that begins it never gets a good answer.
+     * Creates an empty table in which a successful answer cancels all crashes known before it, even two or more. For
+     * requests that many callers send alike: those that run on many targets are present at many crashes that they did
+     * not cause, whereas one that crashes every target it runs on is never answered.
      *
-     * @param clock the time.
-     * @param retentionMillis how long after its last crash a record stays.
+     * @param clock the clock.
+     * @param retentionMillis how long a record is kept after its last crash.
      * @param maxRecords the most records kept.
      * @return the table.
      */
@@ -65,7 +66,7 @@
     }
 
     /**
-     * Whether nothing is recorded, so that a look at a request can be saved.
+     * Returns whether the table is empty, which saves callers the lookup of a request.
      *
      * @return whether there is no record.
      */
@@ -101,9 +102,9 @@
     }
 
     /**
-     * Records that what was taken for a crash was none.
+     * Cancels a recorded crash that turned out not to have happened.
      *
-     * @param crashId its name.
+     * @param crashId the crash's name.
      * @param fingerprint a request that it was recorded for.
      */
     public synchronized void absolve(String crashId, long fingerprint) {
@@ -125,7 +126,7 @@
     @Override
     public synchronized List<SuspectRecord> snapshot() {
         long nowMillis = clock.epochMillis();
-        histories.values().removeIf(entry -> entry.expiresAtEpochMillis <= nowMillis);
+        histories.values().removeIf(history -> history.expiresAtEpochMillis <= nowMillis);
         return histories.entrySet().stream()
                 .map(entry -> entry.getValue().toRecord(entry.getKey()))
                 .toList();
@@ -143,7 +144,7 @@
             return;
         }
         long nowMillis = clock.epochMillis();
-        histories.values().removeIf(entry -> entry.expiresAtEpochMillis <= nowMillis);
+        histories.values().removeIf(history -> history.expiresAtEpochMillis <= nowMillis);
         histories.entrySet().stream()
                 .map(entry -> new DropRank(
                         entry.getKey(), standingRule.apply(entry.getValue()), entry.getValue().expiresAtEpochMillis))
@@ -210,7 +211,7 @@
             return bounded(all);
         }
 
-        // The smallest names are kept, so that processes that saw them in another order agree.
+        // Keeps the smallest names, so that processes that learned them in different orders agree.
         private static Set<String> bounded(Set<String> crashIds) {
             Set<String> kept = new TreeSet<>();
             crashIds.stream().sorted().limit(MAX_CRASH_IDS).forEach(kept::add);
--- a/src/main/java/io/waxwingquay/suspect/package-info.java
+++ b/src/main/java/io/waxwingquay/suspect/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Requests that were running when targets crashed, and their quarantine.
+ * Tracking and quarantine of requests that were running when targets crashed.
  */
 package io.waxwingquay.suspect;
--- a/src/test/java/io/waxwingquay/admission/RetryBudgetTest.java
+++ b/src/test/java/io/waxwingquay/admission/RetryBudgetTest.java
@@ -46,9 +46,10 @@
         assertFalse(budget.tryAcquire());
     }
 
-    // Many entries share a slack of 100, of which a fifth is kept back. Each might save up a whole retry, so that a
-    // quiet
-    // service that fails would get one from each of them at once.
+    /**
+     * Guards against budgets of many entries that each round a small burst share up to a whole retry: a failing idle
+     * service would get one retry from every entry at once. The total burst is 100, of which a fifth is held back.
+     */
     @Test
     void budgetsOfManyEntriesTogetherStayWithinTheTotalBurst() {
         Random random = new Random(7);
@@ -62,7 +63,7 @@
         assertTrue(retries <= 100, () -> retries + " retries");
     }
 
-    // The same, and the service is in use: what an entry earns itself it may spend, however small its part.
+    /** Guards against a small burst share that stops an entry from spending the retries that it earned itself. */
     @Test
     void entryWithSmallBurstShareSpendsEarnedRetries() {
         RetryBudget budget = RetryBudget.shared(0.2, 0.25, 0, () -> 0L);
@@ -75,8 +76,10 @@
         IntStream.range(0, 5).forEach(first -> budget.recordFirstAttempt());
     }
 
-    // Entries come and go, and with them each one's part of the budget. If a part that grows again were filled at once,
-    // entries that flap would send far more than all of them together may.
+    /**
+     * Guards against refilling the budget when its burst grows again. Entries that repeatedly leave and rejoin would
+     * then send far more retries than the total burst.
+     */
     @Test
     void budgetIsNotRefilledWhenBurstShrinksAndGrowsAgain() {
         RetryBudget budget = RetryBudget.of(0.2, 10);
@@ -103,7 +106,8 @@
         }
         long delayMillis = estimator.delayMillis(20, 1_000, new Random(1));
         assertTrue(
-                delayMillis >= 2_000 && delayMillis <= 3_000, "ten a second drain twenty in 2 s, got " + delayMillis);
+                delayMillis >= 2_000 && delayMillis <= 3_000,
+                "10 requests per second drain 20 in 2 s, got " + delayMillis);
     }
 
     @Test
--- a/src/test/java/io/waxwingquay/admission/SharedRateLimiterTest.java
+++ b/src/test/java/io/waxwingquay/admission/SharedRateLimiterTest.java
@@ -20,7 +20,7 @@
 
     private final Random random = new Random(7);
 
-    // Guards against senders whose parts are small and that all have saved a request when demand comes.
+    /** Guards against bursts of many senders that have each accumulated a request while idle. */
     @ParameterizedTest
     @CsvSource({"1, 3.7", "5, 2.8", "8, 0.5", "25, 3.7", "31, 12", "320, 3.7", "320, 60"})
     void sendersTogetherKeepTheRateAfterIdlePeriod(int senders, double perSecond) {
@@ -45,7 +45,7 @@
         assertTrue(maxInWindow <= allowed, senders + " senders sent " + maxInWindow + ", allowed " + allowed);
     }
 
-    // Guards against a limit that keeps a replica idle: demand that is always there gets nearly all of the rate.
+    /** Guards against a limiter that leaves a replica idle: steady demand must get nearly all of the rate. */
     @ParameterizedTest
     @CsvSource({"1, 3.7", "5, 2.8", "25, 3.7", "320, 60"})
     void sendersUseTheFullRateUnderSteadyDemand(int senders, double perSecond) {
--- a/src/test/java/io/waxwingquay/claim/BatchQueueLincheckTest.java
+++ b/src/test/java/io/waxwingquay/claim/BatchQueueLincheckTest.java
@@ -7,7 +7,7 @@
 import org.jetbrains.lincheck.datastructures.StressOptions;
 import org.junit.jupiter.api.Test;
 
-/** Checks that no interleaving loses an item, hands it out twice or puts two batches in flight. */
+/** Checks that no interleaving loses an item, returns it twice or puts two batches in flight. */
 public class BatchQueueLincheckTest {
 
     private final BatchQueue<Integer> queue = new BatchQueue<>(2, item -> Integer.toString(item % 3));
--- a/src/test/java/io/waxwingquay/claim/GroupCommitterTest.java
+++ b/src/test/java/io/waxwingquay/claim/GroupCommitterTest.java
@@ -46,10 +46,12 @@
         assertTrue(other.join().isEmpty());
     }
 
+    /**
+     * Guards against repeating or failing a write that took effect although its answer was lost: the row read back
+     * holds its own value, so the caller must see exactly one claim.
+     */
     @Test
     void writeWithLostAnswerIsConfirmedByReadingBack() {
-        // The caller sees one claim made. The table commits the write and its answer is lost; the row read
-        // back holds our own value, so the write is ours and must be neither repeated nor reported failed.
         table.failCommits(FakeTable.Fault.LOSE_ANSWER);
         assertTrue(committer.commit(new Write("k", 0, "attempt-1")).join().isEmpty());
         assertEquals(1, table.row("k").orElseThrow().version());
--- a/src/test/java/io/waxwingquay/ledger/MemoryLedgerTest.java
+++ b/src/test/java/io/waxwingquay/ledger/MemoryLedgerTest.java
@@ -47,8 +47,10 @@
         assertFalse(ledger.reserve("a", 1L, "o1"));
     }
 
-    // The caller sees requests fail because the engine ran out of memory. An eviction was ordered and its
-    // confirmation never came; a ledger that frees the bytes on a timeout would load the next item beside it.
+    /**
+     * Guards against freeing memory on a timeout while an ordered eviction is not confirmed. The next item would be
+     * loaded beside the old one, and the engine would run out of memory.
+     */
     @Test
     void unconfirmedEvictionFreesNoMemory() {
         MemoryLedger ledger = ledgerAfterFirstReport(100L, new Resident("a", 80L));
@@ -63,8 +65,10 @@
         assertTrue(ledger.reserve("b", 80L, "o2"));
     }
 
-    // The caller sees the engine fail just after the side process was restarted. The predecessor ordered a
-    // load; it is still under way when the new process reads an engine that looks empty and fills it.
+    /**
+     * Guards against filling an engine that only looks empty after a restart of the side process, while a load ordered
+     * by the previous process is still in transit.
+     */
     @Test
     void freeMemoryIsUnknownWhileOrdersOfThePredecessorMayArrive() {
         MemoryLedger ledger = MemoryLedger.forUnfencedEngine(100L, clock, QUARANTINE_MILLIS);
@@ -80,8 +84,10 @@
         assertTrue(ledger.reserve("new", 20L, "o1"));
     }
 
-    // The caller sees the engine fail after it came back. A lost copy of a load is still under way when the
-    // engine restarts and forgets which order ids it took, so the copy would load the item once more.
+    /**
+     * Guards against a duplicate load after an engine restart. The engine forgets which order ids it accepted, so a
+     * lost copy of an order that is still in transit would load the item once more.
+     */
     @Test
     void lostOrdersStayCountedAcrossAnEngineRestart() {
         MemoryLedger ledger = ledgerAfterFirstReport(100L);
@@ -145,7 +151,7 @@
         return new Residency(bootId, 100L, List.of(residents), openOrders);
     }
 
-    /** Operations that run against each other. */
+    /** Operations that run concurrently. */
     public static class ConcurrentOperations {
 
         private final MemoryLedger ledger = withOneResident();
@@ -177,7 +183,7 @@
         }
     }
 
-    /** An engine to which orders arrive late, twice or never; orders come only from one ledger. */
+    /** Simulates an engine that receives orders late, twice or never, all from one ledger. */
     private static final class SimulatedEngine {
 
         private final TestClock clock = new TestClock();
@@ -255,7 +261,10 @@
             ledger.observe(report("b" + bootCount, List.copyOf(openOrders), residents.toArray(Resident[]::new)));
         }
 
-        /** Each restart is seen, and what was under way before it has landed when the quarantine is over. */
+        /**
+         * Reboots the engine. Each reboot is reported, and orders in transit before it have taken effect by the end of
+         * the quarantine.
+         */
         private void reboot(int pick) {
             bootCount++;
             memory.clear();
--- a/src/test/java/io/waxwingquay/permit/LeasedPermitsTest.java
+++ b/src/test/java/io/waxwingquay/permit/LeasedPermitsTest.java
@@ -45,10 +45,12 @@
         assertEquals(3, simulation.acquireAll(1).size());
     }
 
+    /**
+     * Guards against more loads at the weight store than the limit. A lender that lends its slot, crashes and restarts
+     * without state would lend the same slot again while the holder still loads.
+     */
     @Test
     void restartedLenderGrantsNothingForOneLease() {
-        // The caller sees loads at the weight store above its limit. A home lends its slot, dies and restarts without
-        // memory while the holder still loads; a home that granted at once would lend the same slot a second time.
         simulation.passFirstLease();
         assertTrue(simulation.acquire(0).isPresent());
         simulation.restart(0);
@@ -59,10 +61,12 @@
         assertTrue(simulation.borrowFrom(0, "other").isGranted());
     }
 
+    /**
+     * Guards against a paused lender and its replacement lending the same slots. The lender pauses for longer than its
+     * heartbeat gap; when it resumes, its own leases have all ended, so it would lend the slots again.
+     */
     @Test
     void pausedLenderGrantsNothingForOneLease() {
-        // A home stands still for longer than its pause limit; a replacement is started and lends the same slots.
-        // The old home wakes and, as its own leases have all ended, would lend them as well.
         simulation.passFirstLease();
         simulation.advanceWithoutHeartbeats(PermitSimulation.PAUSE_MILLIS + 1);
         assertFalse(simulation.borrowFrom(0, "permit").isGranted());
@@ -109,10 +113,13 @@
         assertFalse(simulation.lender(0).borrow(request).isGranted());
     }
 
+    /**
+     * Guards against counting a permit as free after its answer was lost: the lender has it lent, although nobody uses
+     * it. Borrows, returns, renewals, lost requests, lost answers, restarts of lenders and elapsing time occur in any
+     * order.
+     */
     @Property(tries = 150, seed = "20261202")
     void permitsInUseNeverExceedTheLimit(@ForAll long seed) {
-        // Borrows, returns, renewals, lost requests, lost answers, restarts of homes and the passing of time come in
-        // any order. A lost answer leaves a permit out at its home that nobody uses; counting it free would exceed.
         Random random = new Random(seed);
         PermitSimulation trial = new PermitSimulation(4, 6, 0);
         trial.deliveryOutcome(() -> DeliveryOutcome.values()[random.nextInt(DeliveryOutcome.values().length)]);
--- a/src/test/java/io/waxwingquay/permit/PermitLenderLincheckTest.java
+++ b/src/test/java/io/waxwingquay/permit/PermitLenderLincheckTest.java
@@ -10,7 +10,7 @@
 import org.jetbrains.lincheck.datastructures.StressOptions;
 import org.junit.jupiter.api.Test;
 
-/** The home behaves as if its calls came one after another, whatever the threads do. */
+/** Checks that concurrent calls of a lender are linearizable. */
 @Param(name = "permit", gen = IntGen.class, conf = "1:3")
 public class PermitLenderLincheckTest {
 
--- a/src/test/java/io/waxwingquay/permit/PermitSimulation.java
+++ b/src/test/java/io/waxwingquay/permit/PermitSimulation.java
@@ -23,7 +23,7 @@
 import java.util.function.Supplier;
 import java.util.stream.Stream;
 
-/** Replicas of one service that lend weight loads to each other over calls that may be lost. */
+/** Simulates replicas of one service that lend permits for weight loads to each other over an unreliable network. */
 final class PermitSimulation {
 
     static final long LEASE_MILLIS = 10_000;
@@ -86,7 +86,7 @@
         nowMillis += millis;
     }
 
-    /** A new process: nothing is remembered, and what the old one had begun still runs at the weight store. */
+    /** Restarts a process without its state; loads that the old process started still run at the weight store. */
     void restart(int replica) {
         retiredHolders.add(holders.get(replica));
         lenders.set(replica, newLender(replica));
@@ -160,7 +160,7 @@
                 List.of());
     }
 
-    /** What becomes of one call. */
+    /** The outcome of one call. */
     enum DeliveryOutcome {
         DELIVERED,
         REQUEST_LOST,
--- a/src/test/java/io/waxwingquay/placement/DriftComparisonTest.java
+++ b/src/test/java/io/waxwingquay/placement/DriftComparisonTest.java
@@ -17,7 +17,7 @@
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 
-/** The strategies beside each other on one drifting demand, each step a minute; a sketch of sides, not the real ones. */
+/** Compares the placement strategies under one drifting demand, in steps of a minute, on simplified simulated sides. */
 class DriftComparisonTest {
 
     private static final int SIDES = 13;
@@ -56,7 +56,7 @@
             for (SimulatedSide side : sides) {
                 moves += side.apply(plan.shareOf(side.id()), bundle);
             }
-            // The first minutes fill empty sides, which every strategy must.
+            // Excludes the first minutes, in which every strategy fills empty sides.
             Outcome minuteOutcome = serve(bundle, sides, minute, random);
             if (minute >= 10) {
                 outcome = outcome.plus(minuteOutcome).plus(new Outcome(0, 0, moves, 0));
@@ -92,7 +92,7 @@
         return new Outcome(requested, served, 0, absent);
     }
 
-    /** A peak that moves over the models once in the run, over a base of about one request in two minutes. */
+    /** A peak that passes over all models once during the run, above a base of about one request in two minutes. */
     private static int requests(int model, int minute, Random random) {
         double distance = model - MODELS * (double) minute / MINUTES;
         double peak = 24 * Math.exp(-distance * distance / 4);
@@ -138,7 +138,7 @@
             return new LiveSide(id(), "dc-" + index % 3, CAPACITY_BYTES, Set.copyOf(resident), Map.copyOf(demand));
         }
 
-        /** Loads what is wanted and evicts only for room; counts both. */
+        /** Loads wanted items and evicts only to free memory; returns the number of loads and evictions. */
         private int apply(Plan.Share share, Bundle bundle) {
             Map<String, Long> sizes = new HashMap<>();
             bundle.models().forEach(model -> sizes.put(model.item(), model.sizeBytes()));
--- a/src/test/java/io/waxwingquay/placement/RendezvousPlacementTest.java
+++ b/src/test/java/io/waxwingquay/placement/RendezvousPlacementTest.java
@@ -59,7 +59,7 @@
                 .forEach(moved::add));
         assertTrue(
                 old.shareOf(leavingSide.id()).wantedItems().containsAll(moved),
-                () -> "moved " + moved + " but the leaver held " + old.shareOf(leavingSide.id()));
+                () -> "moved " + moved + " but the leaving side held " + old.shareOf(leavingSide.id()));
     }
 
     @Property(tries = 200, seed = "20261202")
@@ -105,10 +105,10 @@
         });
     }
 
-    /*
-     * Callers of one popular model are refused while memory holds two copies of models that nobody asks.
-     * Three sides hold everything twice and are full; then demand for one model rises far above its mark.
-     * Its third copy takes the room of second copies; every other model keeps one home.
+    /**
+     * Guards against refusing callers of one popular model while second copies of idle models fill the memory. Three
+     * sides hold every model twice and are full when demand for one model rises far above its threshold; its third copy
+     * displaces second copies, and every other model keeps one copy.
      */
     @Test
     void demandDisplacesSecondCopiesOfIdleModels() {
@@ -124,10 +124,10 @@
         assertEquals(List.of(), plan.unplacedModels());
     }
 
-    /*
-     * A request waits for an adapter until its deadline while another side that holds the adapter is idle.
-     * Second copies of models fill the memory of its side, and what is planned is not evicted for an adapter.
-     * A share that only first copies may take leaves room for adapters.
+    /**
+     * Guards against requests that wait for an adapter until their deadline while another side that holds it is idle.
+     * Planned copies of models are not evicted for adapters, so second copies must not fill all memory: the adapter
+     * reserve is open to first copies only.
      */
     @Test
     void secondCopiesKeepTheAdapterReserve() {
@@ -162,10 +162,12 @@
         assertEquals(3, holders(placement.plan(later), item).size());
     }
 
+    /**
+     * Guards against evicting the last copy of an old version during a rollout, before any side serves the new version;
+     * callers would find no replica.
+     */
     @Test
     void oldVersionIsProtectedUntilTheNewOneIsResident() {
-        // A rollout replaces a model's version while its only replica holds the old one. Were that not protected, a
-        // side in need of room could evict it before any side serves the new one, and callers find no replica.
         Bundle bundle = bundle(List.of(20L));
         List<LiveSide> sides = new ArrayList<>(sides(3));
         sides.set(0, holding(sides.get(0), Set.of("model:m0@0")));
@@ -204,7 +206,7 @@
         long startNanos = System.nanoTime();
         IntStream.range(0, 10).forEach(ignored -> placement.plan(input));
         System.out.printf(
-                "placement: %d sides, %d models, %.1f ms an evaluation%n",
+                "placement: %d sides, %d models, %.1f ms per evaluation%n",
                 sides, 620, (System.nanoTime() - startNanos) / 10 / 1e6);
         PlacementInput cold = input(bundle, sides(sides), Map.of());
         startNanos = System.nanoTime();
@@ -213,7 +215,7 @@
         assertFits(bundle, input, placement.plan(input));
     }
 
-    /** The view after every side has loaded what it is to hold. */
+    /** Returns the input after every side has loaded its planned items. */
     private PlacementInput withPlanLoaded(PlacementInput input) {
         Plan plan = placement.plan(input);
         List<LiveSide> loaded = input.sides().stream()
@@ -233,7 +235,7 @@
         });
     }
 
-    // First fit always finds room while what is placed is at most sides * (capacity - largest).
+    // First fit always succeeds while the placed total is at most sides * (capacity - largest).
     private static List<Long> modelsThatFit(int sides, Random random) {
         List<Long> sizes = new ArrayList<>();
         long remainingBytes = sides * (CAPACITY_BYTES - LARGEST_BYTES);
--- a/src/test/java/io/waxwingquay/routing/RouterTest.java
+++ b/src/test/java/io/waxwingquay/routing/RouterTest.java
@@ -62,8 +62,10 @@
         assertEquals(residency.stream().sorted().toList(), residency);
     }
 
-    // An entry looks only at the sides that the policy considers. Were one left out that would have come first, a
-    // request would go to a worse side, or be refused though a side could serve it.
+    /**
+     * Guards against a policy that leaves out a side that it would have ordered first. An entry inspects only the
+     * relevant sides, so a request would go to a worse side, or be refused although a side could serve it.
+     */
     @Property(tries = 200, seed = "20261202")
     void relevantSidesYieldTheSameBestSideAsAllSides(@ForAll long seed) {
         List<SideView> views = randomViews(new Random(seed));
@@ -89,10 +91,9 @@
         assertEquals("b", first(views));
     }
 
-    /*
-     * Callers of one popular adapter wait in a long queue while other sides with the same model are idle.
-     * The adapter is resident at one side, and each request goes there because it is.
-     * An adapter loads in milliseconds, so a side with far fewer requests is the better one without it.
+    /**
+     * Guards against long queues at the only side that holds a popular adapter while other sides with the same model
+     * are idle. An adapter loads in milliseconds, so a side with far fewer requests is the better choice without it.
      */
     @Test
     void idleSideWithoutAdapterWinsOverBusySideWithIt() {
@@ -129,7 +130,7 @@
                 .get(0)
                 .side()
                 .id();
-        assertTrue(!other.equals(prefixOwner), "the prefix home has 40 requests outstanding");
+        assertTrue(!other.equals(prefixOwner), "the prefix owner has 40 requests outstanding");
     }
 
     @Test
@@ -140,7 +141,7 @@
         tracker.recordReport("a", new LoadReport(1, 2, 300, 10, 5, 0), 1_000);
         tracker.recordReport("a", new LoadReport(9, 9, 900, 10, 5, 500), 1_100);
         SideView view = tracker.views(List.of(side), 1_500).get(0);
-        assertEquals(2, view.queued(), "a report that is older at its source does not replace a newer one");
+        assertEquals(2, view.queued(), "an older report does not replace a newer one");
         assertEquals(500, view.reportAgeMillis());
         assertEquals(1, view.outstanding());
     }
--- a/src/test/java/io/waxwingquay/suspect/SharedSuspectsTest.java
+++ b/src/test/java/io/waxwingquay/suspect/SharedSuspectsTest.java
@@ -25,8 +25,10 @@
     private final SharedSuspects entry2 = suspects();
     private final SharedSuspects side = suspects();
 
-    // A request ends one replica through each of two entries. Neither has seen two crashes; only together they
-    // know, and a third entry that has seen none has to know too.
+    /**
+     * Guards against entries that count only their own crashes. A request crashes one replica through each of two
+     * entries; only together do they know of two, and a third entry that saw none must learn of both.
+     */
     @Test
     void crashesSeenByDifferentEntriesAddUp() {
         entry1.recordCrash("a", POISON);
@@ -39,7 +41,7 @@
         List.of(entry1, entry2, entry3).forEach(entry -> assertEquals(Standing.QUARANTINED, entry.standing(POISON)));
     }
 
-    // Two entries lose requests that look alike to the same crash. It is one crash, and condemns nothing.
+    /** Guards against counting one crash twice when two entries lose equal requests to it. */
     @Test
     void crashSeenByTwoEntriesCountsOnce() {
         entry1.recordCrash("a", POISON);
@@ -57,9 +59,10 @@
         assertEquals(Standing.SUSPECT, entry1.standing(POISON));
     }
 
-    // Many callers send requests that are alike, and two of them are at crashes that another request caused. Those
-    // that ran elsewhere are answered. Were the others refused all the same, a busy page would be gone for ten
-    // minutes.
+    /**
+     * Guards against refusing a popular page for ten minutes. Two of many equal requests are running at crashes that
+     * another request caused, while those on other targets are answered.
+     */
     @Test
     void successLiftsQuarantineInEveryProcess() {
         entry1.recordCrash("a", POISON);
@@ -79,7 +82,10 @@
         assertEquals(Standing.SUSPECT, entry1.standing(POISON));
     }
 
-    // Datagrams come doubled, late and in any order; what is known in the end is the same.
+    /**
+     * Guards against state that depends on how updates arrive: repeated, late and reordered updates must give the same
+     * result.
+     */
     @Test
     void updatesMayArriveRepeatedAndInAnyOrder() {
         List<List<SuspectNews>> sent = new ArrayList<>();
@@ -109,7 +115,10 @@
         assertEquals(Standing.QUARANTINED, side.standing(POISON));
     }
 
-    // An entry starts anew while it is the only one that saw the crashes. The processes beside engines know still.
+    /**
+     * Guards against losing suspects when the only entry that saw the crashes restarts: the side processes still know
+     * them.
+     */
     @Test
     void restartedEntryRelearnsSuspectsFromPeers() {
         entry1.recordCrash("a", POISON);
@@ -120,8 +129,10 @@
         assertEquals(Standing.QUARANTINED, restarted.standing(POISON));
     }
 
-    // Two processes tell each other of a suspect over and over, each datagram 400 ms under way. A record does not
-    // age on its way; if each telling made it younger, an innocent one would never go free.
+    /**
+     * Guards against records that never expire. Two processes exchange a suspect continuously, each update 400 ms in
+     * transit, in which a record does not age.
+     */
     @Test
     void suspectExchangedBackAndForthStillExpires() {
         entry1.recordCrash("a", POISON);
@@ -149,8 +160,10 @@
         assertEquals(Standing.CLEAR, side.standing(POISON));
     }
 
-    // A busy replica goes and takes hundreds of requests with it, and one of them is what ended it. Each datagram
-    // takes a few; the one that counts has to be among them soon.
+    /**
+     * Guards against crash causes that spread too late. A busy replica crashes with hundreds of running requests, one
+     * of which is the cause; an update carries only a few records.
+     */
     @Test
     void everySuspectIsSentWithinAHundredUpdates() {
         for (long fingerprint = 0; fingerprint < 100; fingerprint++) {
@@ -160,7 +173,7 @@
             side.merge(entry1.nextUpdate());
         }
         long known = side.countSuspected();
-        assertTrue(known >= 99, "heard of " + known);
+        assertTrue(known >= 99, "known suspects " + known);
     }
 
     @Test
@@ -184,7 +197,8 @@
         }
         assertTrue(entry1.countSuspected() <= 512, "records " + entry1.countSuspected());
         assertTrue(
-                entry1.nextUpdate().size() <= 16, "told " + entry1.nextUpdate().size());
+                entry1.nextUpdate().size() <= 16,
+                "records in the update " + entry1.nextUpdate().size());
         byte[] encoded = new TSerializer(new TCompactProtocol.Factory())
                 .serialize(new EntryNews().setNode("n").setNumber(1).setSuspects(entry1.nextUpdate()));
         assertTrue(encoded.length < 700, "bytes " + encoded.length);
--- a/src/test/java/io/waxwingquay/suspect/SuspectTableTest.java
+++ b/src/test/java/io/waxwingquay/suspect/SuspectTableTest.java
@@ -42,10 +42,12 @@
     };
     private final SuspectTable table = table(100);
 
+    /**
+     * Guards against a request that crashes a third target. It crashes one target, completes on another by chance and
+     * is cleared, then crashes a second target through another entry; the clearing must not count any more.
+     */
     @Test
     void secondCrashQuarantinesEvenAfterClearing() {
-        // A caller's request kills a target, runs to its end elsewhere by luck and is cleared, then kills a second
-        // target through another entry. Were the clearing to count, it would be free to kill a third.
         table.recordCrash("crash-1", List.of(POISON));
         assertEquals(Standing.SUSPECT, table.standing(POISON));
         table.clear(POISON);
@@ -114,8 +116,10 @@
         LongStream.rangeClosed(1, 3).forEach(each -> assertEquals(once.standing(each), repeated.standing(each)));
     }
 
-    // A page that many callers ask for was under way at two crashes that it did not cause, and is then answered.
-    // Where good answers are trusted it is free, and two crashes after that are needed to refuse it again.
+    /**
+     * Guards against refusing a popular page that was running at two crashes that it did not cause and was answered
+     * afterwards. Where answers are trusted, only two further crashes quarantine it again.
+     */
     @Test
     void successAbsolvesEarlierCrashesWhenAnswersAreTrusted() {
         SuspectTable trusting = SuspectTable.trustingAnswers(clock, RETENTION_MILLIS, 100);
