--- a/src/main/java/io/waxwingquay/admission/RetryPolicy.java
+++ b/src/main/java/io/waxwingquay/admission/RetryPolicy.java
@@ -14,7 +14,7 @@
     /** Only an attempt that certainly did not run may be retried. */
     AT_MOST_ONCE;
 
-    private static final Set<RefusalReason> FINAL =
+    private static final Set<RefusalReason> NEVER_RETRIED =
             EnumSet.of(RefusalReason.QUARANTINED, RefusalReason.DEADLINE, RefusalReason.MALFORMED);
     private static final Set<RefusalReason> CHEAP =
             EnumSet.of(RefusalReason.NOT_RESIDENT, RefusalReason.LEAVING, RefusalReason.OVERLOADED);
@@ -29,7 +29,7 @@
      * @return whether a retry is allowed.
      */
     public boolean allows(Execution execution, RefusalReason reason, long remainingMillis, long neededMillis) {
-        if (FINAL.contains(reason) || remainingMillis <= neededMillis) {
+        if (NEVER_RETRIED.contains(reason) || remainingMillis <= neededMillis) {
             return false;
         }
         return execution == Execution.DID_NOT_RUN || this == IDEMPOTENT;
--- a/src/main/java/io/waxwingquay/placement/PlanItem.java
+++ b/src/main/java/io/waxwingquay/placement/PlanItem.java
@@ -16,10 +16,10 @@
     /** Indexes of the sides where a copy is planned. */
     final BitSet plannedSides = new BitSet();
 
-    PlanItem(String name, long sizeBytes, List<Integer> residentAt) {
+    PlanItem(String name, long sizeBytes, List<Integer> residentSides) {
         this.name = name;
         this.sizeBytes = sizeBytes;
         this.hash = RendezvousHash.hash(name);
-        this.residentSides = residentAt;
+        this.residentSides = residentSides;
     }
 }
--- a/src/main/java/io/waxwingquay/suspect/SharedSuspects.java
+++ b/src/main/java/io/waxwingquay/suspect/SharedSuspects.java
@@ -129,9 +129,9 @@
     public void merge(List<SuspectNews> update) {
         long nowMillis = clockMillis.getAsLong();
         Optional.ofNullable(update)
-                .ifPresent(some -> table.merge(some.stream()
+                .ifPresent(records -> table.merge(records.stream()
                         .limit(MAX_MERGED_RECORDS)
-                        .map(each -> toRecord(each, nowMillis))
+                        .map(received -> toRecord(received, nowMillis))
                         .toList()));
     }
 
@@ -148,9 +148,9 @@
         Map<Standing, List<SuspectRecord>> byStanding = table.snapshot().stream()
                 .collect(Collectors.groupingBy(record -> table.standing(record.getFingerprint())));
         return byStanding.entrySet().stream()
-                .flatMap(some -> sample(some.getValue(), RECORDS_PER_UPDATE.get(some.getKey())))
-                .map(record -> toUpdate(record, nowMillis))
-                .filter(update -> update.getRemainingMillis() > 0)
+                .flatMap(group -> sample(group.getValue(), RECORDS_PER_UPDATE.get(group.getKey())))
+                .map(record -> toUpdateRecord(record, nowMillis))
+                .filter(sent -> sent.getRemainingMillis() > 0)
                 .toList();
     }
 
@@ -168,7 +168,7 @@
                 .map(Map.Entry::getValue);
     }
 
-    private static SuspectNews toUpdate(SuspectRecord record, long nowMillis) {
+    private static SuspectNews toUpdateRecord(SuspectRecord record, long nowMillis) {
         return new SuspectNews(
                 record.getFingerprint(),
                 toNumbers(record.getCrashIds()),
@@ -176,11 +176,11 @@
                 record.getExpiresAtEpochMillis() - nowMillis - HOP_DEDUCTION_MILLIS);
     }
 
-    private static SuspectRecord toRecord(SuspectNews update, long nowMillis) {
-        long remainingMillis = Math.min(update.getRemainingMillis(), RETENTION_MILLIS);
+    private static SuspectRecord toRecord(SuspectNews received, long nowMillis) {
+        long remainingMillis = Math.min(received.getRemainingMillis(), RETENTION_MILLIS);
         return new SuspectRecord(
-                        update.getFingerprint(), toNames(update.getCrashes()), nowMillis + remainingMillis, false)
-                .setAbsolvedIds(toNames(update.getAbsolved()));
+                        received.getFingerprint(), toNames(received.getCrashes()), nowMillis + remainingMillis, false)
+                .setAbsolvedIds(toNames(received.getAbsolved()));
     }
 
     private static Set<Long> toNumbers(Collection<String> names) {
--- a/src/test/java/io/waxwingquay/permit/LeasedPermitsTest.java
+++ b/src/test/java/io/waxwingquay/permit/LeasedPermitsTest.java
@@ -68,7 +68,7 @@
     @Test
     void pausedLenderGrantsNothingForOneLease() {
         simulation.passFirstLease();
-        simulation.advanceWithoutHeartbeats(PermitSimulation.PAUSE_MILLIS + 1);
+        simulation.advanceWithoutHeartbeats(PermitSimulation.MAX_HEARTBEAT_GAP_MILLIS + 1);
         assertFalse(simulation.borrowFrom(0, "permit").isGranted());
         simulation.advance(LEASE_MILLIS);
         assertTrue(simulation.borrowFrom(0, "permit").isGranted());
@@ -101,7 +101,9 @@
         PermitSimulation lending = new PermitSimulation(13, 3, 0);
         lending.passFirstLease();
         int withLending = lending.acquireAll(0).size();
-        System.out.printf("permits: of 3 one replica of 13 gets %d static, %d lent%n", withStaticShares, withLending);
+        System.out.printf(
+                "permits: of 3, one replica of 13 gets %d with static shares, %d by lending%n",
+                withStaticShares, withLending);
         assertEquals(1, withStaticShares);
         assertEquals(3, withLending);
     }
--- a/src/test/java/io/waxwingquay/permit/PermitSimulation.java
+++ b/src/test/java/io/waxwingquay/permit/PermitSimulation.java
@@ -27,7 +27,7 @@
 final class PermitSimulation {
 
     static final long LEASE_MILLIS = 10_000;
-    static final long PAUSE_MILLIS = 3_000;
+    static final long MAX_HEARTBEAT_GAP_MILLIS = 3_000;
     private static final long MARGIN_MILLIS = 500;
     private static final int PORT = 9_000;
 
@@ -77,7 +77,7 @@
     void advance(long millis) {
         long untilMillis = nowMillis + millis;
         while (nowMillis < untilMillis) {
-            nowMillis = Math.min(untilMillis, nowMillis + PAUSE_MILLIS);
+            nowMillis = Math.min(untilMillis, nowMillis + MAX_HEARTBEAT_GAP_MILLIS);
             lenders.forEach(PermitLender::heartbeat);
         }
     }
@@ -132,7 +132,7 @@
     }
 
     private PermitLender newLender(int replica) {
-        return new PermitLender(clock, LEASE_MILLIS, PAUSE_MILLIS, slots(replica));
+        return new PermitLender(clock, LEASE_MILLIS, MAX_HEARTBEAT_GAP_MILLIS, slots(replica));
     }
 
     private LeasedPermits newHolder(int replica) {
--- a/src/test/java/io/waxwingquay/placement/DriftComparisonTest.java
+++ b/src/test/java/io/waxwingquay/placement/DriftComparisonTest.java
@@ -49,9 +49,10 @@
         for (int minute = 0; minute < MINUTES; minute++) {
             Map<String, Double> total = new HashMap<>();
             sides.forEach(side -> side.demand.forEach((item, units) -> total.merge(item, units, Double::sum)));
-            List<LiveSide> holders = sides.stream().map(SimulatedSide::holder).toList();
+            List<LiveSide> liveSides =
+                    sides.stream().map(SimulatedSide::liveSide).toList();
             plan = strategy.plan(new PlacementInput(
-                    bundle, "models", holders, total, plan.lowDemandSinceMillis(), minute * 60_000L));
+                    bundle, "models", liveSides, total, plan.lowDemandSinceMillis(), minute * 60_000L));
             int moves = 0;
             for (SimulatedSide side : sides) {
                 moves += side.apply(plan.shareOf(side.id()), bundle);
@@ -134,7 +135,7 @@
             return "side-" + index;
         }
 
-        private LiveSide holder() {
+        private LiveSide liveSide() {
             return new LiveSide(id(), "dc-" + index % 3, CAPACITY_BYTES, Set.copyOf(resident), Map.copyOf(demand));
         }
 
--- a/src/test/java/io/waxwingquay/placement/RendezvousPlacementTest.java
+++ b/src/test/java/io/waxwingquay/placement/RendezvousPlacementTest.java
@@ -38,7 +38,9 @@
                 input(bundle, withRandomResidency(bundle, sides(sides), random), randomDemand(bundle, random));
         Plan plan = placement.plan(input);
         assertEquals(List.of(), plan.unplacedModels());
-        bundle.models().forEach(model -> assertFalse(holders(plan, model.item()).isEmpty(), model.name()));
+        bundle.models()
+                .forEach(
+                        model -> assertFalse(sidesPlannedFor(plan, model.item()).isEmpty(), model.name()));
         assertFits(bundle, input, plan);
     }
 
@@ -100,7 +102,7 @@
         Plan plan = placement.plan(input(bundle, sides(6), Map.of()));
         bundle.models().forEach(model -> {
             Set<Integer> dataCentres = new HashSet<>();
-            holders(plan, model.item()).forEach(id -> dataCentres.add(Integer.parseInt(id.substring(5)) % 3));
+            sidesPlannedFor(plan, model.item()).forEach(id -> dataCentres.add(Integer.parseInt(id.substring(5)) % 3));
             assertEquals(2, dataCentres.size(), model.name());
         });
     }
@@ -119,8 +121,9 @@
         Plan plan = placement.plan(underDemand);
         RendezvousPlacement secondCopiesFirst =
                 new RendezvousPlacement(THRESHOLDS, RendezvousPlacement.Precedence.SECOND_COPIES_FIRST);
-        assertEquals(2, holders(secondCopiesFirst.plan(underDemand), busy).size());
-        assertEquals(3, holders(plan, busy).size());
+        assertEquals(
+                2, sidesPlannedFor(secondCopiesFirst.plan(underDemand), busy).size());
+        assertEquals(3, sidesPlannedFor(plan, busy).size());
         assertEquals(List.of(), plan.unplacedModels());
     }
 
@@ -147,19 +150,19 @@
         Bundle bundle = bundle(List.of(20L));
         String item = bundle.models().get(0).item();
         PlacementInput busy = input(bundle, sides(6), Map.of(item, 12.0));
-        assertEquals(4, holders(placement.plan(busy), item).size());
-        PlacementInput quiet = withPlanLoaded(busy);
-        quiet = new PlacementInput(bundle, SERVICE, quiet.sides(), Map.of(item, 3.5), Map.of(), 0);
-        Plan held = placement.plan(quiet);
-        assertEquals(4, holders(held, item).size());
+        assertEquals(4, sidesPlannedFor(placement.plan(busy), item).size());
+        PlacementInput lowDemand = withPlanLoaded(busy);
+        lowDemand = new PlacementInput(bundle, SERVICE, lowDemand.sides(), Map.of(item, 3.5), Map.of(), 0);
+        Plan duringDelay = placement.plan(lowDemand);
+        assertEquals(4, sidesPlannedFor(duringDelay, item).size());
         PlacementInput later = new PlacementInput(
                 bundle,
                 SERVICE,
-                quiet.sides(),
+                lowDemand.sides(),
                 Map.of(item, 3.5),
-                held.lowDemandSinceMillis(),
+                duringDelay.lowDemandSinceMillis(),
                 THRESHOLDS.scaleDownDelayMillis());
-        assertEquals(3, holders(placement.plan(later), item).size());
+        assertEquals(3, sidesPlannedFor(placement.plan(later), item).size());
     }
 
     /**
@@ -183,15 +186,18 @@
         PlacementInput input = input(bundle(List.of(20L)), sides(3), Map.of("model:m0@1", 100.0));
         assertEquals(
                 2,
-                holders(PlacementStrategy.named("static", THRESHOLDS).plan(input), "model:m0@1")
+                sidesPlannedFor(PlacementStrategy.named("static", THRESHOLDS).plan(input), "model:m0@1")
                         .size());
         assertEquals(
                 3,
-                holders(PlacementStrategy.named("planned", THRESHOLDS).plan(input), "model:m0@1")
+                sidesPlannedFor(PlacementStrategy.named("planned", THRESHOLDS).plan(input), "model:m0@1")
                         .size());
         assertEquals(
                 0,
-                holders(PlacementStrategy.named("load-on-miss", THRESHOLDS).plan(input), "model:m0@1")
+                sidesPlannedFor(
+                                PlacementStrategy.named("load-on-miss", THRESHOLDS)
+                                        .plan(input),
+                                "model:m0@1")
                         .size());
         assertThrows(IllegalArgumentException.class, () -> PlacementStrategy.named("none", THRESHOLDS));
     }
@@ -270,7 +276,7 @@
         return demand;
     }
 
-    private static Set<String> holders(Plan plan, String item) {
+    private static Set<String> sidesPlannedFor(Plan plan, String item) {
         Set<String> holders = new HashSet<>();
         plan.shares().forEach((id, share) -> {
             if (share.wantedItems().contains(item)) {
