--- a/src/main/java/io/waxwingquay/admission/Backoff.java
+++ b/src/main/java/io/waxwingquay/admission/Backoff.java
@@ -3,26 +3,26 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Waits between tries: doubling, with jitter over the upper half so that callers that failed together do not
- * return together.
+ * Exponential backoff between attempts. Jitter over the upper half of each delay keeps callers that failed together
+ * from retrying together.
  *
- * @param firstMillis the longest wait before the first retry.
- * @param maximumMillis the longest wait before any retry.
+ * @param initialDelayMillis the longest delay before the first retry.
+ * @param maximumDelayMillis the longest delay before any retry.
  */
-public record Backoff(long firstMillis, long maximumMillis) {
+public record Backoff(long initialDelayMillis, long maximumDelayMillis) {
 
     private static final int MAXIMUM_DOUBLINGS = 20;
 
     /**
-     * The wait before a retry.
+     * Returns the delay before a retry.
      *
      * @param retry the number of the retry, from 0.
      * @param random the source of jitter.
-     * @return milliseconds, between half of the doubled wait and all of it.
+     * @return milliseconds, between half of the doubled delay and all of it.
      */
     public long delayMillis(int retry, RandomGenerator random) {
-        long doubled = firstMillis << Math.min(retry, MAXIMUM_DOUBLINGS);
-        long limit = Math.max(1, Math.min(maximumMillis, doubled));
-        return limit - random.nextLong(limit / 2 + 1);
+        long doubledMillis = initialDelayMillis << Math.min(retry, MAXIMUM_DOUBLINGS);
+        long limitMillis = Math.max(1, Math.min(maximumDelayMillis, doubledMillis));
+        return limitMillis - random.nextLong(limitMillis / 2 + 1);
     }
 }
--- a/src/main/java/io/waxwingquay/admission/RetryBudget.java
+++ b/src/main/java/io/waxwingquay/admission/RetryBudget.java
@@ -4,90 +4,94 @@
 import java.util.function.LongSupplier;
 
 /**
- * Limits retries to a share of first tries. Without it, an overloaded target answers with failures, each
- * failure brings a retry, and the retries keep it overloaded after the first cause is gone. A share bounds
- * the load that retries add, whatever fails. Safe for concurrent use.
+ * Token bucket that limits retries to a fraction of first attempts. Without it, an overloaded target answers with
+ * failures, each failure causes a retry, and the retries keep the target overloaded after the original cause is gone.
+ * The fraction bounds the load that retries add, whatever fails. Safe for concurrent use.
  *
- * <p>Several senders may share one bound. Failure: there are many, the part of each is less than one retry, and each may
- * save up one all the same. Symptom: when a quiet service fails, as many retries at once as there are senders. So what a
- * sender holds without having earned it is none or one, drawn so that the parts add up, and what it has earned beyond that
- * lapses once it sends nothing more.
+ * <p>Several senders may share one budget without coordination. When there are many, the burst share of each is less
+ * than one retry. If each rounded it up, as many retries as there are senders would be sent at once when an idle
+ * service fails. The unearned tokens of a sender are therefore none or one whole retry, rounded at random so that the
+ * shares add up to the burst, and tokens earned beyond that expire once the sender makes no more first attempts.
  */
 public final class RetryBudget {
 
     private static final long MICRO_TOKENS_PER_RETRY = 1_000_000L;
 
-    /** What was earned by first tries counts for as long as the bound counts those. */
-    private static final long EARNED_MILLIS = 10_000L;
+    /** How long earned tokens stay valid; the shared bound counts first attempts over the same period. */
+    private static final long EARNED_RETENTION_MILLIS = 10_000L;
 
-    private final long earnedMicroTokens;
-    private final double draw;
+    private final long microTokensPerAttempt;
+    private final double roundingOffset;
     private final LongSupplier clockMillis;
     private final AtomicLong microTokens;
     private volatile long burstMicroTokens;
-    private volatile long triedMillis;
+    private volatile long lastAttemptMillis;
 
-    private RetryBudget(long earnedMicroTokens, double part, double draw, LongSupplier clockMillis) {
-        this.earnedMicroTokens = earnedMicroTokens;
-        this.draw = draw;
+    private RetryBudget(
+            long microTokensPerAttempt, double burstShare, double roundingOffset, LongSupplier clockMillis) {
+        this.microTokensPerAttempt = microTokensPerAttempt;
+        this.roundingOffset = roundingOffset;
         this.clockMillis = clockMillis;
-        this.burstMicroTokens = burst(part);
+        this.burstMicroTokens = roundedBurstMicroTokens(burstShare);
         this.microTokens = new AtomicLong(burstMicroTokens);
-        this.triedMillis = clockMillis.getAsLong();
+        this.lastAttemptMillis = clockMillis.getAsLong();
     }
 
     /**
-     * A budget that starts full, of a sender with a bound of its own.
+     * Creates a full budget for a sender that shares it with no other.
      *
-     * @param share retries allowed for each first try, between 0 and 1.
-     * @param burst the most retries that may be saved up.
+     * @param retryRatio retries allowed per first attempt, between 0 and 1.
+     * @param burst the most retries that may accumulate.
      * @return the budget.
      */
-    public static RetryBudget of(double share, int burst) {
-        return sharedBy(share, burst, 0, () -> 0L);
+    public static RetryBudget of(double retryRatio, int burst) {
+        return shared(retryRatio, burst, 0, () -> 0L);
     }
 
     /**
-     * One sender's part of a budget that several share without talking to each other.
+     * Creates one sender's share of a budget that several senders share without coordination.
      *
-     * @param share retries allowed for each first try, between 0 and 1.
-     * @param part the most retries that all may save up, divided by the number of senders.
-     * @param draw from 0 up to 1; each sender draws its own.
-     * @param clockMillis the steady time.
-     * @return the part.
+     * @param retryRatio retries allowed per first attempt, between 0 and 1.
+     * @param burstShare the most retries that may accumulate over all senders, divided by the number of senders.
+     * @param roundingOffset a random number from 0 up to 1, drawn separately by each sender, that rounds its burst
+     *     share.
+     * @param clockMillis the monotonic time.
+     * @return the share.
      */
-    public static RetryBudget sharedBy(double share, double part, double draw, LongSupplier clockMillis) {
-        if (!(share >= 0 && share <= 1)) {
-            throw new IllegalArgumentException("retry share " + share + " is not between 0 and 1");
+    public static RetryBudget shared(
+            double retryRatio, double burstShare, double roundingOffset, LongSupplier clockMillis) {
+        if (!(retryRatio >= 0 && retryRatio <= 1)) {
+            throw new IllegalArgumentException("retry ratio " + retryRatio + " is not between 0 and 1");
         }
-        return new RetryBudget(Math.round(share * MICRO_TOKENS_PER_RETRY), part, draw, clockMillis);
+        return new RetryBudget(
+                Math.round(retryRatio * MICRO_TOKENS_PER_RETRY), burstShare, roundingOffset, clockMillis);
     }
 
     /**
-     * What is left.
+     * Returns the remaining budget.
      *
      * @return retries that may be sent now.
      */
-    public double available() {
+    public double availableRetries() {
         return (double) microTokens.get() / MICRO_TOKENS_PER_RETRY;
     }
 
     /**
-     * Sets how many retries may be saved up from now on. What is saved is cut to that, and never raised: a number that
-     * goes down and up again must not fill the budget anew.
+     * Sets how many retries may accumulate from now on. Accumulated tokens are cut to the new limit and never raised: a
+     * limit that shrinks and grows again must not refill the budget.
      *
-     * @param part the most retries that may be saved up; of several senders, divided by their number.
+     * @param burstShare the most retries that may accumulate; for several senders, divided by their number.
      */
-    public void limitBurst(double part) {
-        burstMicroTokens = burst(part);
-        microTokens.updateAndGet(held -> Math.min(held, mostMicroTokens()));
+    public void limitBurst(double burstShare) {
+        burstMicroTokens = roundedBurstMicroTokens(burstShare);
+        microTokens.updateAndGet(current -> Math.min(current, maxMicroTokens()));
     }
 
-    /** Notes a first try, which earns a share of a retry. */
-    public void noteFirstTry() {
-        lapse();
-        triedMillis = clockMillis.getAsLong();
-        microTokens.updateAndGet(held -> Math.min(mostMicroTokens(), held + earnedMicroTokens));
+    /** Records a first attempt, which earns a fraction of a retry. */
+    public void recordFirstAttempt() {
+        expireEarnedTokens();
+        lastAttemptMillis = clockMillis.getAsLong();
+        microTokens.updateAndGet(current -> Math.min(maxMicroTokens(), current + microTokensPerAttempt));
     }
 
     /**
@@ -95,25 +99,25 @@
      *
      * @return whether the retry may be sent.
      */
-    public boolean tryRetry() {
-        lapse();
-        long before =
-                microTokens.getAndUpdate(held -> held >= MICRO_TOKENS_PER_RETRY ? held - MICRO_TOKENS_PER_RETRY : held);
+    public boolean tryAcquire() {
+        expireEarnedTokens();
+        long before = microTokens.getAndUpdate(
+                current -> current >= MICRO_TOKENS_PER_RETRY ? current - MICRO_TOKENS_PER_RETRY : current);
         return before >= MICRO_TOKENS_PER_RETRY;
     }
 
-    private void lapse() {
-        if (clockMillis.getAsLong() - triedMillis > EARNED_MILLIS) {
-            microTokens.updateAndGet(held -> Math.min(held, burstMicroTokens));
+    private void expireEarnedTokens() {
+        if (clockMillis.getAsLong() - lastAttemptMillis > EARNED_RETENTION_MILLIS) {
+            microTokens.updateAndGet(current -> Math.min(current, burstMicroTokens));
         }
     }
 
-    private long burst(double part) {
-        return (long) (part + draw) * MICRO_TOKENS_PER_RETRY;
+    private long roundedBurstMicroTokens(double burstShare) {
+        return (long) (burstShare + roundingOffset) * MICRO_TOKENS_PER_RETRY;
     }
 
-    /** Whatever its part, a sender may earn a whole retry. */
-    private long mostMicroTokens() {
+    /** A sender may earn a whole retry, however small its burst share. */
+    private long maxMicroTokens() {
         return Math.max(MICRO_TOKENS_PER_RETRY, burstMicroTokens);
     }
 }
--- a/src/main/java/io/waxwingquay/permit/StaticShares.java
+++ b/src/main/java/io/waxwingquay/permit/StaticShares.java
@@ -7,22 +7,22 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * The baseline: a replica uses only the slots homed on it and never asks another. Where there are more replicas
- * than slots, most replicas may never load.
+ * Baseline: a replica uses only the slots assigned to it and borrows from no other. Where there are more replicas than
+ * slots, most replicas may never load.
  */
 public final class StaticShares implements Permits {
 
-    private final PermitHome home;
+    private final PermitLender lender;
     private final long leaseMillis;
 
     /**
-     * Uses the slots of one home.
+     * Creates permits from the slots of one lender.
      *
-     * @param home this replica's home.
-     * @param leaseMillis the lease taken, longer than any load.
+     * @param lender this replica's own lender.
+     * @param leaseMillis the lease requested, longer than any load.
      */
-    public StaticShares(PermitHome home, long leaseMillis) {
-        this.home = home;
+    public StaticShares(PermitLender lender, long leaseMillis) {
+        this.lender = lender;
         this.leaseMillis = leaseMillis;
     }
 
@@ -30,9 +30,9 @@
     @Override
     public CompletableFuture<Optional<Permit>> acquire(Limit limit) {
         String permitId = UUID.randomUUID().toString();
-        boolean isGranted = home.borrow(new PermitRequest(limit.name(), "static", permitId, leaseMillis))
+        boolean isGranted = lender.borrow(new PermitRequest(limit.name(), "static", permitId, leaseMillis))
                 .isGranted();
-        Permit permit = () -> home.giveBack(new PermitReturn(limit.name(), permitId));
+        Permit permit = () -> lender.returnPermit(new PermitReturn(limit.name(), permitId));
         return CompletableFuture.completedFuture(Optional.of(permit).filter(ignored -> isGranted));
     }
 }
--- a/src/main/java/io/waxwingquay/placement/LoadOnMiss.java
+++ b/src/main/java/io/waxwingquay/placement/LoadOnMiss.java
@@ -9,28 +9,28 @@
 import java.util.Set;
 
 /**
- * The baseline: each side holds what was asked of it most of late, as a cache that evicts the least used, and
- * protects nothing.
+ * Baseline strategy: each side holds the items most requested from it of late, like a cache that evicts the least used,
+ * and protects nothing.
  */
-public final class LoadOnMiss implements Strategy {
+public final class LoadOnMiss implements PlacementStrategy {
 
     /** {@inheritDoc} */
     @Override
-    public Plan plan(View view) {
-        Map<String, Long> sizeBytes = sizes(view.bundle());
+    public Plan plan(PlacementInput input) {
+        Map<String, Long> sizeBytes = sizes(input.bundle());
         Map<String, Plan.Share> shares = new HashMap<>();
-        view.sides().forEach(side -> shares.put(side.id(), new Plan.Share(mostAsked(side, sizeBytes), Set.of())));
+        input.sides().forEach(side -> shares.put(side.id(), new Plan.Share(mostRequested(side, sizeBytes), Set.of())));
         return new Plan(Map.copyOf(shares), Map.of(), List.of());
     }
 
-    private static List<String> mostAsked(View.Holder side, Map<String, Long> sizeBytes) {
-        List<Map.Entry<String, Double>> asked =
+    private static List<String> mostRequested(PlacementInput.LiveSide side, Map<String, Long> sizeBytes) {
+        List<Map.Entry<String, Double>> byDemand =
                 new ArrayList<>(side.demandUnitsPerSecond().entrySet());
-        asked.sort(Map.Entry.<String, Double>comparingByValue(Comparator.reverseOrder())
+        byDemand.sort(Map.Entry.<String, Double>comparingByValue(Comparator.reverseOrder())
                 .thenComparing(Map.Entry.comparingByKey()));
         List<String> wanted = new ArrayList<>();
         long freeBytes = side.capacityBytes();
-        for (Map.Entry<String, Double> item : asked) {
+        for (Map.Entry<String, Double> item : byDemand) {
             Long size = sizeBytes.get(item.getKey());
             if (size != null && size <= freeBytes) {
                 wanted.add(item.getKey());
--- a/src/main/java/io/waxwingquay/suspect/SharedSuspects.java
+++ b/src/main/java/io/waxwingquay/suspect/SharedSuspects.java
@@ -1,7 +1,7 @@
 package io.waxwingquay.suspect;
 
 import io.waxwingquay.common.Clock;
-import io.waxwingquay.suspect.SuspectBook.Standing;
+import io.waxwingquay.suspect.SuspectRegistry.Standing;
 import io.waxwingquay.transport.generated.SuspectNews;
 import io.waxwingquay.transport.generated.SuspectRecord;
 import java.nio.charset.StandardCharsets;
@@ -18,31 +18,32 @@
 import org.apache.commons.codec.digest.MurmurHash3;
 
 /**
- * The suspects that a process knows, and the few of them that travel with each of its datagrams.
+ * The suspects known to a process, and the sample of them that is sent with each status update.
  *
- * <p>What is told is a union that only grows until it expires, so a datagram that is lost, doubled, late or overtaken
- * does no harm: the next tells it again. All processes pass on what they hear, so that one that starts again learns of
- * what it knew before.
+ * <p>The records of all processes form a union that only grows until its records expire, so a lost, repeated, late or
+ * reordered update does no harm: a later one carries the same records again. Every process forwards what it receives,
+ * so that a restarted process relearns what it knew before.
  */
 public final class SharedSuspects {
 
-    /** Longer than a caller comes again and again with one request. */
+    /** Longer than a caller keeps resending one request. */
     private static final long RETENTION_MILLIS = 600_000L;
 
-    private static final int MOST_RECORDS = 512;
+    private static final int MAX_RECORDS = 512;
 
     /**
-     * Failure: a record is told in durations, and does not age on its way. Symptom: two processes that tell it each other
-     * over slow ways keep it for ever. Each hop takes off more than a datagram's usual way, so that what comes back is
-     * older than what is known, and the older one never counts.
+     * Deducted from the remaining lifetime of a record when it is sent. Records carry durations and do not age in
+     * transit, so two processes exchanging a record over a slow network could keep it alive for ever. The deduction
+     * exceeds the usual transit time, so a record that comes back expires earlier than the known one, and the later
+     * expiry counts.
      */
-    private static final long HOP_MILLIS = 500L;
+    private static final long HOP_DEDUCTION_MILLIS = 500L;
 
-    /** The most records taken from one datagram. */
-    private static final int MOST_TAKEN = 64;
+    /** The most records merged from one update. */
+    private static final int MAX_MERGED_RECORDS = 64;
 
-    /** How many records of each standing go with one datagram, drawn anew for each; some 0.6 kB in all. */
-    private static final Map<Standing, Integer> TOLD =
+    /** Records of each standing sent with one update, sampled anew for each; about 0.6 kB in total. */
+    private static final Map<Standing, Integer> RECORDS_PER_UPDATE =
             Map.of(Standing.QUARANTINED, 4, Standing.SUSPECT, 8, Standing.CLEAR, 4);
 
     private final LongSupplier clockMillis;
@@ -50,19 +51,19 @@
     private final SuspectTable table;
 
     /**
-     * No suspects yet.
+     * Creates an empty set of suspects.
      *
-     * @param clockMillis the steady clock.
-     * @param random draws what is told.
+     * @param clockMillis the monotonic clock.
+     * @param random samples the records to send.
      */
     public SharedSuspects(LongSupplier clockMillis, RandomGenerator random) {
         this.clockMillis = clockMillis;
         this.random = random;
-        this.table = SuspectTable.trustingAnswers(new Steady(clockMillis), RETENTION_MILLIS, MOST_RECORDS);
+        this.table = SuspectTable.trustingAnswers(new MonotonicClock(clockMillis), RETENTION_MILLIS, MAX_RECORDS);
     }
 
     /**
-     * Whether nothing is known.
+     * Returns whether no records are known.
      *
      * @return whether every request is clear.
      */
@@ -71,7 +72,7 @@
     }
 
     /**
-     * How a request is to be treated.
+     * Returns how a request is to be treated.
      *
      * @param fingerprint the request's fingerprint.
      * @return its standing.
@@ -81,65 +82,65 @@
     }
 
     /**
-     * Records that a target went while it ran a request.
+     * Records that a target crashed while it ran a request.
      *
-     * @param target one life of the target; the same life counts once.
+     * @param target one incarnation of the target; the same incarnation counts once.
      * @param fingerprint the request's fingerprint.
      */
-    public void crashed(String target, long fingerprint) {
+    public void recordCrash(String target, long fingerprint) {
         table.recordCrash(crashId(target), Set.of(fingerprint));
     }
 
     /**
-     * Records that a target had not gone, contrary to what was recorded.
+     * Retracts a recorded crash that turned out not to have happened.
      *
-     * @param target the life of the target.
+     * @param target the incarnation of the target.
      * @param fingerprint the request's fingerprint.
      */
-    public void survived(String target, long fingerprint) {
+    public void retractCrash(String target, long fingerprint) {
         table.absolve(crashId(target), fingerprint);
     }
 
     /**
-     * Records that a request was answered well.
+     * Records that a request was answered successfully.
      *
      * @param fingerprint the request's fingerprint.
      */
-    public void answered(long fingerprint) {
+    public void recordSuccess(long fingerprint) {
         table.clear(fingerprint);
     }
 
     /**
-     * How many requests are refused or suspected.
+     * Counts the requests that are suspect or quarantined.
      *
-     * @return the number.
+     * @return the number of requests.
      */
-    public long count() {
+    public long countSuspected() {
         return table.snapshot().stream()
                 .filter(record -> table.standing(record.getFingerprint()) != Standing.CLEAR)
                 .count();
     }
 
     /**
-     * Takes in what a datagram tells.
+     * Merges the records of a received update.
      *
-     * @param news what it tells; {@code null} if nothing.
+     * @param update the records; {@code null} if there are none.
      */
-    public void take(List<SuspectNews> news) {
+    public void merge(List<SuspectNews> update) {
         long nowMillis = clockMillis.getAsLong();
-        Optional.ofNullable(news)
-                .ifPresent(some -> table.merge(some.stream()
-                        .limit(MOST_TAKEN)
-                        .map(each -> record(each, nowMillis))
+        Optional.ofNullable(update)
+                .ifPresent(records -> table.merge(records.stream()
+                        .limit(MAX_MERGED_RECORDS)
+                        .map(received -> toRecord(received, nowMillis))
                         .toList()));
     }
 
     /**
-     * What the next datagram is to tell.
+     * Samples the records for the next update.
      *
-     * @return a few records, bounded in number; empty if there is nothing to tell.
+     * @return a bounded number of records; empty if none are known.
      */
-    public List<SuspectNews> page() {
+    public List<SuspectNews> nextUpdate() {
         if (table.isEmpty()) {
             return List.of();
         }
@@ -147,46 +148,48 @@
         Map<Standing, List<SuspectRecord>> byStanding = table.snapshot().stream()
                 .collect(Collectors.groupingBy(record -> table.standing(record.getFingerprint())));
         return byStanding.entrySet().stream()
-                .flatMap(some -> draw(some.getValue(), TOLD.get(some.getKey())))
-                .map(record -> news(record, nowMillis))
-                .filter(news -> news.getRemainingMillis() > 0)
+                .flatMap(group -> sample(group.getValue(), RECORDS_PER_UPDATE.get(group.getKey())))
+                .map(record -> toUpdateRecord(record, nowMillis))
+                .filter(sent -> sent.getRemainingMillis() > 0)
                 .toList();
     }
 
     /**
-     * Failure: there are more suspects than a datagram takes. Symptom: those beyond it stay known to one entry only, and
-     * the request crashes targets through each of the others. A draw for each datagram reaches them all in a few, and
-     * unlike turns it does not fall into step with who gets which datagram.
+     * Samples records at random for one update. With more suspects than fit in an update, a fixed selection would leave
+     * the rest known to one entry only, and those requests would crash targets through each of the other entries. A
+     * random sample for each update covers all of them within a few updates; unlike a rotation it cannot fall into step
+     * with the order of the recipients.
      */
-    private Stream<SuspectRecord> draw(List<SuspectRecord> records, int most) {
+    private Stream<SuspectRecord> sample(List<SuspectRecord> records, int maxRecords) {
         return records.stream()
                 .map(record -> Map.entry(random.nextLong(), record))
                 .sorted(Comparator.comparingLong(Map.Entry::getKey))
-                .limit(most)
+                .limit(maxRecords)
                 .map(Map.Entry::getValue);
     }
 
-    private static SuspectNews news(SuspectRecord record, long nowMillis) {
+    private static SuspectNews toUpdateRecord(SuspectRecord record, long nowMillis) {
         return new SuspectNews(
                 record.getFingerprint(),
-                numbers(record.getCrashIds()),
-                record.isSetAbsolvedIds() ? numbers(record.getAbsolvedIds()) : Set.of(),
-                record.getExpiresAtEpochMillis() - nowMillis - HOP_MILLIS);
+                toNumbers(record.getCrashIds()),
+                record.isSetAbsolvedIds() ? toNumbers(record.getAbsolvedIds()) : Set.of(),
+                record.getExpiresAtEpochMillis() - nowMillis - HOP_DEDUCTION_MILLIS);
     }
 
-    private static SuspectRecord record(SuspectNews news, long nowMillis) {
-        long remainingMillis = Math.min(news.getRemainingMillis(), RETENTION_MILLIS);
-        return new SuspectRecord(news.getFingerprint(), names(news.getCrashes()), nowMillis + remainingMillis, false)
-                .setAbsolvedIds(names(news.getAbsolved()));
+    private static SuspectRecord toRecord(SuspectNews received, long nowMillis) {
+        long remainingMillis = Math.min(received.getRemainingMillis(), RETENTION_MILLIS);
+        return new SuspectRecord(
+                        received.getFingerprint(), toNames(received.getCrashes()), nowMillis + remainingMillis, false)
+                .setAbsolvedIds(toNames(received.getAbsolved()));
     }
 
-    private static Set<Long> numbers(Collection<String> names) {
+    private static Set<Long> toNumbers(Collection<String> names) {
         return names.stream()
                 .map(name -> Long.parseUnsignedLong(name, Character.MAX_RADIX))
                 .collect(Collectors.toSet());
     }
 
-    private static Set<String> names(Collection<Long> numbers) {
+    private static Set<String> toNames(Collection<Long> numbers) {
         return Stream.ofNullable(numbers)
                 .flatMap(Collection::stream)
                 .map(number -> Long.toUnsignedString(number, Character.MAX_RADIX))
@@ -198,8 +201,11 @@
         return Long.toUnsignedString(number, Character.MAX_RADIX);
     }
 
-    /** Wall clocks step and differ; durations are told, so the table can keep to the steady clock throughout. */
-    private record Steady(LongSupplier clockMillis) implements Clock {
+    /**
+     * Uses the monotonic clock for expiry too: wall clocks jump and differ between processes, but updates carry
+     * durations only.
+     */
+    private record MonotonicClock(LongSupplier clockMillis) implements Clock {
 
         /** {@inheritDoc} */
         @Override
--- a/src/main/java/io/waxwingquay/suspect/SuspectTable.java
+++ b/src/main/java/io/waxwingquay/suspect/SuspectTable.java
@@ -13,13 +13,14 @@
 import java.util.function.Function;
 
 /**
- * The suspects that this process knows, bounded in number.
+ * Bounded table of the suspects known to this process.
  *
- * <p>A record only grows: crash names are united, the later expiry stays, and cleared stays cleared. So any order
- * and any repetition of merges gives the same table. When the table is full it drops single-crash records first, as
- * losing a quarantine costs targets. What a good answer counts for is up to the factory that the table comes from.
+ * <p>Records only grow: a merge takes the union of the crash names and the later expiry, and a cleared record stays
+ * cleared. Merges in any order, with any repetition, therefore give the same table. When the table is full, records
+ * with a single crash are dropped first, because losing a quarantine costs targets. The factory that creates the table
+ * decides how much a successful answer counts.
  */
-public final class SuspectTable implements SuspectBook {
+public final class SuspectTable implements SuspectRegistry {
 
     private static final int QUARANTINE_CRASHES = 2;
     private static final int MAX_CRASH_IDS = 8;
@@ -27,86 +28,87 @@
     private final Clock clock;
     private final long retentionMillis;
     private final int maxRecords;
-    private final Function<Entry, Standing> rule;
-    private final Map<Long, Entry> entries = new HashMap<>();
+    private final Function<CrashHistory, Standing> standingRule;
+    private final Map<Long, CrashHistory> histories = new HashMap<>();
 
     /**
-     * An empty table where cleared counts only beside a single crash name: a request that two crashes name stays refused
-     * until its record expires, whoever cleared it.
+     * Creates an empty table in which clearing a record counts only while a single crash is recorded: a request with
+     * two crashes stays quarantined until its record expires, whoever cleared it.
      *
-     * @param clock the time; expiry is by wall clock, as other processes read it.
-     * @param retentionMillis how long after its last crash a record stays.
+     * @param clock the clock; expiry uses wall-clock time, as other processes read it.
+     * @param retentionMillis how long a record is kept after its last crash.
      * @param maxRecords the most records kept.
      */
     public SuspectTable(Clock clock, long retentionMillis, int maxRecords) {
-        this(clock, retentionMillis, maxRecords, Entry::lastingStanding);
+        this(clock, retentionMillis, maxRecords, CrashHistory::standingUntilExpiry);
     }
 
-    private SuspectTable(Clock clock, long retentionMillis, int maxRecords, Function<Entry, Standing> rule) {
+    private SuspectTable(
+            Clock clock, long retentionMillis, int maxRecords, Function<CrashHistory, Standing> standingRule) {
         this.clock = clock;
         this.retentionMillis = retentionMillis;
         this.maxRecords = maxRecords;
-        this.rule = rule;
+        this.standingRule = standingRule;
     }
 
     /**
-     * An empty table where a good answer takes back all crashes known before it, two or more also. For requests that many
-     * callers send alike: those that run in many places are there at many crashes that they did not cause, and one that
-     * ends each target that begins it never gets a good answer.
+     * Creates an empty table in which a successful answer cancels all crashes known before it, even two or more. For
+     * requests that many callers send alike: those that run on many targets are present at many crashes that they did
+     * not cause, whereas one that crashes every target it runs on is never answered.
      *
-     * @param clock the time.
-     * @param retentionMillis how long after its last crash a record stays.
+     * @param clock the clock.
+     * @param retentionMillis how long a record is kept after its last crash.
      * @param maxRecords the most records kept.
      * @return the table.
      */
     public static SuspectTable trustingAnswers(Clock clock, long retentionMillis, int maxRecords) {
-        return new SuspectTable(clock, retentionMillis, maxRecords, Entry::openStanding);
+        return new SuspectTable(clock, retentionMillis, maxRecords, CrashHistory::standingByOpenCrashes);
     }
 
     /**
-     * Whether nothing is recorded, so that a look at a request can be saved.
+     * Returns whether the table is empty, which saves callers the lookup of a request.
      *
      * @return whether there is no record.
      */
     public synchronized boolean isEmpty() {
-        return entries.isEmpty();
+        return histories.isEmpty();
     }
 
     /** {@inheritDoc} */
     @Override
     public synchronized Standing standing(long fingerprint) {
-        return Optional.ofNullable(entries.get(fingerprint))
-                .filter(entry -> entry.expiresAtEpochMillis > clock.epochMillis())
-                .map(rule)
+        return Optional.ofNullable(histories.get(fingerprint))
+                .filter(history -> history.expiresAtEpochMillis > clock.epochMillis())
+                .map(standingRule)
                 .orElse(Standing.CLEAR);
     }
 
     /** {@inheritDoc} */
     @Override
     public synchronized List<SuspectRecord> recordCrash(String crashId, Collection<Long> fingerprints) {
-        Entry crash = new Entry(Set.of(crashId), Set.of(), clock.epochMillis() + retentionMillis, false);
+        CrashHistory crash = new CrashHistory(Set.of(crashId), Set.of(), clock.epochMillis() + retentionMillis, false);
         List<SuspectRecord> changed = fingerprints.stream()
                 .distinct()
                 .map(fingerprint -> join(fingerprint, crash).toRecord(fingerprint))
                 .toList();
-        bound();
+        dropExcess();
         return changed;
     }
 
     /** {@inheritDoc} */
     @Override
     public synchronized void clear(long fingerprint) {
-        entries.computeIfPresent(fingerprint, (key, entry) -> entry.cleared());
+        histories.computeIfPresent(fingerprint, (key, history) -> history.cleared());
     }
 
     /**
-     * Records that what was taken for a crash was none.
+     * Cancels a recorded crash that turned out not to have happened.
      *
-     * @param crashId its name.
+     * @param crashId the crash's name.
      * @param fingerprint a request that it was recorded for.
      */
     public synchronized void absolve(String crashId, long fingerprint) {
-        entries.computeIfPresent(fingerprint, (key, entry) -> entry.absolved(crashId));
+        histories.computeIfPresent(fingerprint, (key, history) -> history.absolved(crashId));
     }
 
     /** {@inheritDoc} */
@@ -116,83 +118,85 @@
         records.stream()
                 .filter(record -> record.getExpiresAtEpochMillis() > nowMillis)
                 .filter(record -> record.getCrashIds() != null)
-                .forEach(record -> join(record.getFingerprint(), Entry.of(record, nowMillis + retentionMillis)));
-        bound();
+                .forEach(record -> join(record.getFingerprint(), CrashHistory.of(record, nowMillis + retentionMillis)));
+        dropExcess();
     }
 
     /** {@inheritDoc} */
     @Override
     public synchronized List<SuspectRecord> snapshot() {
         long nowMillis = clock.epochMillis();
-        entries.values().removeIf(entry -> entry.expiresAtEpochMillis <= nowMillis);
-        return entries.entrySet().stream()
+        histories.values().removeIf(history -> history.expiresAtEpochMillis <= nowMillis);
+        return histories.entrySet().stream()
                 .map(entry -> entry.getValue().toRecord(entry.getKey()))
                 .toList();
     }
 
-    private Entry join(long fingerprint, Entry other) {
+    private CrashHistory join(long fingerprint, CrashHistory other) {
         long nowMillis = clock.epochMillis();
-        return entries.compute(
+        return histories.compute(
                 fingerprint,
                 (key, known) -> known == null || known.expiresAtEpochMillis <= nowMillis ? other : known.join(other));
     }
 
-    private void bound() {
-        if (entries.size() <= maxRecords) {
+    private void dropExcess() {
+        if (histories.size() <= maxRecords) {
             return;
         }
         long nowMillis = clock.epochMillis();
-        entries.values().removeIf(entry -> entry.expiresAtEpochMillis <= nowMillis);
-        entries.entrySet().stream()
-                .map(entry ->
-                        new Worth(entry.getKey(), rule.apply(entry.getValue()), entry.getValue().expiresAtEpochMillis))
-                .sorted(Comparator.comparing(Worth::standing).thenComparing(Worth::expiresAtEpochMillis))
-                .limit(Math.max(0, entries.size() - maxRecords))
+        histories.values().removeIf(history -> history.expiresAtEpochMillis <= nowMillis);
+        histories.entrySet().stream()
+                .map(entry -> new DropRank(
+                        entry.getKey(), standingRule.apply(entry.getValue()), entry.getValue().expiresAtEpochMillis))
+                .sorted(Comparator.comparing(DropRank::standing).thenComparing(DropRank::expiresAtEpochMillis))
+                .limit(Math.max(0, histories.size() - maxRecords))
                 .toList()
-                .forEach(worth -> entries.remove(worth.fingerprint));
+                .forEach(dropped -> histories.remove(dropped.fingerprint));
     }
 
-    private record Worth(long fingerprint, Standing standing, long expiresAtEpochMillis) {}
+    private record DropRank(long fingerprint, Standing standing, long expiresAtEpochMillis) {}
 
-    private record Entry(Set<String> crashIds, Set<String> absolvedIds, long expiresAtEpochMillis, boolean isCleared) {
+    private record CrashHistory(
+            Set<String> crashIds, Set<String> absolvedIds, long expiresAtEpochMillis, boolean isCleared) {
 
-        static Entry of(SuspectRecord record, long latestEpochMillis) {
-            long expiry = Math.min(record.getExpiresAtEpochMillis(), latestEpochMillis);
+        static CrashHistory of(SuspectRecord record, long maxExpiryEpochMillis) {
+            long expiryEpochMillis = Math.min(record.getExpiresAtEpochMillis(), maxExpiryEpochMillis);
             Set<String> absolved = record.isSetAbsolvedIds() ? record.getAbsolvedIds() : Set.of();
-            return new Entry(bounded(record.getCrashIds()), bounded(absolved), expiry, record.isCleared());
+            return new CrashHistory(
+                    bounded(record.getCrashIds()), bounded(absolved), expiryEpochMillis, record.isCleared());
         }
 
-        Entry join(Entry other) {
-            return new Entry(
-                    united(crashIds, other.crashIds),
-                    united(absolvedIds, other.absolvedIds),
+        CrashHistory join(CrashHistory other) {
+            return new CrashHistory(
+                    union(crashIds, other.crashIds),
+                    union(absolvedIds, other.absolvedIds),
                     Math.max(expiresAtEpochMillis, other.expiresAtEpochMillis),
                     isCleared || other.isCleared);
         }
 
-        Entry cleared() {
-            return new Entry(crashIds, united(absolvedIds, crashIds), expiresAtEpochMillis, true);
+        CrashHistory cleared() {
+            return new CrashHistory(crashIds, union(absolvedIds, crashIds), expiresAtEpochMillis, true);
         }
 
-        Entry absolved(String crashId) {
-            return new Entry(crashIds, united(absolvedIds, Set.of(crashId)), expiresAtEpochMillis, isCleared);
+        CrashHistory absolved(String crashId) {
+            return new CrashHistory(crashIds, union(absolvedIds, Set.of(crashId)), expiresAtEpochMillis, isCleared);
         }
 
-        Standing lastingStanding() {
+        Standing standingUntilExpiry() {
             if (crashIds.size() >= QUARANTINE_CRASHES) {
                 return Standing.QUARANTINED;
             }
             return crashIds.isEmpty() || isCleared ? Standing.CLEAR : Standing.SUSPECT;
         }
 
-        Standing openStanding() {
-            long open = crashIds.stream()
+        Standing standingByOpenCrashes() {
+            long openCrashes = crashIds.stream()
                     .filter(crashId -> !absolvedIds.contains(crashId))
                     .count();
-            if (open >= QUARANTINE_CRASHES) {
+            if (openCrashes >= QUARANTINE_CRASHES) {
                 return Standing.QUARANTINED;
             }
-            return open == 0 ? Standing.CLEAR : Standing.SUSPECT;
+            return openCrashes == 0 ? Standing.CLEAR : Standing.SUSPECT;
         }
 
         SuspectRecord toRecord(long fingerprint) {
@@ -201,13 +205,13 @@
             return absolvedIds.isEmpty() ? record : record.setAbsolvedIds(new TreeSet<>(absolvedIds));
         }
 
-        private static Set<String> united(Set<String> some, Set<String> more) {
+        private static Set<String> union(Set<String> some, Set<String> more) {
             Set<String> all = new TreeSet<>(some);
             all.addAll(more);
             return bounded(all);
         }
 
-        // The smallest names are kept, so that processes that saw them in another order agree.
+        // Keeps the smallest names, so that processes that learned them in different orders agree.
         private static Set<String> bounded(Set<String> crashIds) {
             Set<String> kept = new TreeSet<>();
             crashIds.stream().sorted().limit(MAX_CRASH_IDS).forEach(kept::add);
--- a/src/test/java/io/waxwingquay/admission/RetryBudgetTest.java
+++ b/src/test/java/io/waxwingquay/admission/RetryBudgetTest.java
@@ -18,101 +18,105 @@
 class RetryBudgetTest {
 
     @Property(tries = 200, seed = "20261202")
-    void retriesNeverExceedBurstPlusShareOfFirstTries(@ForAll List<Boolean> isFirstTry) {
+    void retriesNeverExceedBurstPlusShareOfFirstAttempts(@ForAll List<Boolean> isFirstAttempt) {
         int burst = 3;
         RetryBudget budget = RetryBudget.of(0.1, burst);
-        int firsts = 0;
+        int firstAttempts = 0;
         int retries = 0;
-        for (boolean first : isFirstTry) {
+        for (boolean first : isFirstAttempt) {
             if (first) {
-                firsts++;
-                budget.noteFirstTry();
-            } else if (budget.tryRetry()) {
+                firstAttempts++;
+                budget.recordFirstAttempt();
+            } else if (budget.tryAcquire()) {
                 retries++;
             }
-            assertTrue(retries <= burst + 0.1 * firsts);
+            assertTrue(retries <= burst + 0.1 * firstAttempts);
         }
     }
 
     @Test
-    void earnsOneRetryForTenFirstTries() {
+    void earnsOneRetryPerTenFirstAttempts() {
         RetryBudget budget = RetryBudget.of(0.1, 1);
-        assertTrue(budget.tryRetry());
-        assertFalse(budget.tryRetry());
+        assertTrue(budget.tryAcquire());
+        assertFalse(budget.tryAcquire());
         for (int first = 0; first < 10; first++) {
-            budget.noteFirstTry();
+            budget.recordFirstAttempt();
         }
-        assertTrue(budget.tryRetry());
-        assertFalse(budget.tryRetry());
+        assertTrue(budget.tryAcquire());
+        assertFalse(budget.tryAcquire());
     }
 
-    // Many entries share a slack of 100, of which a fifth is kept back. Each might save up a whole retry, so that a
-    // quiet
-    // service that fails would get one from each of them at once.
+    /**
+     * Guards against budgets of many entries that each round a small burst share up to a whole retry: a failing idle
+     * service would get one retry from every entry at once. The total burst is 100, of which a fifth is held back.
+     */
     @Test
-    void manyEntriesTogetherSaveUpNoMoreThanTheSlack() {
+    void budgetsOfManyEntriesTogetherStayWithinTheTotalBurst() {
         Random random = new Random(7);
         AtomicLong nowMillis = new AtomicLong();
-        List<RetryBudget> entries = IntStream.range(0, 320)
-                .mapToObj(number -> RetryBudget.sharedBy(0.2, 80.0 / 320, random.nextDouble(), nowMillis::get))
+        List<RetryBudget> budgets = IntStream.range(0, 320)
+                .mapToObj(number -> RetryBudget.shared(0.2, 80.0 / 320, random.nextDouble(), nowMillis::get))
                 .toList();
-        entries.forEach(RetryBudgetTest::earnOne);
+        budgets.forEach(RetryBudgetTest::earnOneRetry);
         nowMillis.addAndGet(10_001);
-        long retries = entries.stream().filter(RetryBudget::tryRetry).count();
+        long retries = budgets.stream().filter(RetryBudget::tryAcquire).count();
         assertTrue(retries <= 100, () -> retries + " retries");
     }
 
-    // The same, and the service is in use: what an entry earns itself it may spend, however small its part.
+    /** Guards against a small burst share that stops an entry from spending the retries that it earned itself. */
     @Test
-    void entryWithASmallPartSpendsWhatItEarns() {
-        RetryBudget budget = RetryBudget.sharedBy(0.2, 0.25, 0, () -> 0L);
-        assertFalse(budget.tryRetry());
-        earnOne(budget);
-        assertTrue(budget.tryRetry());
+    void entryWithSmallBurstShareSpendsEarnedRetries() {
+        RetryBudget budget = RetryBudget.shared(0.2, 0.25, 0, () -> 0L);
+        assertFalse(budget.tryAcquire());
+        earnOneRetry(budget);
+        assertTrue(budget.tryAcquire());
     }
 
-    private static void earnOne(RetryBudget budget) {
-        IntStream.range(0, 5).forEach(first -> budget.noteFirstTry());
+    private static void earnOneRetry(RetryBudget budget) {
+        IntStream.range(0, 5).forEach(first -> budget.recordFirstAttempt());
     }
 
-    // Entries come and go, and with them each one's part of the budget. If a part that grows again were filled at once,
-    // entries that flap would send far more than all of them together may.
+    /**
+     * Guards against refilling the budget when its burst grows again. Entries that repeatedly leave and rejoin would
+     * then send far more retries than the total burst.
+     */
     @Test
-    void burstThatShrinksAndGrowsAgainIsNotFilledAnew() {
+    void budgetIsNotRefilledWhenBurstShrinksAndGrowsAgain() {
         RetryBudget budget = RetryBudget.of(0.2, 10);
         budget.limitBurst(2);
         budget.limitBurst(10);
-        assertEquals(2.0, budget.available());
-        assertTrue(budget.tryRetry());
-        assertTrue(budget.tryRetry());
-        assertFalse(budget.tryRetry());
+        assertEquals(2.0, budget.availableRetries());
+        assertTrue(budget.tryAcquire());
+        assertTrue(budget.tryAcquire());
+        assertFalse(budget.tryAcquire());
     }
 
     @Property(tries = 200, seed = "20261202")
-    void backoffStaysBetweenHalfAndAllOfTheDoubledWait(@ForAll @IntRange(min = 0, max = 100) int retry) {
+    void backoffDelayIsBetweenHalfAndAllOfTheDoubledDelay(@ForAll @IntRange(min = 0, max = 100) int retry) {
         long delayMillis = new Backoff(20, 1_000).delayMillis(retry, new Random(retry));
         long limitMillis = Math.min(1_000, 20L << Math.min(retry, 20));
         assertTrue(delayMillis >= limitMillis / 2 && delayMillis <= limitMillis);
     }
 
     @Test
-    void comeBackTimeFollowsTheMeasuredDrainRate() {
-        ComeBack comeBack = new ComeBack(100, 60_000, 0);
+    void retryAfterDelayFollowsTheMeasuredDrainRate() {
+        RetryAfterEstimator estimator = new RetryAfterEstimator(100, 60_000, 0);
         for (int finished = 0; finished < 10; finished++) {
-            comeBack.noteFinished(finished * 100);
+            estimator.recordCompletion(finished * 100);
         }
-        long afterMillis = comeBack.afterMillis(20, 1_000, new Random(1));
+        long delayMillis = estimator.delayMillis(20, 1_000, new Random(1));
         assertTrue(
-                afterMillis >= 2_000 && afterMillis <= 3_000, "ten a second drain twenty in 2 s, got " + afterMillis);
+                delayMillis >= 2_000 && delayMillis <= 3_000,
+                "10 requests per second drain 20 in 2 s, got " + delayMillis);
     }
 
     @Test
-    void onlyWhatDidNotRunIsRetriedForCallsThatRunAtMostOnce() {
-        assertTrue(RetryRule.AT_MOST_ONCE.allows(Execution.DID_NOT_RUN, RefusalReason.OVERLOADED, 1_000, 5));
-        assertFalse(RetryRule.AT_MOST_ONCE.allows(Execution.UNKNOWN, RefusalReason.TARGET_DOWN, 1_000, 5));
-        assertTrue(RetryRule.IDEMPOTENT.allows(Execution.UNKNOWN, RefusalReason.TARGET_DOWN, 1_000, 5));
-        assertFalse(RetryRule.IDEMPOTENT.allows(Execution.DID_NOT_RUN, RefusalReason.QUARANTINED, 1_000, 5));
-        assertFalse(RetryRule.IDEMPOTENT.allows(Execution.DID_NOT_RUN, RefusalReason.OVERLOADED, 5, 5));
-        assertEquals(true, RetryRule.isCheap(RefusalReason.LEAVING));
+    void atMostOncePolicyRetriesOnlyRequestsThatDidNotRun() {
+        assertTrue(RetryPolicy.AT_MOST_ONCE.allows(Execution.DID_NOT_RUN, RefusalReason.OVERLOADED, 1_000, 5));
+        assertFalse(RetryPolicy.AT_MOST_ONCE.allows(Execution.UNKNOWN, RefusalReason.TARGET_DOWN, 1_000, 5));
+        assertTrue(RetryPolicy.IDEMPOTENT.allows(Execution.UNKNOWN, RefusalReason.TARGET_DOWN, 1_000, 5));
+        assertFalse(RetryPolicy.IDEMPOTENT.allows(Execution.DID_NOT_RUN, RefusalReason.QUARANTINED, 1_000, 5));
+        assertFalse(RetryPolicy.IDEMPOTENT.allows(Execution.DID_NOT_RUN, RefusalReason.OVERLOADED, 5, 5));
+        assertEquals(true, RetryPolicy.isCheap(RefusalReason.LEAVING));
     }
 }
--- a/src/test/java/io/waxwingquay/claim/GroupCommitterTest.java
+++ b/src/test/java/io/waxwingquay/claim/GroupCommitterTest.java
@@ -20,10 +20,10 @@
     private final GroupCommitter committer = new GroupCommitter(table, 64, Runnable::run);
 
     @Test
-    void writesThatComeWhileOneIsInFlightShareATransaction() {
+    void writesDuringACommitShareTheNextTransaction() {
         CompletableFuture<Void> hold = new CompletableFuture<>();
         table.holdCommit(hold);
-        List<CompletableFuture<Optional<GroupCommitter.Found>>> results = new ArrayList<>();
+        List<CompletableFuture<Optional<GroupCommitter.Conflict>>> results = new ArrayList<>();
         for (int number = 0; number < 10; number++) {
             results.add(committer.commit(new Write("k" + number, 0, "v" + number)));
         }
@@ -33,7 +33,7 @@
     }
 
     @Test
-    void conflictOfOneKeyDoesNotFailTheOthers() {
+    void conflictOnOneKeyDoesNotFailOtherWrites() {
         committer.commit(new Write("taken", 0, "theirs")).join();
         CompletableFuture<Void> hold = new CompletableFuture<>();
         table.holdCommit(hold);
@@ -46,24 +46,26 @@
         assertTrue(other.join().isEmpty());
     }
 
+    /**
+     * Guards against repeating or failing a write that took effect although its answer was lost: the row read back
+     * holds its own value, so the caller must see exactly one claim.
+     */
     @Test
-    void writeWhoseAnswerIsLostIsFoundByReadingBack() {
-        // The caller sees one claim made. The table commits the write and its answer is lost; the row read
-        // back holds our own value, so the write is ours and must be neither repeated nor reported failed.
+    void writeWithLostAnswerIsConfirmedByReadingBack() {
         table.failCommits(FakeTable.Fault.LOSE_ANSWER);
         assertTrue(committer.commit(new Write("k", 0, "attempt-1")).join().isEmpty());
         assertEquals(1, table.row("k").orElseThrow().version());
     }
 
     @Test
-    void writeThatDidNotTakeEffectIsSentOnceMore() {
+    void writeThatDidNotTakeEffectIsResent() {
         table.failCommits(FakeTable.Fault.OUT);
         assertTrue(committer.commit(new Write("k", 0, "attempt-1")).join().isEmpty());
         assertEquals(2, table.commits());
     }
 
     @Test
-    void outageFailsTheWritesAndTheNextOneWorks() {
+    void outageFailsPendingWritesButNotLaterOnes() {
         table.setOut(true);
         var lost = committer.commit(new Write("k", 0, "v"));
         CompletionException failure = assertThrows(CompletionException.class, lost::join);
@@ -73,7 +75,7 @@
     }
 
     @Test
-    void sameKeyTwiceAtOnceGoesIntoTwoTransactions() {
+    void concurrentWritesToOneKeyUseSeparateTransactions() {
         CompletableFuture<Void> hold = new CompletableFuture<>();
         table.holdCommit(hold);
         committer.commit(new Write("other", 0, "x"));
--- a/src/test/java/io/waxwingquay/permit/PermitWorld.java
+++ b/src/test/java/io/waxwingquay/permit/PermitSimulation.java
@@ -23,22 +23,22 @@
 import java.util.function.Supplier;
 import java.util.stream.Stream;
 
-/** Replicas of one service that lend weight loads to each other over calls that may be lost. */
-final class PermitWorld {
+/** Simulates replicas of one service that lend permits for weight loads to each other over an unreliable network. */
+final class PermitSimulation {
 
     static final long LEASE_MILLIS = 10_000;
-    static final long PAUSE_MILLIS = 3_000;
+    static final long MAX_HEARTBEAT_GAP_MILLIS = 3_000;
     private static final long MARGIN_MILLIS = 500;
     private static final int PORT = 9_000;
 
     private final int replicas;
     private final int weightLoads;
     private final double loadsPerSecond;
-    private final List<PermitHome> homes = new ArrayList<>();
-    private final List<LentPermits> holders = new ArrayList<>();
-    private final List<LentPermits> retired = new ArrayList<>();
+    private final List<PermitLender> lenders = new ArrayList<>();
+    private final List<LeasedPermits> holders = new ArrayList<>();
+    private final List<LeasedPermits> retiredHolders = new ArrayList<>();
     private final MemberTable table;
-    private Supplier<Fate> fate = () -> Fate.DELIVERED;
+    private Supplier<DeliveryOutcome> deliveryOutcome = () -> DeliveryOutcome.DELIVERED;
     private long nowMillis = 5_000;
     private final Clock clock = new Clock() {
         @Override
@@ -52,44 +52,44 @@
         }
     };
 
-    PermitWorld(int replicas, int weightLoads, double loadsPerSecond) {
+    PermitSimulation(int replicas, int weightLoads, double loadsPerSecond) {
         this.replicas = replicas;
         this.weightLoads = weightLoads;
         this.loadsPerSecond = loadsPerSecond;
         this.table = new MemberTable(clock, MemberTable.Timing.DEFAULT);
         for (int replica = 0; replica < replicas; replica++) {
             table.publish(record(replica));
-            homes.add(newHome(replica));
+            lenders.add(newLender(replica));
         }
         for (int replica = 0; replica < replicas; replica++) {
             holders.add(newHolder(replica));
         }
     }
 
-    void open() {
-        pass(LEASE_MILLIS);
+    void passFirstLease() {
+        advance(LEASE_MILLIS);
     }
 
-    void fate(Supplier<Fate> next) {
-        fate = next;
+    void deliveryOutcome(Supplier<DeliveryOutcome> next) {
+        deliveryOutcome = next;
     }
 
-    void pass(long millis) {
+    void advance(long millis) {
         long untilMillis = nowMillis + millis;
         while (nowMillis < untilMillis) {
-            nowMillis = Math.min(untilMillis, nowMillis + PAUSE_MILLIS);
-            homes.forEach(PermitHome::heartbeat);
+            nowMillis = Math.min(untilMillis, nowMillis + MAX_HEARTBEAT_GAP_MILLIS);
+            lenders.forEach(PermitLender::heartbeat);
         }
     }
 
-    void passUnnoticed(long millis) {
+    void advanceWithoutHeartbeats(long millis) {
         nowMillis += millis;
     }
 
-    /** A new process: nothing is remembered, and what the old one had begun still runs at the weight store. */
+    /** Restarts a process without its state; loads that the old process started still run at the weight store. */
     void restart(int replica) {
-        retired.add(holders.get(replica));
-        homes.set(replica, newHome(replica));
+        retiredHolders.add(holders.get(replica));
+        lenders.set(replica, newLender(replica));
         holders.set(replica, newHolder(replica));
     }
 
@@ -109,38 +109,38 @@
         return all;
     }
 
-    int inUse() {
-        return Stream.concat(holders.stream(), retired.stream())
-                .mapToInt(holder -> holder.inUse(Limit.WEIGHT_LOADS))
+    int countInUse() {
+        return Stream.concat(holders.stream(), retiredHolders.stream())
+                .mapToInt(holder -> holder.countInUse(Limit.WEIGHT_LOADS))
                 .sum();
     }
 
-    PermitHome home(int replica) {
-        return homes.get(replica);
+    PermitLender lender(int replica) {
+        return lenders.get(replica);
     }
 
     PermitAnswer borrowFrom(int replica, String permitId) {
-        return home(replica).borrow(new PermitRequest(Limit.WEIGHT_LOADS.name(), "test", permitId, LEASE_MILLIS));
+        return lender(replica).borrow(new PermitRequest(Limit.WEIGHT_LOADS.name(), "test", permitId, LEASE_MILLIS));
     }
 
-    void giveBackTo(int replica, PermitReturn request) {
-        home(replica).giveBack(request);
+    void returnTo(int replica, PermitReturn request) {
+        lender(replica).returnPermit(request);
     }
 
-    PermitHome.Slots slots(int replica) {
-        return new PermitHome.Slots(replica, replicas, weightLoads, loadsPerSecond, 0);
+    PermitLender.Slots slots(int replica) {
+        return new PermitLender.Slots(replica, replicas, weightLoads, loadsPerSecond, 0);
     }
 
-    private PermitHome newHome(int replica) {
-        return new PermitHome(clock, LEASE_MILLIS, PAUSE_MILLIS, slots(replica));
+    private PermitLender newLender(int replica) {
+        return new PermitLender(clock, LEASE_MILLIS, MAX_HEARTBEAT_GAP_MILLIS, slots(replica));
     }
 
-    private LentPermits newHolder(int replica) {
-        return LentPermits.forHolder("side-" + replica, homes.get(replica))
-                .reaching("models", table, new LossyConnections())
-                .deciding(clock, new Random(replica + retired.size() * (long) replicas))
-                .limitedTo(limit -> weightLoads)
-                .bounded(replicas, LEASE_MILLIS, MARGIN_MILLIS)
+    private LeasedPermits newHolder(int replica) {
+        return LeasedPermits.forHolder("side-" + replica, lenders.get(replica))
+                .withPeers("models", table, new LossyConnections())
+                .withClock(clock, new Random(replica + retiredHolders.size() * (long) replicas))
+                .withTotalSlots(limit -> weightLoads)
+                .withBounds(replicas, LEASE_MILLIS, MARGIN_MILLIS)
                 .build();
     }
 
@@ -160,8 +160,8 @@
                 List.of());
     }
 
-    /** What becomes of one call. */
-    enum Fate {
+    /** The outcome of one call. */
+    enum DeliveryOutcome {
         DELIVERED,
         REQUEST_LOST,
         ANSWER_LOST
@@ -178,14 +178,14 @@
         }
 
         private CompletableFuture<?> call(int replica, Object request) {
-            Fate next = fate.get();
-            if (next == Fate.REQUEST_LOST) {
+            DeliveryOutcome next = deliveryOutcome.get();
+            if (next == DeliveryOutcome.REQUEST_LOST) {
                 return CompletableFuture.failedFuture(new TransportException(false, "request lost", null));
             }
             Object answer = request instanceof PermitRequest borrow
-                    ? home(replica).borrow(borrow)
-                    : (Object) home(replica).giveBack((PermitReturn) request);
-            return next == Fate.ANSWER_LOST
+                    ? lender(replica).borrow(borrow)
+                    : (Object) lender(replica).returnPermit((PermitReturn) request);
+            return next == DeliveryOutcome.ANSWER_LOST
                     ? CompletableFuture.failedFuture(new TransportException(true, "answer lost", null))
                     : CompletableFuture.completedFuture(answer);
         }
--- a/src/test/java/io/waxwingquay/residency/SuspectRelayTest.java
+++ b/src/test/java/io/waxwingquay/residency/SuspectRelayTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 
 import io.waxwingquay.suspect.SharedSuspects;
-import io.waxwingquay.suspect.SuspectBook.Standing;
+import io.waxwingquay.suspect.SuspectRegistry.Standing;
 import io.waxwingquay.transport.generated.AdapterReply;
 import io.waxwingquay.transport.generated.EngineNews;
 import io.waxwingquay.transport.generated.EntryNews;
@@ -23,13 +23,13 @@
     // of them too.
     @Test
     void suspectsOfOneEntryReachOthersThroughSides() {
-        entry.crashed("a", FINGERPRINT);
-        entry.crashed("b", FINGERPRINT);
-        relay.receive(PeerDatagram.entry(new EntryNews().setSuspects(entry.page())));
+        entry.recordCrash("a", FINGERPRINT);
+        entry.recordCrash("b", FINGERPRINT);
+        relay.receive(PeerDatagram.entry(new EntryNews().setSuspects(entry.nextUpdate())));
         SuspectRelay next = relay();
         next.receive(attached(relay));
         SharedSuspects other = suspects();
-        other.take(attached(next).getEngine().getSuspects());
+        other.merge(attached(next).getEngine().getSuspects());
         assertEquals(Standing.QUARANTINED, other.standing(FINGERPRINT));
     }
 
--- a/src/test/java/io/waxwingquay/suspect/SharedSuspectsTest.java
+++ b/src/test/java/io/waxwingquay/suspect/SharedSuspectsTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import io.waxwingquay.suspect.SuspectBook.Standing;
+import io.waxwingquay.suspect.SuspectRegistry.Standing;
 import io.waxwingquay.transport.generated.EntryNews;
 import io.waxwingquay.transport.generated.SuspectNews;
 import java.util.ArrayList;
@@ -25,182 +25,197 @@
     private final SharedSuspects entry2 = suspects();
     private final SharedSuspects side = suspects();
 
-    // A request ends one replica through each of two entries. Neither has seen two crashes; only together they
-    // know, and a third entry that has seen none has to know too.
+    /**
+     * Guards against entries that count only their own crashes. A request crashes one replica through each of two
+     * entries; only together do they know of two, and a third entry that saw none must learn of both.
+     */
     @Test
-    void crashesSeenAtTwoEntriesCountTogether() {
-        entry1.crashed("a", POISON);
-        entry2.crashed("b", POISON);
+    void crashesSeenByDifferentEntriesAddUp() {
+        entry1.recordCrash("a", POISON);
+        entry2.recordCrash("b", POISON);
         assertEquals(Standing.SUSPECT, entry1.standing(POISON));
-        side.take(entry1.page());
-        side.take(entry2.page());
+        side.merge(entry1.nextUpdate());
+        side.merge(entry2.nextUpdate());
         SharedSuspects entry3 = suspects();
-        List.of(entry1, entry2, entry3).forEach(entry -> entry.take(side.page()));
+        List.of(entry1, entry2, entry3).forEach(entry -> entry.merge(side.nextUpdate()));
         List.of(entry1, entry2, entry3).forEach(entry -> assertEquals(Standing.QUARANTINED, entry.standing(POISON)));
     }
 
-    // Two entries lose requests that look alike to the same crash. It is one crash, and condemns nothing.
+    /** Guards against counting one crash twice when two entries lose equal requests to it. */
     @Test
-    void oneCrashSeenAtTwoEntriesIsOneCrash() {
-        entry1.crashed("a", POISON);
-        entry2.crashed("a", POISON);
-        entry1.take(entry2.page());
+    void crashSeenByTwoEntriesCountsOnce() {
+        entry1.recordCrash("a", POISON);
+        entry2.recordCrash("a", POISON);
+        entry1.merge(entry2.nextUpdate());
         assertEquals(Standing.SUSPECT, entry1.standing(POISON));
     }
 
     @Test
-    void goodAnswerTakesBackWhatWasKnownBeforeIt() {
-        entry1.crashed("a", POISON);
-        entry1.answered(POISON);
+    void successClearsEarlierCrashes() {
+        entry1.recordCrash("a", POISON);
+        entry1.recordSuccess(POISON);
         assertEquals(Standing.CLEAR, entry1.standing(POISON));
-        entry1.crashed("b", POISON);
+        entry1.recordCrash("b", POISON);
         assertEquals(Standing.SUSPECT, entry1.standing(POISON));
     }
 
-    // Many callers send requests that are alike, and two of them are at crashes that another request caused. Those
-    // that ran elsewhere are answered. Were the others refused all the same, a busy page would be gone for ten
-    // minutes.
+    /**
+     * Guards against refusing a popular page for ten minutes. Two of many equal requests are running at crashes that
+     * another request caused, while those on other targets are answered.
+     */
     @Test
-    void goodAnswerFreesARefusedOneEverywhere() {
-        entry1.crashed("a", POISON);
-        entry1.crashed("b", POISON);
-        entry2.take(entry1.page());
+    void successLiftsQuarantineInEveryProcess() {
+        entry1.recordCrash("a", POISON);
+        entry1.recordCrash("b", POISON);
+        entry2.merge(entry1.nextUpdate());
         assertEquals(Standing.QUARANTINED, entry2.standing(POISON));
-        entry1.answered(POISON);
-        entry2.take(entry1.page());
+        entry1.recordSuccess(POISON);
+        entry2.merge(entry1.nextUpdate());
         assertEquals(Standing.CLEAR, entry2.standing(POISON));
     }
 
     @Test
-    void crashThatWasNoneCountsNoMore() {
-        entry1.crashed("a", POISON);
-        entry1.crashed("b", POISON);
-        entry1.survived("a", POISON);
+    void retractedCrashNoLongerCounts() {
+        entry1.recordCrash("a", POISON);
+        entry1.recordCrash("b", POISON);
+        entry1.retractCrash("a", POISON);
         assertEquals(Standing.SUSPECT, entry1.standing(POISON));
     }
 
-    // Datagrams come doubled, late and in any order; what is known in the end is the same.
+    /**
+     * Guards against state that depends on how updates arrive: repeated, late and reordered updates must give the same
+     * result.
+     */
     @Test
-    void orderAndRepetitionOfDatagramsDoNotMatter() {
+    void updatesMayArriveRepeatedAndInAnyOrder() {
         List<List<SuspectNews>> sent = new ArrayList<>();
-        entry1.crashed("a", POISON);
-        sent.add(entry1.page());
-        entry1.answered(POISON);
-        sent.add(entry1.page());
-        entry1.crashed("b", POISON);
-        sent.add(entry1.page());
+        entry1.recordCrash("a", POISON);
+        sent.add(entry1.nextUpdate());
+        entry1.recordSuccess(POISON);
+        sent.add(entry1.nextUpdate());
+        entry1.recordCrash("b", POISON);
+        sent.add(entry1.nextUpdate());
         for (int round = 0; round < 20; round++) {
             SharedSuspects other = suspects();
             for (int number = 0; number < 8; number++) {
-                other.take(sent.get(random.nextInt(sent.size())));
+                other.merge(sent.get(random.nextInt(sent.size())));
             }
-            sent.forEach(other::take);
+            sent.forEach(other::merge);
             assertEquals(Standing.SUSPECT, other.standing(POISON));
         }
     }
 
     @Test
-    void lostDatagramsAreMadeUpForByLaterOnes() {
-        entry1.crashed("a", POISON);
-        entry1.crashed("b", POISON);
-        entry1.page();
-        entry1.page();
-        side.take(entry1.page());
+    void laterUpdateReplacesLostOnes() {
+        entry1.recordCrash("a", POISON);
+        entry1.recordCrash("b", POISON);
+        entry1.nextUpdate();
+        entry1.nextUpdate();
+        side.merge(entry1.nextUpdate());
         assertEquals(Standing.QUARANTINED, side.standing(POISON));
     }
 
-    // An entry starts anew while it is the only one that saw the crashes. The processes beside engines know still.
+    /**
+     * Guards against losing suspects when the only entry that saw the crashes restarts: the side processes still know
+     * them.
+     */
     @Test
-    void restartedEntryLearnsFromTheOthers() {
-        entry1.crashed("a", POISON);
-        entry1.crashed("b", POISON);
-        side.take(entry1.page());
+    void restartedEntryRelearnsSuspectsFromPeers() {
+        entry1.recordCrash("a", POISON);
+        entry1.recordCrash("b", POISON);
+        side.merge(entry1.nextUpdate());
         SharedSuspects restarted = suspects();
-        restarted.take(side.page());
+        restarted.merge(side.nextUpdate());
         assertEquals(Standing.QUARANTINED, restarted.standing(POISON));
     }
 
-    // Two processes tell each other of a suspect over and over, each datagram 400 ms under way. A record does not
-    // age on its way; if each telling made it younger, an innocent one would never go free.
+    /**
+     * Guards against records that never expire. Two processes exchange a suspect continuously, each update 400 ms in
+     * transit, in which a record does not age.
+     */
     @Test
-    void suspectThatIsToldToAndFroGoesFree() {
-        entry1.crashed("a", POISON);
-        entry1.crashed("b", POISON);
+    void suspectExchangedBackAndForthStillExpires() {
+        entry1.recordCrash("a", POISON);
+        entry1.recordCrash("b", POISON);
         long endMillis = nowMillis + RETENTION_MILLIS;
         while (nowMillis < endMillis) {
-            List<SuspectNews> there = entry1.page();
-            List<SuspectNews> back = side.page();
+            List<SuspectNews> there = entry1.nextUpdate();
+            List<SuspectNews> back = side.nextUpdate();
             nowMillis += 400;
-            side.take(there);
-            entry1.take(back);
+            side.merge(there);
+            entry1.merge(back);
         }
         assertEquals(Standing.CLEAR, entry1.standing(POISON));
         assertEquals(Standing.CLEAR, side.standing(POISON));
-        assertEquals(List.of(), side.page());
+        assertEquals(List.of(), side.nextUpdate());
         assertTrue(side.isEmpty());
     }
 
     @Test
-    void tellingAnOldRecordDoesNotKeepItLonger() {
-        entry1.crashed("a", POISON);
+    void forwardedRecordDoesNotOutliveItsRetention() {
+        entry1.recordCrash("a", POISON);
         nowMillis += RETENTION_MILLIS - 5_000;
-        side.take(entry1.page());
+        side.merge(entry1.nextUpdate());
         nowMillis += 5_000;
         assertEquals(Standing.CLEAR, side.standing(POISON));
     }
 
-    // A busy replica goes and takes hundreds of requests with it, and one of them is what ended it. Each datagram
-    // takes a few; the one that counts has to be among them soon.
+    /**
+     * Guards against crash causes that spread too late. A busy replica crashes with hundreds of running requests, one
+     * of which is the cause; an update carries only a few records.
+     */
     @Test
-    void eachOfManySuspectsIsToldWithinSomeDatagrams() {
+    void everySuspectIsSentWithinAHundredUpdates() {
         for (long fingerprint = 0; fingerprint < 100; fingerprint++) {
-            entry1.crashed("a", fingerprint);
+            entry1.recordCrash("a", fingerprint);
         }
         for (int number = 0; number < 100; number++) {
-            side.take(entry1.page());
+            side.merge(entry1.nextUpdate());
         }
-        long heard = side.count();
-        assertTrue(heard >= 99, "heard of " + heard);
+        long known = side.countSuspected();
+        assertTrue(known >= 99, "known suspects " + known);
     }
 
     @Test
-    void refusedOnesAreToldBesideManySuspects() {
+    void quarantinedRequestsAreSentDespiteManySuspects() {
         for (long fingerprint = 100; fingerprint < 400; fingerprint++) {
-            entry1.crashed("a", fingerprint);
+            entry1.recordCrash("a", fingerprint);
         }
-        entry1.crashed("a", POISON);
-        entry1.crashed("b", POISON);
-        side.take(entry1.page());
+        entry1.recordCrash("a", POISON);
+        entry1.recordCrash("b", POISON);
+        side.merge(entry1.nextUpdate());
         assertEquals(Standing.QUARANTINED, side.standing(POISON));
     }
 
     @Test
-    void memoryAndDatagramsAreBounded() throws Exception {
+    void recordsAndUpdateSizeAreBounded() throws Exception {
         for (long fingerprint = 0; fingerprint < 3_000; fingerprint++) {
-            entry1.crashed("a", random.nextLong());
-            long busy = random.nextLong();
-            entry1.crashed("a", busy);
-            entry1.crashed("b", busy);
+            entry1.recordCrash("a", random.nextLong());
+            long twiceCrashed = random.nextLong();
+            entry1.recordCrash("a", twiceCrashed);
+            entry1.recordCrash("b", twiceCrashed);
         }
-        assertTrue(entry1.count() <= 512, "records " + entry1.count());
-        assertTrue(entry1.page().size() <= 16, "told " + entry1.page().size());
+        assertTrue(entry1.countSuspected() <= 512, "records " + entry1.countSuspected());
+        assertTrue(
+                entry1.nextUpdate().size() <= 16,
+                "records in the update " + entry1.nextUpdate().size());
         byte[] encoded = new TSerializer(new TCompactProtocol.Factory())
-                .serialize(new EntryNews().setNode("n").setNumber(1).setSuspects(entry1.page()));
+                .serialize(new EntryNews().setNode("n").setNumber(1).setSuspects(entry1.nextUpdate()));
         assertTrue(encoded.length < 700, "bytes " + encoded.length);
     }
 
     @Test
-    void datagramThatTellsTooMuchOrNothingIsTakenInPart() {
-        side.take(null);
+    void oversizedOrEmptyUpdateIsMergedWithinBounds() {
+        side.merge(null);
         List<SuspectNews> many = new ArrayList<>();
         for (long fingerprint = 0; fingerprint < 5_000; fingerprint++) {
             many.add(new SuspectNews(fingerprint, Set.of(1L, 2L), Set.of(), Long.MAX_VALUE));
         }
-        side.take(many);
-        assertTrue(side.count() <= 64, "records " + side.count());
-        side.take(List.of(new SuspectNews().setFingerprint(POISON)));
+        side.merge(many);
+        assertTrue(side.countSuspected() <= 64, "records " + side.countSuspected());
+        side.merge(List.of(new SuspectNews().setFingerprint(POISON)));
         nowMillis += RETENTION_MILLIS;
-        assertEquals(0, side.count());
+        assertEquals(0, side.countSuspected());
     }
 
     private SharedSuspects suspects() {
