--- a/src/main/java/io/waxwingquay/bench/PolicyPair.java
+++ b/src/main/java/io/waxwingquay/bench/PolicyPair.java
@@ -26,7 +26,7 @@
             case "waxwingquay-1" -> of(name, "waxwingquay-1", "planned-1", AdmissionRule.WAIT_ONLY);
             case "waxwingquay-2" -> of(name, "waxwingquay", "planned-1", AdmissionRule.WAIT_ONLY);
             case "waxwingquay-3" -> of(name, "waxwingquay", "planned-1", AdmissionRule.WITH_RUN_TIME);
-            case "waxwingquay-4" -> of(name, "waxwingquay", "planned-1", AdmissionRule.WAITING_ROOM);
+            case "waxwingquay-4" -> of(name, "waxwingquay", "planned-1", AdmissionRule.START_CHECK_ONLY);
             case "waxwingquay-5" -> of(name, "waxwingquay", "planned-2", AdmissionRule.WITH_RUN_TIME);
             case "waxwingquay-6" -> new PolicyPair(
                     name,
--- a/src/main/java/io/waxwingquay/process/SideProcess.java
+++ b/src/main/java/io/waxwingquay/process/SideProcess.java
@@ -227,8 +227,8 @@
     private SideDump.OrderLoop orderLoop() {
         long nowMillis = foundation.clock().monotonicMillis();
         return new SideDump.OrderLoop(
-                node.get().flatMap(SideNode::residencyReadMillis).map(readMillis -> nowMillis - readMillis),
-                node.get().map(SideNode::refusedItems).orElse(List.of()));
+                node.get().flatMap(SideNode::lastResidencyReadMillis).map(readMillis -> nowMillis - readMillis),
+                node.get().map(SideNode::unplaceableItems).orElse(List.of()));
     }
 
     private Map<Permits.Limit, SideDump.PermitCount> permitsByLimit() {
@@ -272,7 +272,7 @@
         SideNode ready = settings.targetKind() == TargetType.PLAIN
                 ? builder.forPlainService(new HttpPlainService(
                         foundation.http(), target(), foundation.settings().tableTimeoutMillis()))
-                : builder.forModels(engine(), ledger(service));
+                : builder.forModelEngine(engine(), ledger(service));
         node.set(Optional.of(ready));
         ready.start();
         door.open(ready);
@@ -283,7 +283,7 @@
                 .limits(SideLimits.defaults()
                         .withQueueLimit(settings.queueLimit())
                         .withQuarantineMillis(settings.orderQuarantineMillis())
-                        .withRetentionMillis(settings.attemptRetentionMillis())
+                        .withAttemptRetentionMillis(settings.attemptRetentionMillis())
                         .withStreamSilenceMillis(settings.streamSilenceMillis())
                         .withPollWaitMillis(settings.pollWaitMillis()))
                 .clock(foundation.clock())
--- a/src/main/java/io/waxwingquay/side/Admission.java
+++ b/src/main/java/io/waxwingquay/side/Admission.java
@@ -156,7 +156,7 @@
         LoadMeter.Counts counts = meter.counts();
         int priority = submission.isSetModel() ? submission.getModel().getPriority() : 0;
         long deadlineMillis = context.clock().monotonicMillis() + submission.getBudgetMillis();
-        long oldestMillis = context.clock().epochMillis() - context.limits().retentionMillis() / 2L;
+        long oldestMillis = context.clock().epochMillis() - context.limits().attemptRetentionMillis() / 2L;
         return new Door.View(
                 gate.isClosed(),
                 context.service().isPresent() && target.isReady(),
--- a/src/main/java/io/waxwingquay/side/AdmissionRule.java
+++ b/src/main/java/io/waxwingquay/side/AdmissionRule.java
@@ -11,7 +11,7 @@
      * @param outlook what is expected of it.
      * @return whether it may.
      */
-    boolean mayEnter(Outlook outlook);
+    boolean mayQueue(Estimate outlook);
 
     /**
      * Whether a request that has waited may still be handed to the target.
@@ -19,7 +19,7 @@
      * @param outlook what is expected of it, without a wait.
      * @return whether it may.
      */
-    boolean mayStart(Outlook outlook);
+    boolean mayStart(Estimate outlook);
 
     /** Refuses what would wait past its deadline, and starts all that came in. */
     AdmissionRule WAIT_ONLY = new WaitOnly();
@@ -31,7 +31,7 @@
     AdmissionRule WITH_MARGIN = new WithMargin();
 
     /** Lets all wait, and offers a start until it is too late to finish: a waiting room before a paced target. */
-    AdmissionRule WAITING_ROOM = new WaitingRoom();
+    AdmissionRule START_CHECK_ONLY = new StartCheckOnly();
 
     /**
      * What is expected of a request.
@@ -41,7 +41,7 @@
      * @param budgetMillis until its deadline.
      * @param running requests that the target runs now.
      */
-    record Outlook(double waitMillis, double runMillis, long budgetMillis, int running) {
+    record Estimate(double waitMillis, double runMillis, long budgetMillis, int running) {
 
         /**
          * An idle target takes any request: else one slow spell would be believed for ever, since what is refused
@@ -57,13 +57,13 @@
 
         /** {@inheritDoc} */
         @Override
-        public boolean mayEnter(Outlook outlook) {
+        public boolean mayQueue(Estimate outlook) {
             return outlook.waitMillis() <= outlook.budgetMillis();
         }
 
         /** {@inheritDoc} */
         @Override
-        public boolean mayStart(Outlook outlook) {
+        public boolean mayStart(Estimate outlook) {
             return true;
         }
     }
@@ -73,13 +73,13 @@
 
         /** {@inheritDoc} */
         @Override
-        public boolean mayEnter(Outlook outlook) {
+        public boolean mayQueue(Estimate outlook) {
             return outlook.finishesInTime();
         }
 
         /** {@inheritDoc} */
         @Override
-        public boolean mayStart(Outlook outlook) {
+        public boolean mayStart(Estimate outlook) {
             return outlook.finishesInTime();
         }
     }
@@ -91,34 +91,34 @@
 
         /** {@inheritDoc} */
         @Override
-        public boolean mayEnter(Outlook outlook) {
+        public boolean mayQueue(Estimate outlook) {
             return longer(outlook).finishesInTime();
         }
 
         /** {@inheritDoc} */
         @Override
-        public boolean mayStart(Outlook outlook) {
+        public boolean mayStart(Estimate outlook) {
             return longer(outlook).finishesInTime();
         }
 
-        private static Outlook longer(Outlook outlook) {
-            return new Outlook(
+        private static Estimate longer(Estimate outlook) {
+            return new Estimate(
                     outlook.waitMillis(), outlook.runMillis() * MARGIN, outlook.budgetMillis(), outlook.running());
         }
     }
 
-    /** See {@link #WAITING_ROOM}. */
-    final class WaitingRoom implements AdmissionRule {
+    /** See {@link #START_CHECK_ONLY}. */
+    final class StartCheckOnly implements AdmissionRule {
 
         /** {@inheritDoc} */
         @Override
-        public boolean mayEnter(Outlook outlook) {
+        public boolean mayQueue(Estimate outlook) {
             return true;
         }
 
         /** {@inheritDoc} */
         @Override
-        public boolean mayStart(Outlook outlook) {
+        public boolean mayStart(Estimate outlook) {
             return outlook.finishesInTime();
         }
     }
--- a/src/main/java/io/waxwingquay/side/CrashHandler.java
+++ b/src/main/java/io/waxwingquay/side/CrashHandler.java
@@ -134,7 +134,7 @@
                 .map(side -> push(side, notice))
                 .toArray(CompletableFuture[]::new);
         return CompletableFuture.allOf(pushes)
-                .completeOnTimeout(null, context.limits().noticeMillis(), TimeUnit.MILLISECONDS);
+                .completeOnTimeout(null, context.limits().noticeTimeoutMillis(), TimeUnit.MILLISECONDS);
     }
 
     private CompletableFuture<Void> push(Side side, SuspectNotice notice) {
--- a/src/main/java/io/waxwingquay/side/Dispatcher.java
+++ b/src/main/java/io/waxwingquay/side/Dispatcher.java
@@ -151,7 +151,7 @@
     private boolean mayStart(Attempt attempt) {
         long budgetMillis = attempt.deadlineMillis() - context.clock().monotonicMillis();
         double runMillis = runMillis(meter, attempt.submission());
-        return rule.mayStart(new AdmissionRule.Outlook(0, runMillis, budgetMillis, startedMillis.size()));
+        return rule.mayStart(new AdmissionRule.Estimate(0, runMillis, budgetMillis, startedMillis.size()));
     }
 
     /** How long a submission would run; 0 for a plain call, whose time does not follow from its size. */
--- a/src/main/java/io/waxwingquay/side/Door.java
+++ b/src/main/java/io/waxwingquay/side/Door.java
@@ -83,9 +83,9 @@
         }
         boolean waits = view.running() >= view.maxConcurrent() && view.drainPerSecond() > 0.0;
         double waitMillis = waits ? view.queuedAhead() / view.drainPerSecond() * MILLIS_PER_SECOND : 0.0;
-        AdmissionRule.Outlook outlook =
-                new AdmissionRule.Outlook(waitMillis, view.runMillis(), submission.getBudgetMillis(), view.running());
-        if (!view.rule().mayEnter(outlook)) {
+        AdmissionRule.Estimate outlook =
+                new AdmissionRule.Estimate(waitMillis, view.runMillis(), submission.getBudgetMillis(), view.running());
+        if (!view.rule().mayQueue(outlook)) {
             return deny(RefusalReason.DEADLINE, "the queue is longer than the deadline allows");
         }
         return Optional.empty();
--- a/src/main/java/io/waxwingquay/side/Housekeeping.java
+++ b/src/main/java/io/waxwingquay/side/Housekeeping.java
@@ -16,13 +16,13 @@
     private final SideContext context;
     private final AttemptBook book;
     private final SelfRecord self;
-    private final Optional<Residency> residency;
+    private final Optional<ResidencyLoop> residency;
     private final Runnable watch;
     private Optional<ScheduledFuture<?>> next = Optional.empty();
     private boolean closed;
 
     Housekeeping(
-            SideContext context, AttemptBook book, SelfRecord self, Optional<Residency> residency, Runnable watch) {
+            SideContext context, AttemptBook book, SelfRecord self, Optional<ResidencyLoop> residency, Runnable watch) {
         this.watch = watch;
         this.context = context;
         this.book = book;
@@ -43,7 +43,8 @@
 
     /** One round. */
     CompletableFuture<Void> round() {
-        CompletableFuture<Void> read = residency.map(Residency::tick).orElse(CompletableFuture.completedFuture(null));
+        CompletableFuture<Void> read =
+                residency.map(ResidencyLoop::tick).orElse(CompletableFuture.completedFuture(null));
         return read.thenRun(this::tidy);
     }
 
@@ -68,7 +69,7 @@
                 attempt.release();
             }
         }
-        if (residency.map(loop -> loop.readMillis().isPresent()).orElse(true)
+        if (residency.map(loop -> loop.lastReadMillis().isPresent()).orElse(true)
                 && context.service().isPresent()) {
             self.on(SideEvent.READY);
         } else {
@@ -81,13 +82,13 @@
             if (failure != null) {
                 LOG.log(System.Logger.Level.ERROR, "side: housekeeping failed, going on.", failure);
             }
-            boolean awaited = residency.filter(Residency::isAdapterAwaited).isPresent();
+            boolean awaited = residency.filter(ResidencyLoop::isAdapterAwaited).isPresent();
             synchronized (this) {
                 next.ifPresent(scheduled -> scheduled.cancel(false));
                 schedule(
                         awaited
-                                ? context.limits().adapterTickMillis()
-                                : context.limits().tickMillis());
+                                ? context.limits().adapterTickIntervalMillis()
+                                : context.limits().tickIntervalMillis());
             }
         });
     }
--- a/src/main/java/io/waxwingquay/side/ModelRunner.java
+++ b/src/main/java/io/waxwingquay/side/ModelRunner.java
@@ -96,7 +96,7 @@
                 stream.ifPresent(Stream::close);
                 stream = Optional.of(next);
             }
-            if (fruitlessOpens > context.limits().resumeAttempts()) {
+            if (fruitlessOpens > context.limits().resumeLimit()) {
                 fail(attempt, "the target's stream cannot be resumed", Execution.UNKNOWN);
                 return;
             }
--- a/src/main/java/io/waxwingquay/side/OrderDesk.java
+++ b/src/main/java/io/waxwingquay/side/OrderDesk.java
@@ -147,7 +147,7 @@
      */
     void resend(ModelEngine.Residency report) {
         Set<String> open = report.openOrders().stream().map(Order::id).collect(Collectors.toSet());
-        long dueMillis = context.clock().monotonicMillis() - context.limits().resendMillis();
+        long dueMillis = context.clock().monotonicMillis() - context.limits().resendIntervalMillis();
         ledger.snapshot().holdings().values().stream()
                 .filter(holding -> holding.state() != State.RESIDENT)
                 .filter(holding -> !open.contains(holding.orderId()))
--- a/src/main/java/io/waxwingquay/side/Residency.java
+++ b/src/main/java/io/waxwingquay/side/ResidencyLoop.java
@@ -20,7 +20,7 @@
  * The order loop: brings the engine's memory towards what placement wants, one report at a time. All orders
  * to the engine come from here. Safe for concurrent use.
  */
-public final class Residency {
+public final class ResidencyLoop {
 
     private static final System.Logger LOG = System.getLogger("waxwingquay.side");
 
@@ -38,7 +38,7 @@
     private List<String> refused = List.of();
     private boolean retired;
 
-    Residency(
+    ResidencyLoop(
             SideContext context,
             ModelEngine engine,
             MemoryLedger ledger,
@@ -128,12 +128,12 @@
      *
      * @return the items.
      */
-    public synchronized List<String> refused() {
+    public synchronized List<String> unplaceableItems() {
         return refused;
     }
 
     /** When the engine was last asked for a report that came, in monotonic milliseconds. */
-    synchronized Optional<Long> readMillis() {
+    synchronized Optional<Long> lastReadMillis() {
         return readMillis;
     }
 
--- a/src/main/java/io/waxwingquay/side/SideLimits.java
+++ b/src/main/java/io/waxwingquay/side/SideLimits.java
@@ -5,32 +5,32 @@
  *
  * @param queueLimit attempts that wait at once.
  * @param attemptLimit attempts remembered at once.
- * @param retentionMillis how long an ended attempt is remembered.
+ * @param attemptRetentionMillis how long an ended attempt is remembered.
  * @param answerRetentionMillis how long the bytes of an ended answer are kept for polls.
  * @param unpolledLimitMillis how long an attempt goes unpolled before its entry counts as gone.
- * @param tickMillis time between two runs of the order loop.
- * @param adapterTickMillis the same while an adapter is waited for.
- * @param resendMillis time before an order without effect is sent again under the same id.
+ * @param tickIntervalMillis time between two runs of the order loop.
+ * @param adapterTickIntervalMillis the same while an adapter is waited for.
+ * @param resendIntervalMillis time before an order without effect is sent again under the same id.
  * @param quarantineMillis longer than the longest delay of an order.
  * @param pauseLimitMillis the longest gap in the order loop that does not count as a pause of the process.
- * @param noticeMillis the longest wait for other sides to take in suspects.
- * @param resumeAttempts how often a cut stream is opened again in a row without a new token.
+ * @param noticeTimeoutMillis the longest wait for other sides to take in suspects.
+ * @param resumeLimit how often a cut stream is opened again in a row without a new token.
  * @param streamSilenceMillis how long a stream may bring nothing before it is opened afresh.
  * @param pollWaitMillis how long a poll is held open at most.
  */
 public record SideLimits(
         int queueLimit,
         int attemptLimit,
-        long retentionMillis,
+        long attemptRetentionMillis,
         long answerRetentionMillis,
         long unpolledLimitMillis,
-        long tickMillis,
-        long adapterTickMillis,
-        long resendMillis,
+        long tickIntervalMillis,
+        long adapterTickIntervalMillis,
+        long resendIntervalMillis,
         long quarantineMillis,
         long pauseLimitMillis,
-        long noticeMillis,
-        int resumeAttempts,
+        long noticeTimeoutMillis,
+        int resumeLimit,
         long streamSilenceMillis,
         long pollWaitMillis) {
 
@@ -54,16 +54,16 @@
         return new SideLimits(
                 queueLimit,
                 attemptLimit,
-                retentionMillis,
+                attemptRetentionMillis,
                 answerRetentionMillis,
                 unpolledLimitMillis,
-                tickMillis,
-                adapterTickMillis,
-                resendMillis,
+                tickIntervalMillis,
+                adapterTickIntervalMillis,
+                resendIntervalMillis,
                 millis,
                 pauseLimitMillis,
-                noticeMillis,
-                resumeAttempts,
+                noticeTimeoutMillis,
+                resumeLimit,
                 streamSilenceMillis,
                 pollWaitMillis);
     }
@@ -78,16 +78,16 @@
         return new SideLimits(
                 attempts,
                 attemptLimit,
-                retentionMillis,
+                attemptRetentionMillis,
                 answerRetentionMillis,
                 unpolledLimitMillis,
-                tickMillis,
-                adapterTickMillis,
-                resendMillis,
+                tickIntervalMillis,
+                adapterTickIntervalMillis,
+                resendIntervalMillis,
                 quarantineMillis,
                 pauseLimitMillis,
-                noticeMillis,
-                resumeAttempts,
+                noticeTimeoutMillis,
+                resumeLimit,
                 streamSilenceMillis,
                 pollWaitMillis);
     }
@@ -98,20 +98,20 @@
      * @param millis how long an ended attempt is remembered.
      * @return the changed limits.
      */
-    public SideLimits withRetentionMillis(long millis) {
+    public SideLimits withAttemptRetentionMillis(long millis) {
         return new SideLimits(
                 queueLimit,
                 attemptLimit,
                 millis,
                 answerRetentionMillis,
                 unpolledLimitMillis,
-                tickMillis,
-                adapterTickMillis,
-                resendMillis,
+                tickIntervalMillis,
+                adapterTickIntervalMillis,
+                resendIntervalMillis,
                 quarantineMillis,
                 pauseLimitMillis,
-                noticeMillis,
-                resumeAttempts,
+                noticeTimeoutMillis,
+                resumeLimit,
                 streamSilenceMillis,
                 pollWaitMillis);
     }
@@ -126,16 +126,16 @@
         return new SideLimits(
                 queueLimit,
                 attemptLimit,
-                retentionMillis,
+                attemptRetentionMillis,
                 answerRetentionMillis,
                 unpolledLimitMillis,
-                tickMillis,
-                adapterTickMillis,
-                resendMillis,
+                tickIntervalMillis,
+                adapterTickIntervalMillis,
+                resendIntervalMillis,
                 quarantineMillis,
                 pauseLimitMillis,
-                noticeMillis,
-                resumeAttempts,
+                noticeTimeoutMillis,
+                resumeLimit,
                 millis,
                 pollWaitMillis);
     }
@@ -150,16 +150,16 @@
         return new SideLimits(
                 queueLimit,
                 attemptLimit,
-                retentionMillis,
+                attemptRetentionMillis,
                 answerRetentionMillis,
                 unpolledLimitMillis,
-                tickMillis,
-                adapterTickMillis,
-                resendMillis,
+                tickIntervalMillis,
+                adapterTickIntervalMillis,
+                resendIntervalMillis,
                 quarantineMillis,
                 pauseLimitMillis,
-                noticeMillis,
-                resumeAttempts,
+                noticeTimeoutMillis,
+                resumeLimit,
                 streamSilenceMillis,
                 millis);
     }
--- a/src/main/java/io/waxwingquay/side/SideNode.java
+++ b/src/main/java/io/waxwingquay/side/SideNode.java
@@ -86,8 +86,8 @@
      *
      * @return the items.
      */
-    public List<String> refusedItems() {
-        return parts.residency().map(Residency::refused).orElse(List.of());
+    public List<String> unplaceableItems() {
+        return parts.residency().map(ResidencyLoop::unplaceableItems).orElse(List.of());
     }
 
     /**
@@ -106,8 +106,8 @@
      *
      * @return the time by the monotonic clock, or empty before the first report and for a plain service.
      */
-    public Optional<Long> residencyReadMillis() {
-        return parts.residency().flatMap(Residency::readMillis);
+    public Optional<Long> lastResidencyReadMillis() {
+        return parts.residency().flatMap(ResidencyLoop::lastReadMillis);
     }
 
     /**
@@ -180,7 +180,7 @@
     public void close() {
         parts.gate().close();
         parts.housekeeping().close();
-        parts.residency().ifPresent(Residency::retire);
+        parts.residency().ifPresent(ResidencyLoop::retire);
         parts.context().scheduler().shutdownNow();
     }
 
@@ -188,7 +188,7 @@
     void leave() {
         LOG.log(System.Logger.Level.INFO, "side: leaving.");
         parts.gate().close();
-        parts.residency().ifPresent(Residency::retire);
+        parts.residency().ifPresent(ResidencyLoop::retire);
         parts.self().on(SideEvent.LEAVE);
         parts.admission()
                 .dispatcher()
--- a/src/main/java/io/waxwingquay/side/SideNodeBuilder.java
+++ b/src/main/java/io/waxwingquay/side/SideNodeBuilder.java
@@ -210,14 +210,14 @@
      * @param ledger the memory ledger, for a fenced or an unfenced engine as the bundle says.
      * @return the side, not started.
      */
-    public SideNode forModels(ModelEngine engine, MemoryLedger ledger) {
+    public SideNode forModelEngine(ModelEngine engine, MemoryLedger ledger) {
         SideContext context = context();
         AtomicReference<Runnable> leave = new AtomicReference<>(() -> {});
         AtomicReference<Runnable> wake = new AtomicReference<>(() -> {});
         AtomicReference<Admission> way = new AtomicReference<>();
         new SideMeters(meters, identity.sideId()).registerModel(ledger);
         LoadMeter meter = new LoadMeter(clock, random, () -> ledger.snapshot().freeBytes());
-        Residency residency = new Residency(
+        ResidencyLoop residency = new ResidencyLoop(
                 context, engine, ledger, permits, wantedItems, () -> leave.get().run());
         CrashHandler crashes = new CrashHandler(
                 context, engine, meter, refusal -> way.get().dispatcher().refuseQueued(refusal));
@@ -239,7 +239,7 @@
     }
 
     private AttemptBook book() {
-        return new AttemptBook(clock, limits.retentionMillis(), limits.attemptLimit());
+        return new AttemptBook(clock, limits.attemptRetentionMillis(), limits.attemptLimit());
     }
 
     private SideContext context() {
--- a/src/main/java/io/waxwingquay/side/SideParts.java
+++ b/src/main/java/io/waxwingquay/side/SideParts.java
@@ -26,5 +26,5 @@
         SelfRecord self,
         Admission admission,
         Housekeeping housekeeping,
-        Optional<Residency> residency,
+        Optional<ResidencyLoop> residency,
         Supplier<Optional<Snapshot>> memory) {}
--- a/src/main/java/io/waxwingquay/side/Target.java
+++ b/src/main/java/io/waxwingquay/side/Target.java
@@ -39,7 +39,7 @@
 
         private final SideContext context;
         private final MemoryLedger ledger;
-        private final Residency residency;
+        private final ResidencyLoop residency;
         private final ModelRunner runner;
         private final CrashHandler crashes;
         private final Runnable wake;
@@ -47,7 +47,7 @@
         ForModels(
                 SideContext context,
                 MemoryLedger ledger,
-                Residency residency,
+                ResidencyLoop residency,
                 ModelRunner runner,
                 CrashHandler crashes,
                 Runnable wake) {
@@ -65,7 +65,7 @@
             long oldestMillis = context.clock().monotonicMillis()
                     - STALE_PAUSES * context.limits().pauseLimitMillis();
             return residency
-                    .readMillis()
+                    .lastReadMillis()
                     .filter(read -> read > crashes.downMillis() && read >= oldestMillis)
                     .isPresent();
         }
--- a/src/test/java/io/waxwingquay/scenario/EngineWorld.java
+++ b/src/test/java/io/waxwingquay/scenario/EngineWorld.java
@@ -86,7 +86,7 @@
         MemoryLedger ledger = fenced
                 ? MemoryLedger.forFencedEngine(CAPACITY_BYTES, time, LIMITS.quarantineMillis())
                 : MemoryLedger.forUnfencedEngine(CAPACITY_BYTES, time, LIMITS.quarantineMillis());
-        SideNode node = builder(model).forModels(new Watched(real), ledger);
+        SideNode node = builder(model).forModelEngine(new Watched(real), ledger);
         sides.add(node);
         ticking.add(node);
         tick();
--- a/src/test/java/io/waxwingquay/side/AdmissionRuleTest.java
+++ b/src/test/java/io/waxwingquay/side/AdmissionRuleTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import io.waxwingquay.side.AdmissionRule.Outlook;
+import io.waxwingquay.side.AdmissionRule.Estimate;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.DoubleRange;
@@ -19,8 +19,8 @@
     @Property(tries = 300, seed = "20261202")
     void busyTargetTakesWhatEndsByTheDeadlineAndNothingElse(
             @ForAll @DoubleRange(max = 2_000) double waitMillis, @ForAll @DoubleRange(max = 2_000) double runMillis) {
-        Outlook outlook = new Outlook(waitMillis, runMillis, BUDGET_MILLIS, BUSY);
-        assertEquals(waitMillis + runMillis <= BUDGET_MILLIS, AdmissionRule.WITH_RUN_TIME.mayEnter(outlook));
+        Estimate outlook = new Estimate(waitMillis, runMillis, BUDGET_MILLIS, BUSY);
+        assertEquals(waitMillis + runMillis <= BUDGET_MILLIS, AdmissionRule.WITH_RUN_TIME.mayQueue(outlook));
     }
 
     /*
@@ -30,15 +30,15 @@
      */
     @Property(tries = 100, seed = "20261202")
     void idleTargetRefusesNothing(@ForAll @IntRange(min = 1, max = 1_000_000) int runMillis) {
-        Outlook outlook = new Outlook(0, runMillis, 1L, 0);
-        assertTrue(AdmissionRule.WITH_RUN_TIME.mayEnter(outlook));
+        Estimate outlook = new Estimate(0, runMillis, 1L, 0);
+        assertTrue(AdmissionRule.WITH_RUN_TIME.mayQueue(outlook));
         assertTrue(AdmissionRule.WITH_RUN_TIME.mayStart(outlook));
     }
 
     @Test
     void waitingRoomLetsAllInButOffersNoStartThatIsTooLate() {
-        Outlook late = new Outlook(0, 2 * BUDGET_MILLIS, BUDGET_MILLIS, BUSY);
-        assertTrue(AdmissionRule.WAITING_ROOM.mayEnter(late));
-        assertFalse(AdmissionRule.WAITING_ROOM.mayStart(late));
+        Estimate late = new Estimate(0, 2 * BUDGET_MILLIS, BUDGET_MILLIS, BUSY);
+        assertTrue(AdmissionRule.START_CHECK_ONLY.mayQueue(late));
+        assertFalse(AdmissionRule.START_CHECK_ONLY.mayStart(late));
     }
 }
--- a/src/test/java/io/waxwingquay/side/ResidencyTest.java
+++ b/src/test/java/io/waxwingquay/side/ResidencyTest.java
@@ -87,7 +87,7 @@
             bench.wanted = List.of(MODEL_B);
             bench.protectedItems = Set.of(MODEL_A);
             bench.settle();
-            assertEquals(List.of(MODEL_B), bench.node.refusedItems());
+            assertEquals(List.of(MODEL_B), bench.node.unplaceableItems());
             bench.protectedItems = Set.of();
             bench.settle();
             bench.settle();
@@ -195,9 +195,9 @@
     }
 
     private static void resendTime(SideBench bench) {
-        bench.clock.advance(bench.limits.resendMillis() / 2L);
+        bench.clock.advance(bench.limits.resendIntervalMillis() / 2L);
         bench.tick();
-        bench.clock.advance(bench.limits.resendMillis() / 2L);
+        bench.clock.advance(bench.limits.resendIntervalMillis() / 2L);
         bench.tick();
     }
 
--- a/src/test/java/io/waxwingquay/side/SideBench.java
+++ b/src/test/java/io/waxwingquay/side/SideBench.java
@@ -72,7 +72,7 @@
         MemoryLedger ledger = unfenced.length > 0
                 ? MemoryLedger.forUnfencedEngine(CAPACITY_BYTES, clock, limits.quarantineMillis())
                 : MemoryLedger.forFencedEngine(CAPACITY_BYTES, clock, limits.quarantineMillis());
-        node = builder(epoch).forModels(engine, ledger);
+        node = builder(epoch).forModelEngine(engine, ledger);
         tick();
         return this;
     }
--- a/src/test/java/io/waxwingquay/side/SideNodeTest.java
+++ b/src/test/java/io/waxwingquay/side/SideNodeTest.java
@@ -70,7 +70,7 @@
         try (SideBench bench = new SideBench().start(1L).settle()) {
             submit(bench, modelCall("r", "a"));
             bench.engine.streams.get(0).tokens(0L, "a");
-            for (int i = 1; i <= 2 * bench.limits.resumeAttempts(); i++) {
+            for (int i = 1; i <= 2 * bench.limits.resumeLimit(); i++) {
                 bench.clock.advance(bench.limits.streamSilenceMillis());
                 bench.tick();
                 assertEquals(1 + i, bench.engine.streams.size());
@@ -263,7 +263,7 @@
                     RefusalReason.WRONG_EPOCH,
                     refusal(bench, bench.plainCall("e", 7L)).getReason());
             Submission stale = bench.plainCall("s", 1L);
-            bench.clock.advance(bench.limits.retentionMillis());
+            bench.clock.advance(bench.limits.attemptRetentionMillis());
             assertEquals(Execution.UNKNOWN, refusal(bench, stale).getExecution());
             assertTrue(calls.isEmpty());
             submit(bench, bench.plainCall("once", 1L));
