--- a/src/main/java/io/waxwingquay/side/AdapterQueue.java
+++ b/src/main/java/io/waxwingquay/side/AdapterQueue.java
@@ -13,7 +13,7 @@
 final class AdapterQueue {
 
     private final MemoryLedger ledger;
-    private final Map<String, List<CompletableFuture<Void>>> waiting = new LinkedHashMap<>();
+    private final Map<String, List<CompletableFuture<Void>>> waitersByItem = new LinkedHashMap<>();
 
     AdapterQueue(MemoryLedger ledger) {
         this.ledger = ledger;
@@ -26,36 +26,36 @@
             return pinned;
         }
         synchronized (this) {
-            waiting.computeIfAbsent(item, name -> new ArrayList<>()).add(pinned);
+            waitersByItem.computeIfAbsent(item, name -> new ArrayList<>()).add(pinned);
         }
         return pinned;
     }
 
     /** Items waited for, the longest waiting first. */
-    synchronized List<String> awaited() {
-        waiting.values().forEach(list -> list.removeIf(CompletableFuture::isDone));
-        waiting.values().removeIf(List::isEmpty);
-        return List.copyOf(waiting.keySet());
+    synchronized List<String> awaitedItems() {
+        waitersByItem.values().forEach(list -> list.removeIf(CompletableFuture::isDone));
+        waitersByItem.values().removeIf(List::isEmpty);
+        return List.copyOf(waitersByItem.keySet());
     }
 
     /** Wakes those whose adapter is resident now. */
-    void settle() {
-        for (String item : awaited()) {
+    void completeResident() {
+        for (String item : awaitedItems()) {
             while (ledger.pin(item)) {
-                CompletableFuture<Void> next = take(item);
-                if (next == null) {
+                CompletableFuture<Void> waiter = removeFirst(item);
+                if (waiter == null) {
                     ledger.unpin(item);
                     break;
                 }
-                if (!next.complete(null)) {
+                if (!waiter.complete(null)) {
                     ledger.unpin(item);
                 }
             }
         }
     }
 
-    private synchronized CompletableFuture<Void> take(String item) {
-        List<CompletableFuture<Void>> list = waiting.getOrDefault(item, List.of());
-        return list.isEmpty() ? null : list.remove(0);
+    private synchronized CompletableFuture<Void> removeFirst(String item) {
+        List<CompletableFuture<Void>> waiters = waitersByItem.getOrDefault(item, List.of());
+        return waiters.isEmpty() ? null : waiters.remove(0);
     }
 }
--- a/src/main/java/io/waxwingquay/side/Admission.java
+++ b/src/main/java/io/waxwingquay/side/Admission.java
@@ -17,31 +17,31 @@
 
     private static final System.Logger LOG = System.getLogger("waxwingquay.side");
     private final SideContext context;
-    private final AttemptBook book;
+    private final AttemptRegistry attempts;
     private final DrainGate gate;
     private final Target target;
-    private final LoadMeter meter;
-    private final SelfRecord self;
+    private final LoadMeter loadMeter;
+    private final SideRecordPublisher recordPublisher;
     private final Dispatcher dispatcher;
     private final AdmissionRule rule;
-    private final AtomicReference<Optional<Attempt>> suspect = new AtomicReference<>(Optional.empty());
+    private final AtomicReference<Optional<Attempt>> suspectSlot = new AtomicReference<>(Optional.empty());
 
     Admission(
             SideContext context,
-            AttemptBook book,
+            AttemptRegistry attempts,
             DrainGate gate,
             Target target,
-            LoadMeter meter,
-            SelfRecord self,
+            LoadMeter loadMeter,
+            SideRecordPublisher recordPublisher,
             AdmissionRule rule) {
         this.context = context;
-        this.book = book;
+        this.attempts = attempts;
         this.gate = gate;
         this.target = target;
-        this.meter = meter;
-        this.self = self;
+        this.loadMeter = loadMeter;
+        this.recordPublisher = recordPublisher;
         this.rule = rule;
-        this.dispatcher = new Dispatcher(context, meter, this::maxConcurrent, rule, this::begin);
+        this.dispatcher = new Dispatcher(context, loadMeter, this::maxConcurrent, rule, this::runDispatched);
     }
 
     Dispatcher dispatcher() {
@@ -49,40 +49,40 @@
     }
 
     /** Why the submission was refused, or empty if it is in or was in before. */
-    Optional<Door.Denial> submit(Submission submission) {
-        if (book.find(submission.getAttemptId()).isPresent()) {
+    Optional<AdmissionCheck.Rejection> submit(Submission submission) {
+        if (attempts.find(submission.getAttemptId()).isPresent()) {
             return Optional.empty();
         }
-        Optional<Door.Denial> denial = Door.decide(view(submission), submission);
-        noteDemand(submission, denial);
-        return denial.isPresent() ? denial : take(submission);
+        Optional<AdmissionCheck.Rejection> rejection = AdmissionCheck.check(inputs(submission), submission);
+        recordDemand(submission, rejection);
+        return rejection.isPresent() ? rejection : register(submission);
     }
 
-    private Optional<Door.Denial> take(Submission submission) {
-        AttemptBook.Taken taken = book.take(submission);
-        return switch (taken.outcome()) {
+    private Optional<AdmissionCheck.Rejection> register(Submission submission) {
+        AttemptRegistry.Registration registration = attempts.register(submission);
+        return switch (registration.outcome()) {
             case ATTACHED -> Optional.empty();
-            case WITHDRAWN -> denial(RefusalReason.WITHDRAWN, "the attempt was withdrawn");
-            case FORGOTTEN -> Optional.of(new Door.Denial(
+            case WITHDRAWN -> rejection(RefusalReason.WITHDRAWN, "the attempt was withdrawn");
+            case EXPIRED -> Optional.of(new AdmissionCheck.Rejection(
                     RefusalReason.EXPIRED_ATTEMPT, "the attempt's outcome is no longer kept", Execution.UNKNOWN));
-            case FULL -> denial(RefusalReason.OVERLOADED, "too many attempts are remembered");
-            case NEW -> bringIn(taken.attempt().orElseThrow());
+            case FULL -> rejection(RefusalReason.OVERLOADED, "too many attempts are remembered");
+            case NEW -> admit(registration.attempt().orElseThrow());
         };
     }
 
-    private Optional<Door.Denial> bringIn(Attempt attempt) {
-        Optional<Door.Denial> denial = enter(attempt)
-                .or(() -> holdSuspect(attempt))
+    private Optional<AdmissionCheck.Rejection> admit(Attempt attempt) {
+        Optional<AdmissionCheck.Rejection> rejection = enterGate(attempt)
+                .or(() -> occupySuspectSlot(attempt))
                 .or(() -> pin(attempt))
                 .or(() -> enqueue(attempt));
-        denial.ifPresent(found -> {
-            refuse(attempt, found);
-            attempt.noteTold(context.clock().monotonicMillis());
+        rejection.ifPresent(found -> {
+            reject(attempt, found);
+            attempt.noteEndReported(context.clock().monotonicMillis());
         });
-        if (denial.isEmpty()) {
-            attempt.ended().thenAccept(Admission::logEnd);
+        if (rejection.isEmpty()) {
+            attempt.whenEnded().thenAccept(Admission::logEnd);
         }
-        return denial;
+        return rejection;
     }
 
     private static void logEnd(Attempt attempt) {
@@ -93,86 +93,86 @@
                         + ", " + attempt.state() + ", " + attempt.execution() + ".");
     }
 
-    private Optional<Door.Denial> enter(Attempt attempt) {
+    private Optional<AdmissionCheck.Rejection> enterGate(Attempt attempt) {
         if (!gate.tryEnter()) {
-            return denial(RefusalReason.LEAVING, "this side is leaving");
+            return rejection(RefusalReason.LEAVING, "this side is leaving");
         }
-        attempt.ended().thenRun(gate::leave);
+        attempt.whenEnded().thenRun(gate::leave);
         return Optional.empty();
     }
 
     /** Two suspects side by side would leave open which of them crashed the target. */
-    private Optional<Door.Denial> holdSuspect(Attempt attempt) {
+    private Optional<AdmissionCheck.Rejection> occupySuspectSlot(Attempt attempt) {
         Standing standing = context.suspects().standing(attempt.submission().getFingerprint());
         if (standing == Standing.QUARANTINED) {
-            return denial(RefusalReason.QUARANTINED, "requests like this one ran on two targets that crashed");
+            return rejection(RefusalReason.QUARANTINED, "requests like this one ran on two targets that crashed");
         }
-        if (standing == Standing.CLEAR || isHeldBy(attempt)) {
+        if (standing == Standing.CLEAR || occupiesSuspectSlot(attempt)) {
             return Optional.empty();
         }
-        Optional<Attempt> none = suspect.get();
-        if (none.isPresent() || !suspect.compareAndSet(none, Optional.of(attempt))) {
-            return denial(RefusalReason.SUSPECT_BUSY, "another suspect request is here");
+        Optional<Attempt> occupant = suspectSlot.get();
+        if (occupant.isPresent() || !suspectSlot.compareAndSet(occupant, Optional.of(attempt))) {
+            return rejection(RefusalReason.SUSPECT_BUSY, "another suspect request is here");
         }
-        attempt.ended().thenRun(() -> suspect.set(Optional.empty()));
+        attempt.whenEnded().thenRun(() -> suspectSlot.set(Optional.empty()));
         return Optional.empty();
     }
 
-    private boolean isHeldBy(Attempt attempt) {
-        return suspect.get().filter(held -> held == attempt).isPresent();
+    private boolean occupiesSuspectSlot(Attempt attempt) {
+        return suspectSlot.get().filter(held -> held == attempt).isPresent();
     }
 
-    private Optional<Door.Denial> pin(Attempt attempt) {
+    private Optional<AdmissionCheck.Rejection> pin(Attempt attempt) {
         if (!target.pin(attempt)) {
-            return denial(RefusalReason.NOT_RESIDENT, "the model has just left memory here");
+            return rejection(RefusalReason.NOT_RESIDENT, "the model has just left memory here");
         }
-        attempt.ended().thenRun(() -> target.unpin(attempt));
+        attempt.whenEnded().thenRun(() -> target.unpin(attempt));
         return Optional.empty();
     }
 
-    private Optional<Door.Denial> enqueue(Attempt attempt) {
+    private Optional<AdmissionCheck.Rejection> enqueue(Attempt attempt) {
         CompletableFuture<Void> prepared = target.prepare(attempt);
-        boolean queued = dispatcher.add(attempt, prepared);
-        return queued ? Optional.empty() : denial(RefusalReason.OVERLOADED, "the queue is full");
+        boolean queued = dispatcher.enqueue(attempt, prepared);
+        return queued ? Optional.empty() : rejection(RefusalReason.OVERLOADED, "the queue is full");
     }
 
     /** A crash while it was queued may have made it a suspect, so its standing is looked at once more. */
-    private void begin(Attempt attempt) {
-        Optional<Door.Denial> denial = holdSuspect(attempt);
-        if (denial.isPresent()) {
-            refuse(attempt, denial.get());
+    private void runDispatched(Attempt attempt) {
+        Optional<AdmissionCheck.Rejection> rejection = occupySuspectSlot(attempt);
+        if (rejection.isPresent()) {
+            reject(attempt, rejection.get());
         } else {
             target.run(attempt);
         }
     }
 
-    private void refuse(Attempt attempt, Door.Denial denial) {
+    private void reject(Attempt attempt, AdmissionCheck.Rejection rejection) {
         attempt.fail(
-                meter.refusal(denial.reason(), denial.message(), denial.execution()),
+                loadMeter.refusal(rejection.reason(), rejection.message(), rejection.execution()),
                 context.clock().monotonicMillis());
     }
 
-    private Door.View view(Submission submission) {
-        LoadMeter.Counts counts = meter.counts();
+    private AdmissionCheck.Inputs inputs(Submission submission) {
+        LoadMeter.Counts counts = loadMeter.counts();
         int priority = submission.isSetModel() ? submission.getModel().getPriority() : 0;
         long deadlineMillis = context.clock().monotonicMillis() + submission.getBudgetMillis();
         long oldestMillis = context.clock().epochMillis() - context.limits().attemptRetentionMillis() / 2L;
-        return new Door.View(
+        return new AdmissionCheck.Inputs(
                 gate.isClosed(),
                 context.service().isPresent() && target.isReady(),
                 context.identity().serviceName(),
                 context.identity().epoch(),
                 oldestMillis,
                 context.suspects().standing(submission.getFingerprint()),
-                suspect.get().isPresent(),
-                target.holds(submission),
+                suspectSlot.get().isPresent(),
+                target.canRun(submission),
                 counts.running(),
                 counts.queued(),
-                dispatcher.aheadOf(priority, deadlineMillis),
+                dispatcher.queuedAhead(priority, deadlineMillis),
                 maxConcurrent(),
                 context.limits().queueLimit(),
-                meter.drainPerSecond(),
-                Dispatcher.runMillis(meter, submission),
+                loadMeter.throughputPerSecond(),
+                Dispatcher.estimatedRunMillis(loadMeter, submission),
                 rule);
     }
 
@@ -180,18 +180,19 @@
         return context.service().map(service -> service.maxConcurrent()).orElse(0);
     }
 
-    private void noteDemand(Submission submission, Optional<Door.Denial> denial) {
-        boolean counts = denial.map(found -> found.reason() == RefusalReason.NOT_RESIDENT)
+    private void recordDemand(Submission submission, Optional<AdmissionCheck.Rejection> rejection) {
+        boolean isDemand = rejection
+                .map(found -> found.reason() == RefusalReason.NOT_RESIDENT)
                 .orElse(true);
-        if (submission.isSetModel() && counts) {
-            String item = ModelItems.model(context.bundles().current(), submission.getModel());
-            if (ModelItems.isOffered(context.bundles().current(), item)) {
-                self.noteDemand(item);
+        if (submission.isSetModel() && isDemand) {
+            String item = ItemNames.modelItem(context.bundles().current(), submission.getModel());
+            if (ItemNames.isInBundle(context.bundles().current(), item)) {
+                recordPublisher.recordDemand(item);
             }
         }
     }
 
-    private static Optional<Door.Denial> denial(RefusalReason reason, String message) {
-        return Optional.of(new Door.Denial(reason, message, Execution.DID_NOT_RUN));
+    private static Optional<AdmissionCheck.Rejection> rejection(RefusalReason reason, String message) {
+        return Optional.of(new AdmissionCheck.Rejection(reason, message, Execution.DID_NOT_RUN));
     }
 }
--- a/src/main/java/io/waxwingquay/side/AdmissionRule.java
+++ b/src/main/java/io/waxwingquay/side/AdmissionRule.java
@@ -8,18 +8,18 @@
     /**
      * Whether a request may come in to wait.
      *
-     * @param outlook what is expected of it.
+     * @param estimate what is expected of it.
      * @return whether it may.
      */
-    boolean mayQueue(Estimate outlook);
+    boolean mayQueue(Estimate estimate);
 
     /**
      * Whether a request that has waited may still be handed to the target.
      *
-     * @param outlook what is expected of it, without a wait.
+     * @param estimate what is expected of it, without a wait.
      * @return whether it may.
      */
-    boolean mayStart(Estimate outlook);
+    boolean mayStart(Estimate estimate);
 
     /** Refuses what would wait past its deadline, and starts all that came in. */
     AdmissionRule WAIT_ONLY = new WaitOnly();
@@ -57,13 +57,13 @@
 
         /** {@inheritDoc} */
         @Override
-        public boolean mayQueue(Estimate outlook) {
-            return outlook.waitMillis() <= outlook.budgetMillis();
+        public boolean mayQueue(Estimate estimate) {
+            return estimate.waitMillis() <= estimate.budgetMillis();
         }
 
         /** {@inheritDoc} */
         @Override
-        public boolean mayStart(Estimate outlook) {
+        public boolean mayStart(Estimate estimate) {
             return true;
         }
     }
@@ -73,37 +73,40 @@
 
         /** {@inheritDoc} */
         @Override
-        public boolean mayQueue(Estimate outlook) {
-            return outlook.finishesInTime();
+        public boolean mayQueue(Estimate estimate) {
+            return estimate.finishesInTime();
         }
 
         /** {@inheritDoc} */
         @Override
-        public boolean mayStart(Estimate outlook) {
-            return outlook.finishesInTime();
+        public boolean mayStart(Estimate estimate) {
+            return estimate.finishesInTime();
         }
     }
 
     /** See {@link #WITH_MARGIN}. */
     final class WithMargin implements AdmissionRule {
 
-        private static final double MARGIN = 1.25;
+        private static final double RUN_TIME_FACTOR = 1.25;
 
         /** {@inheritDoc} */
         @Override
-        public boolean mayQueue(Estimate outlook) {
-            return longer(outlook).finishesInTime();
+        public boolean mayQueue(Estimate estimate) {
+            return withMargin(estimate).finishesInTime();
         }
 
         /** {@inheritDoc} */
         @Override
-        public boolean mayStart(Estimate outlook) {
-            return longer(outlook).finishesInTime();
+        public boolean mayStart(Estimate estimate) {
+            return withMargin(estimate).finishesInTime();
         }
 
-        private static Estimate longer(Estimate outlook) {
+        private static Estimate withMargin(Estimate estimate) {
             return new Estimate(
-                    outlook.waitMillis(), outlook.runMillis() * MARGIN, outlook.budgetMillis(), outlook.running());
+                    estimate.waitMillis(),
+                    estimate.runMillis() * RUN_TIME_FACTOR,
+                    estimate.budgetMillis(),
+                    estimate.running());
         }
     }
 
@@ -112,14 +115,14 @@
 
         /** {@inheritDoc} */
         @Override
-        public boolean mayQueue(Estimate outlook) {
+        public boolean mayQueue(Estimate estimate) {
             return true;
         }
 
         /** {@inheritDoc} */
         @Override
-        public boolean mayStart(Estimate outlook) {
-            return outlook.finishesInTime();
+        public boolean mayStart(Estimate estimate) {
+            return estimate.finishesInTime();
         }
     }
 }
--- a/src/main/java/io/waxwingquay/side/Attempt.java
+++ b/src/main/java/io/waxwingquay/side/Attempt.java
@@ -24,14 +24,14 @@
     private final CompletableFuture<Attempt> ended = new CompletableFuture<>();
     private final UnitBuffer buffer = new UnitBuffer();
     private RequestState state = RequestState.CHART.initial();
-    private boolean handedOver;
+    private boolean dispatched;
     private Optional<Refusal> failure = Optional.empty();
     private Optional<Integer> statusCode = Optional.empty();
     private Optional<String> contentType = Optional.empty();
-    private List<CompletableFuture<Void>> waiters = new ArrayList<>();
+    private List<CompletableFuture<Void>> progressWaiters = new ArrayList<>();
     private long lastPolledMillis;
     private long endedMillis;
-    private OptionalLong endToldMillis = OptionalLong.empty();
+    private OptionalLong endReportedMillis = OptionalLong.empty();
 
     Attempt(Submission submission, long nowMillis) {
         this.submission = submission;
@@ -59,7 +59,7 @@
         return submission.isSetModel() ? submission.getModel().getPriority() : 0;
     }
 
-    CompletableFuture<Attempt> ended() {
+    CompletableFuture<Attempt> whenEnded() {
         return ended;
     }
 
@@ -72,16 +72,16 @@
     }
 
     synchronized boolean start() {
-        if (!move(Event.START)) {
+        if (!transition(Event.START)) {
             return false;
         }
-        handedOver = true;
+        dispatched = true;
         return true;
     }
 
     /** Appends a unit; one seen before is dropped. False says that a unit before it is missing. */
     boolean append(long offset, byte[] unit) {
-        List<CompletableFuture<Void>> woken;
+        List<CompletableFuture<Void>> waiters;
         synchronized (this) {
             if (offset > buffer.units()) {
                 return false;
@@ -90,9 +90,9 @@
                 return true;
             }
             buffer.append(unit);
-            woken = takeWaiters();
+            waiters = removeWaiters();
         }
-        woken.forEach(waiter -> waiter.complete(null));
+        waiters.forEach(waiter -> waiter.complete(null));
         return true;
     }
 
@@ -126,13 +126,13 @@
     }
 
     /** Refuses it if it has not been handed over; a running attempt is left alone. */
-    boolean withdrawWith(Refusal refusal, long nowMillis) {
+    boolean rejectIfQueued(Refusal refusal, long nowMillis) {
         return end(Event.REFUSE, Optional.of(refusal), nowMillis);
     }
 
     /** What became of it, read as one. */
     synchronized ResolveAnswer resolution() {
-        return new ResolveAnswer(execution(), state.wire());
+        return new ResolveAnswer(execution(), state.wireState());
     }
 
     /** Whether the target ran it, as far as this side can tell. */
@@ -143,60 +143,61 @@
         if (state == RequestState.DONE) {
             return Execution.RAN;
         }
-        return handedOver || !state.hasEnded() ? Execution.UNKNOWN : Execution.DID_NOT_RUN;
+        return dispatched || !state.hasEnded() ? Execution.UNKNOWN : Execution.DID_NOT_RUN;
     }
 
     /** Answers once there is news after the offset, or after the wait. */
     CompletableFuture<PollAnswer> poll(
-            long fromOffset, long waitMillis, long nowMillis, java.util.function.Supplier<LoadReport> load) {
-        CompletableFuture<Void> news = new CompletableFuture<>();
+            long fromOffset, long waitMillis, long nowMillis, java.util.function.Supplier<LoadReport> loadReport) {
+        CompletableFuture<Void> progress = new CompletableFuture<>();
         synchronized (this) {
             lastPolledMillis = nowMillis;
             if (fromOffset < buffer.units() || state.hasEnded()) {
-                news.complete(null);
+                progress.complete(null);
             } else {
-                waiters.add(news);
-                news.completeOnTimeout(null, Math.max(0L, waitMillis), java.util.concurrent.TimeUnit.MILLISECONDS);
+                progressWaiters.add(progress);
+                progress.completeOnTimeout(null, Math.max(0L, waitMillis), java.util.concurrent.TimeUnit.MILLISECONDS);
             }
         }
-        return news.thenApply(ignored -> answer(fromOffset, news, load.get()));
+        return progress.thenApply(ignored -> pollAnswer(fromOffset, progress, loadReport.get()));
     }
 
-    synchronized boolean isUnpolledSince(long limitMillis, long nowMillis) {
-        return !state.hasEnded() && nowMillis - lastPolledMillis > limitMillis;
+    synchronized boolean isUnpolledFor(long durationMillis, long nowMillis) {
+        return !state.hasEnded() && nowMillis - lastPolledMillis > durationMillis;
     }
 
     /** Notes that its entry was told of the refusal in the answer to its submission. */
-    synchronized void noteTold(long nowMillis) {
-        endToldMillis = OptionalLong.of(nowMillis);
+    synchronized void noteEndReported(long nowMillis) {
+        endReportedMillis = OptionalLong.of(nowMillis);
     }
 
     /** Whether its end was told, and has not been asked for again for a time. */
-    synchronized boolean isFetched(long quietMillis, long nowMillis) {
-        boolean told = endToldMillis.isPresent() && nowMillis - endToldMillis.getAsLong() > quietMillis;
-        return told || state == RequestState.CANCELLED;
+    synchronized boolean isEndDelivered(long quietMillis, long nowMillis) {
+        boolean reported = endReportedMillis.isPresent() && nowMillis - endReportedMillis.getAsLong() > quietMillis;
+        return reported || state == RequestState.CANCELLED;
     }
 
-    synchronized boolean isEndedSince(long limitMillis, long nowMillis) {
-        return state.hasEnded() && nowMillis - endedMillis > limitMillis;
+    synchronized boolean isEndedFor(long durationMillis, long nowMillis) {
+        return state.hasEnded() && nowMillis - endedMillis > durationMillis;
     }
 
     /** Drops a long finished answer's bytes and keeps its outcome. */
-    synchronized void release() {
+    synchronized void releaseAnswer() {
         buffer.release();
     }
 
-    private synchronized PollAnswer answer(long fromOffset, CompletableFuture<Void> news, LoadReport load) {
-        waiters.remove(news);
-        PollAnswer answer = new PollAnswer(state.wire(), new ArrayList<>(), load);
-        if (buffer.hasAfter(fromOffset)) {
-            answer.getChunks().add(buffer.from(fromOffset));
+    private synchronized PollAnswer pollAnswer(
+            long fromOffset, CompletableFuture<Void> progress, LoadReport loadReport) {
+        progressWaiters.remove(progress);
+        PollAnswer answer = new PollAnswer(state.wireState(), new ArrayList<>(), loadReport);
+        if (buffer.hasUnitsFrom(fromOffset)) {
+            answer.getChunks().add(buffer.chunkFrom(fromOffset));
         }
         if (state == RequestState.DONE) {
             answer.setTotalUnits(buffer.units());
         }
         if (state.hasEnded()) {
-            endToldMillis = OptionalLong.of(lastPolledMillis);
+            endReportedMillis = OptionalLong.of(lastPolledMillis);
         }
         failure.ifPresent(answer::setFailure);
         statusCode.ifPresent(answer::setStatusCode);
@@ -204,31 +205,31 @@
         return answer;
     }
 
-    private boolean move(Event event) {
-        Optional<RequestState> next = state.after(event);
+    private boolean transition(Event event) {
+        Optional<RequestState> next = state.next(event);
         next.ifPresent(found -> state = found);
         return next.isPresent();
     }
 
     private boolean end(Event event, Optional<Refusal> refusal, long nowMillis) {
-        List<CompletableFuture<Void>> woken;
+        List<CompletableFuture<Void>> waiters;
         synchronized (this) {
-            if (!move(event)) {
+            if (!transition(event)) {
                 return false;
             }
             failure = refusal;
             endedMillis = nowMillis;
-            woken = takeWaiters();
+            waiters = removeWaiters();
         }
-        woken.forEach(waiter -> waiter.complete(null));
+        waiters.forEach(waiter -> waiter.complete(null));
         ended.complete(this);
         return true;
     }
 
-    private List<CompletableFuture<Void>> takeWaiters() {
-        List<CompletableFuture<Void>> taken = waiters;
-        waiters = new ArrayList<>();
-        return taken;
+    private List<CompletableFuture<Void>> removeWaiters() {
+        List<CompletableFuture<Void>> removed = progressWaiters;
+        progressWaiters = new ArrayList<>();
+        return removed;
     }
 
     static byte[] utf8(String text) {
--- a/src/main/java/io/waxwingquay/side/AttemptBook.java
+++ b/src/main/java/io/waxwingquay/side/AttemptRegistry.java
@@ -20,42 +20,42 @@
  * hours later would find nothing, be told that the call did not run, and run it a second time. A hash says
  * "unknown" instead; once hashes had to be dropped as well, every absent attempt is unknown.
  */
-final class AttemptBook {
+final class AttemptRegistry {
 
-    private static final int FORGOTTEN_LIMIT = 200_000;
+    private static final int MAX_EXPIRED_HASHES = 200_000;
 
     private final Clock clock;
     private final long retentionMillis;
-    private final int limit;
+    private final int maxEntries;
     private final Map<String, Attempt> attempts = new HashMap<>();
-    private final Map<String, Long> withdrawn = new HashMap<>();
-    private final Set<Long> forgotten = new HashSet<>();
-    private boolean forgottenOverflowed;
+    private final Map<String, Long> withdrawnMillis = new HashMap<>();
+    private final Set<Long> expiredHashes = new HashSet<>();
+    private boolean expiredHashesOverflowed;
 
-    AttemptBook(Clock clock, long retentionMillis, int limit) {
+    AttemptRegistry(Clock clock, long retentionMillis, int maxEntries) {
         this.clock = clock;
         this.retentionMillis = retentionMillis;
-        this.limit = limit;
+        this.maxEntries = maxEntries;
     }
 
     /** Finds the attempt of a submission, or takes it in as queued. */
-    synchronized Taken take(Submission submission) {
+    synchronized Registration register(Submission submission) {
         Attempt known = attempts.get(submission.getAttemptId());
         if (known != null) {
-            return new Taken(Outcome.ATTACHED, Optional.of(known));
+            return new Registration(Outcome.ATTACHED, Optional.of(known));
         }
-        if (withdrawn.containsKey(submission.getAttemptId())) {
-            return new Taken(Outcome.WITHDRAWN, Optional.empty());
+        if (withdrawnMillis.containsKey(submission.getAttemptId())) {
+            return new Registration(Outcome.WITHDRAWN, Optional.empty());
         }
-        if (forgotten.contains(hash(submission.getAttemptId()))) {
-            return new Taken(Outcome.FORGOTTEN, Optional.empty());
+        if (expiredHashes.contains(hash(submission.getAttemptId()))) {
+            return new Registration(Outcome.EXPIRED, Optional.empty());
         }
-        if (attempts.size() + withdrawn.size() >= limit) {
-            return new Taken(Outcome.FULL, Optional.empty());
+        if (attempts.size() + withdrawnMillis.size() >= maxEntries) {
+            return new Registration(Outcome.FULL, Optional.empty());
         }
         Attempt attempt = new Attempt(submission, clock.monotonicMillis());
         attempts.put(attempt.id(), attempt);
-        return new Taken(Outcome.NEW, Optional.of(attempt));
+        return new Registration(Outcome.NEW, Optional.of(attempt));
     }
 
     synchronized Optional<Attempt> find(String attemptId) {
@@ -78,10 +78,13 @@
     }
 
     private ResolveAnswer resolveAbsent(String attemptId, boolean withdraw) {
-        if (withdrawn.containsKey(attemptId)) {
+        if (withdrawnMillis.containsKey(attemptId)) {
             return new ResolveAnswer(Execution.DID_NOT_RUN, AttemptState.CANCELLED);
         }
-        if (forgottenOverflowed || forgotten.contains(hash(attemptId)) || !withdraw || !noteWithdrawn(attemptId)) {
+        if (expiredHashesOverflowed
+                || expiredHashes.contains(hash(attemptId))
+                || !withdraw
+                || !recordWithdrawal(attemptId)) {
             return new ResolveAnswer(Execution.UNKNOWN, AttemptState.ABSENT);
         }
         return new ResolveAnswer(Execution.DID_NOT_RUN, AttemptState.CANCELLED);
@@ -98,34 +101,34 @@
     }
 
     /** Forgets what is older than the retention. */
-    synchronized void purge() {
+    synchronized void removeExpired() {
         long nowMillis = clock.monotonicMillis();
-        List<Attempt> old = attempts.values().stream()
-                .filter(attempt -> attempt.isEndedSince(retentionMillis, nowMillis))
+        List<Attempt> expired = attempts.values().stream()
+                .filter(attempt -> attempt.isEndedFor(retentionMillis, nowMillis))
                 .toList();
-        old.forEach(attempt -> attempts.remove(attempt.id()));
-        old.stream().filter(Attempt::isNonIdempotent).forEach(attempt -> forget(attempt.id()));
-        Stream<String> lapsed = withdrawn.entrySet().stream()
+        expired.forEach(attempt -> attempts.remove(attempt.id()));
+        expired.stream().filter(Attempt::isNonIdempotent).forEach(attempt -> recordExpired(attempt.id()));
+        Stream<String> expiredWithdrawals = withdrawnMillis.entrySet().stream()
                 .filter(entry -> nowMillis - entry.getValue() > retentionMillis)
                 .map(Map.Entry::getKey);
-        lapsed.toList().forEach(withdrawn::remove);
+        expiredWithdrawals.toList().forEach(withdrawnMillis::remove);
     }
 
-    private boolean noteWithdrawn(String attemptId) {
-        if (attempts.size() + withdrawn.size() >= limit) {
+    private boolean recordWithdrawal(String attemptId) {
+        if (attempts.size() + withdrawnMillis.size() >= maxEntries) {
             return false;
         }
-        withdrawn.put(attemptId, clock.monotonicMillis());
+        withdrawnMillis.put(attemptId, clock.monotonicMillis());
         return true;
     }
 
-    private void forget(String attemptId) {
-        if (forgotten.size() >= FORGOTTEN_LIMIT) {
-            forgottenOverflowed = true;
-            forgotten.clear();
+    private void recordExpired(String attemptId) {
+        if (expiredHashes.size() >= MAX_EXPIRED_HASHES) {
+            expiredHashesOverflowed = true;
+            expiredHashes.clear();
         }
-        if (!forgottenOverflowed) {
-            forgotten.add(hash(attemptId));
+        if (!expiredHashesOverflowed) {
+            expiredHashes.add(hash(attemptId));
         }
     }
 
@@ -142,7 +145,7 @@
         /** It may never start. */
         WITHDRAWN,
         /** It was here once and may have run; its outcome is no longer kept. */
-        FORGOTTEN,
+        EXPIRED,
         /** There is no room for it. */
         FULL
     }
@@ -153,5 +156,5 @@
      * @param outcome what became of it.
      * @param attempt the attempt, unless refused.
      */
-    record Taken(Outcome outcome, Optional<Attempt> attempt) {}
+    record Registration(Outcome outcome, Optional<Attempt> attempt) {}
 }
--- a/src/main/java/io/waxwingquay/side/CrashHandler.java
+++ b/src/main/java/io/waxwingquay/side/CrashHandler.java
@@ -26,97 +26,104 @@
 final class CrashHandler {
 
     private static final System.Logger LOG = System.getLogger("waxwingquay.side");
-    private static final int PROBES = 3;
-    private static final long PROBE_MILLIS = 1_000L;
-    private static final long PROBE_GAP_MILLIS = 100L;
+    private static final int MAX_PROBES = 3;
+    private static final long PROBE_TIMEOUT_MILLIS = 1_000L;
+    private static final long PROBE_INTERVAL_MILLIS = 100L;
 
     private final SideContext context;
     private final ModelEngine engine;
-    private final LoadMeter meter;
-    private final Consumer<Refusal> refuseQueued;
-    private final Map<Attempt, String> running = new HashMap<>();
-    private final Map<String, CompletableFuture<Verdict>> examinations = new HashMap<>();
-    private volatile long downMillis = Long.MIN_VALUE;
+    private final LoadMeter loadMeter;
+    private final Consumer<Refusal> rejectQueued;
+    private final Map<Attempt, String> bootIdByAttempt = new HashMap<>();
+    private final Map<String, CompletableFuture<EngineStatus>> pendingChecks = new HashMap<>();
+    private volatile long lastCrashMillis = Long.MIN_VALUE;
 
-    CrashHandler(SideContext context, ModelEngine engine, LoadMeter meter, Consumer<Refusal> refuseQueued) {
+    CrashHandler(SideContext context, ModelEngine engine, LoadMeter loadMeter, Consumer<Refusal> rejectQueued) {
         this.context = context;
         this.engine = engine;
-        this.meter = meter;
-        this.refuseQueued = refuseQueued;
+        this.loadMeter = loadMeter;
+        this.rejectQueued = rejectQueued;
     }
 
     /** Notes that an attempt runs in a boot of the engine, until it ends. */
     void track(Attempt attempt, String bootId) {
         synchronized (this) {
-            running.put(attempt, bootId);
+            bootIdByAttempt.put(attempt, bootId);
         }
-        attempt.ended().thenRun(() -> untrack(attempt));
+        attempt.whenEnded().thenRun(() -> untrack(attempt));
     }
 
     /** When a crash was last seen, in monotonic milliseconds. */
-    long downMillis() {
-        return downMillis;
+    long lastCrashMillis() {
+        return lastCrashMillis;
     }
 
     /** Finds out whether the engine still is in the boot in which a now cut stream began. */
-    CompletableFuture<Verdict> examine(String bootId) {
-        CompletableFuture<Verdict> verdict;
+    CompletableFuture<EngineStatus> checkEngine(String bootId) {
+        CompletableFuture<EngineStatus> status;
         synchronized (this) {
-            if (examinations.containsKey(bootId)) {
-                return examinations.get(bootId);
+            if (pendingChecks.containsKey(bootId)) {
+                return pendingChecks.get(bootId);
             }
-            verdict = new CompletableFuture<>();
-            examinations.put(bootId, verdict);
+            status = new CompletableFuture<>();
+            pendingChecks.put(bootId, status);
         }
-        probe(bootId, PROBES, verdict);
-        return verdict;
+        probe(bootId, MAX_PROBES, status);
+        return status;
     }
 
     private synchronized void untrack(Attempt attempt) {
-        running.remove(attempt);
+        bootIdByAttempt.remove(attempt);
     }
 
-    private void probe(String bootId, int probesLeft, CompletableFuture<Verdict> verdict) {
-        engine.residency().orTimeout(PROBE_MILLIS, TimeUnit.MILLISECONDS).whenComplete((report, failure) -> {
-            if (failure == null) {
-                settle(bootId, bootId.equals(report.bootId()) ? Verdict.SAME_BOOT : Verdict.CRASHED, verdict);
-            } else if (probesLeft <= 1) {
-                settle(bootId, Verdict.CRASHED, verdict);
-            } else {
-                context.scheduler()
-                        .schedule(
-                                () -> probe(bootId, probesLeft - 1, verdict), PROBE_GAP_MILLIS, TimeUnit.MILLISECONDS);
-            }
-        });
+    private void probe(String bootId, int probesLeft, CompletableFuture<EngineStatus> status) {
+        engine.residency()
+                .orTimeout(PROBE_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS)
+                .whenComplete((report, failure) -> {
+                    if (failure == null) {
+                        completeCheck(
+                                bootId,
+                                bootId.equals(report.bootId()) ? EngineStatus.SAME_BOOT : EngineStatus.CRASHED,
+                                status);
+                    } else if (probesLeft <= 1) {
+                        completeCheck(bootId, EngineStatus.CRASHED, status);
+                    } else {
+                        context.scheduler()
+                                .schedule(
+                                        () -> probe(bootId, probesLeft - 1, status),
+                                        PROBE_INTERVAL_MILLIS,
+                                        TimeUnit.MILLISECONDS);
+                    }
+                });
     }
 
-    private void settle(String bootId, Verdict found, CompletableFuture<Verdict> verdict) {
+    private void completeCheck(String bootId, EngineStatus found, CompletableFuture<EngineStatus> status) {
         CompletableFuture<Void> handled =
-                found == Verdict.CRASHED ? handleCrash(bootId) : CompletableFuture.completedFuture(null);
+                found == EngineStatus.CRASHED ? handleCrash(bootId) : CompletableFuture.completedFuture(null);
         handled.whenComplete((ignored, failure) -> {
             synchronized (this) {
-                examinations.remove(bootId);
+                pendingChecks.remove(bootId);
             }
-            verdict.complete(found);
+            status.complete(found);
         });
     }
 
     private CompletableFuture<Void> handleCrash(String bootId) {
-        downMillis = context.clock().monotonicMillis();
-        List<Attempt> victims = victims(bootId);
-        Set<Long> fingerprints = victims.stream()
+        lastCrashMillis = context.clock().monotonicMillis();
+        List<Attempt> interrupted = attemptsRunningIn(bootId);
+        Set<Long> fingerprints = interrupted.stream()
                 .map(attempt -> attempt.submission().getFingerprint())
                 .collect(Collectors.toSet());
-        LOG.log(System.Logger.Level.ERROR, "side: target crashed with {0} requests running.", victims.size());
+        LOG.log(System.Logger.Level.ERROR, "side: target crashed with {0} requests running.", interrupted.size());
         context.count("waxwingquay.side.crashes", "side", context.identity().sideId());
         List<SuspectRecord> records =
                 context.suspects().recordCrash(context.identity().sideId() + "/" + bootId, fingerprints);
-        refuseQueued.accept(meter.refusal(RefusalReason.TARGET_DOWN, "the target crashed", Execution.DID_NOT_RUN));
-        return push(records).thenRun(() -> fail(victims));
+        rejectQueued.accept(loadMeter.refusal(RefusalReason.TARGET_DOWN, "the target crashed", Execution.DID_NOT_RUN));
+        return push(records).thenRun(() -> fail(interrupted));
     }
 
-    private synchronized List<Attempt> victims(String bootId) {
-        return running.entrySet().stream()
+    private synchronized List<Attempt> attemptsRunningIn(String bootId) {
+        return bootIdByAttempt.entrySet().stream()
                 .filter(entry -> entry.getValue().equals(bootId))
                 .map(Map.Entry::getKey)
                 .toList();
@@ -141,15 +148,15 @@
         return context.connections().to(side.address()).noteSuspects(notice).handle((taken, failure) -> null);
     }
 
-    private void fail(List<Attempt> victims) {
+    private void fail(List<Attempt> interrupted) {
         long nowMillis = context.clock().monotonicMillis();
-        victims.forEach(attempt -> attempt.fail(
-                meter.refusal(RefusalReason.TARGET_DOWN, "the target crashed while it ran this", Execution.UNKNOWN),
+        interrupted.forEach(attempt -> attempt.fail(
+                loadMeter.refusal(RefusalReason.TARGET_DOWN, "the target crashed while it ran this", Execution.UNKNOWN),
                 nowMillis));
     }
 
     /** What became of the engine. */
-    enum Verdict {
+    enum EngineStatus {
         /** It lives; only the connection was cut. */
         SAME_BOOT,
         /** It restarted or cannot be reached. */
--- a/src/main/java/io/waxwingquay/side/DecayedRate.java
+++ b/src/main/java/io/waxwingquay/side/DecayedRate.java
@@ -11,7 +11,7 @@
 
     private final Clock clock;
     private final long timeConstantMillis;
-    private double weight;
+    private double decayedEvents;
     private long updatedMillis;
 
     DecayedRate(Clock clock, long timeConstantMillis) {
@@ -22,17 +22,17 @@
 
     synchronized void add(double events) {
         decay();
-        weight += events;
+        decayedEvents += events;
     }
 
     synchronized double perSecond() {
         decay();
-        return weight * MILLIS_PER_SECOND / timeConstantMillis;
+        return decayedEvents * MILLIS_PER_SECOND / timeConstantMillis;
     }
 
     private void decay() {
         long nowMillis = clock.monotonicMillis();
-        weight *= Math.exp(-(nowMillis - updatedMillis) / (double) timeConstantMillis);
+        decayedEvents *= Math.exp(-(nowMillis - updatedMillis) / (double) timeConstantMillis);
         updatedMillis = nowMillis;
     }
 }
--- a/src/main/java/io/waxwingquay/side/Dispatcher.java
+++ b/src/main/java/io/waxwingquay/side/Dispatcher.java
@@ -28,22 +28,22 @@
             .thenComparing(Attempt::id);
 
     private final SideContext context;
-    private final LoadMeter meter;
+    private final LoadMeter loadMeter;
     private final IntSupplier maxConcurrent;
     private final AdmissionRule rule;
     private final Consumer<Attempt> runner;
     private final TreeSet<Attempt> ready = new TreeSet<>(ORDER);
-    private final Set<Attempt> waiting = new HashSet<>();
+    private final Set<Attempt> queued = new HashSet<>();
     private final Map<Attempt, Long> startedMillis = new HashMap<>();
 
     Dispatcher(
             SideContext context,
-            LoadMeter meter,
+            LoadMeter loadMeter,
             IntSupplier maxConcurrent,
             AdmissionRule rule,
             Consumer<Attempt> runner) {
         this.context = context;
-        this.meter = meter;
+        this.loadMeter = loadMeter;
         this.maxConcurrent = maxConcurrent;
         this.rule = rule;
         this.runner = runner;
@@ -56,51 +56,51 @@
      * @param prepared completes when it may start.
      * @return whether there was room.
      */
-    boolean add(Attempt attempt, CompletableFuture<Void> prepared) {
+    boolean enqueue(Attempt attempt, CompletableFuture<Void> prepared) {
         synchronized (this) {
-            if (waiting.size() >= context.limits().queueLimit()) {
+            if (queued.size() >= context.limits().queueLimit()) {
                 return false;
             }
-            waiting.add(attempt);
+            queued.add(attempt);
             publishCounts();
         }
         Future<?> timer = context.scheduler()
                 .schedule(() -> expire(attempt), attempt.submission().getBudgetMillis(), TimeUnit.MILLISECONDS);
-        attempt.ended().thenRun(() -> {
+        attempt.whenEnded().thenRun(() -> {
             timer.cancel(false);
             remove(attempt);
         });
-        prepared.thenRun(() -> makeReady(attempt));
+        prepared.thenRun(() -> markReady(attempt));
         return true;
     }
 
-    synchronized int aheadOf(int priority, long deadlineMillis) {
-        return (int) waiting.stream()
+    synchronized int queuedAhead(int priority, long deadlineMillis) {
+        return (int) queued.stream()
                 .filter(other -> other.priority() > priority
                         || other.priority() == priority && other.deadlineMillis() <= deadlineMillis)
                 .count();
     }
 
     /** Refuses all that has not been handed over. */
-    void refuseQueued(Refusal refusal) {
-        List<Attempt> unstarted;
+    void rejectQueued(Refusal refusal) {
+        List<Attempt> candidates;
         synchronized (this) {
-            unstarted = List.copyOf(waiting);
+            candidates = List.copyOf(queued);
         }
         long nowMillis = context.clock().monotonicMillis();
-        unstarted.stream()
+        candidates.stream()
                 .filter(attempt -> attempt.state() == RequestState.QUEUED)
-                .forEach(attempt -> attempt.withdrawWith(refusal, nowMillis));
+                .forEach(attempt -> attempt.rejectIfQueued(refusal, nowMillis));
     }
 
-    private void makeReady(Attempt attempt) {
+    private void markReady(Attempt attempt) {
         synchronized (this) {
-            if (!waiting.contains(attempt)) {
+            if (!queued.contains(attempt)) {
                 return;
             }
             ready.add(attempt);
         }
-        pump();
+        runReady();
     }
 
     private void expire(Attempt attempt) {
@@ -108,34 +108,34 @@
     }
 
     private void expire(Attempt attempt, String message) {
-        attempt.withdrawWith(
-                meter.refusal(RefusalReason.DEADLINE, message, Execution.DID_NOT_RUN),
+        attempt.rejectIfQueued(
+                loadMeter.refusal(RefusalReason.DEADLINE, message, Execution.DID_NOT_RUN),
                 context.clock().monotonicMillis());
     }
 
     private void remove(Attempt attempt) {
         synchronized (this) {
-            waiting.remove(attempt);
+            queued.remove(attempt);
             ready.remove(attempt);
             Optional.ofNullable(startedMillis.remove(attempt))
-                    .ifPresent(started -> noteFinished(attempt, context.clock().monotonicMillis() - started));
+                    .ifPresent(started -> recordRun(attempt, context.clock().monotonicMillis() - started));
             publishCounts();
         }
-        pump();
+        runReady();
     }
 
-    private void pump() {
-        Optional<Attempt> next = takeNext();
+    private void runReady() {
+        Optional<Attempt> next = startNext();
         while (next.isPresent()) {
             runner.accept(next.get());
-            next = takeNext();
+            next = startNext();
         }
     }
 
-    private synchronized Optional<Attempt> takeNext() {
+    private synchronized Optional<Attempt> startNext() {
         while (startedMillis.size() < maxConcurrent.getAsInt() && !ready.isEmpty()) {
             Attempt first = ready.pollFirst();
-            waiting.remove(first);
+            queued.remove(first);
             if (!mayStart(first)) {
                 publishCounts();
                 context.scheduler().execute(() -> expire(first, "too little time is left to finish"));
@@ -150,25 +150,28 @@
 
     private boolean mayStart(Attempt attempt) {
         long budgetMillis = attempt.deadlineMillis() - context.clock().monotonicMillis();
-        double runMillis = runMillis(meter, attempt.submission());
+        double runMillis = estimatedRunMillis(loadMeter, attempt.submission());
         return rule.mayStart(new AdmissionRule.Estimate(0, runMillis, budgetMillis, startedMillis.size()));
     }
 
     /** How long a submission would run; 0 for a plain call, whose time does not follow from its size. */
-    static double runMillis(LoadMeter meter, Submission submission) {
-        return submission.isSetModel() ? meter.runMillis(submission.getModel().getMaxTokens()) : 0.0;
+    static double estimatedRunMillis(LoadMeter loadMeter, Submission submission) {
+        return submission.isSetModel()
+                ? loadMeter.estimatedRunMillis(submission.getModel().getMaxTokens())
+                : 0.0;
     }
 
-    private void noteFinished(Attempt attempt, long runMillis) {
-        meter.noteFinished(runMillis);
-        meter.noteUnits(runMillis, attempt.units());
+    private void recordRun(Attempt attempt, long runMillis) {
+        loadMeter.recordRun(runMillis);
+        loadMeter.recordUnits(runMillis, attempt.units());
     }
 
     private void publishCounts() {
-        long tokens = waiting.stream()
+        long tokens = queued.stream()
                 .filter(attempt -> attempt.submission().isSetModel())
                 .mapToLong(attempt -> attempt.submission().getModel().getMaxTokens())
                 .sum();
-        meter.set(new LoadMeter.Counts(startedMillis.size(), waiting.size(), tokens, maxConcurrent.getAsInt()));
+        loadMeter.setCounts(
+                new LoadMeter.Counts(startedMillis.size(), queued.size(), tokens, maxConcurrent.getAsInt()));
     }
 }
--- a/src/main/java/io/waxwingquay/side/Housekeeping.java
+++ b/src/main/java/io/waxwingquay/side/Housekeeping.java
@@ -14,77 +14,81 @@
     private static final System.Logger LOG = System.getLogger("waxwingquay.side");
 
     private final SideContext context;
-    private final AttemptBook book;
-    private final SelfRecord self;
-    private final Optional<ResidencyLoop> residency;
-    private final Runnable watch;
-    private Optional<ScheduledFuture<?>> next = Optional.empty();
+    private final AttemptRegistry attempts;
+    private final SideRecordPublisher recordPublisher;
+    private final Optional<ResidencyLoop> residencyLoop;
+    private final Runnable streamCheck;
+    private Optional<ScheduledFuture<?>> nextRun = Optional.empty();
     private boolean closed;
 
     Housekeeping(
-            SideContext context, AttemptBook book, SelfRecord self, Optional<ResidencyLoop> residency, Runnable watch) {
-        this.watch = watch;
+            SideContext context,
+            AttemptRegistry attempts,
+            SideRecordPublisher recordPublisher,
+            Optional<ResidencyLoop> residencyLoop,
+            Runnable streamCheck) {
+        this.streamCheck = streamCheck;
         this.context = context;
-        this.book = book;
-        this.self = self;
-        this.residency = residency;
+        this.attempts = attempts;
+        this.recordPublisher = recordPublisher;
+        this.residencyLoop = residencyLoop;
     }
 
     /** Runs now, and from then on again and again. */
-    synchronized void wake() {
-        next.ifPresent(scheduled -> scheduled.cancel(false));
+    synchronized void runNow() {
+        nextRun.ifPresent(scheduled -> scheduled.cancel(false));
         schedule(0L);
     }
 
     synchronized void close() {
         closed = true;
-        next.ifPresent(scheduled -> scheduled.cancel(false));
+        nextRun.ifPresent(scheduled -> scheduled.cancel(false));
     }
 
     /** One round. */
-    CompletableFuture<Void> round() {
-        CompletableFuture<Void> read =
-                residency.map(ResidencyLoop::tick).orElse(CompletableFuture.completedFuture(null));
-        return read.thenRun(this::tidy);
+    CompletableFuture<Void> runOnce() {
+        CompletableFuture<Void> residencyRead =
+                residencyLoop.map(ResidencyLoop::tick).orElse(CompletableFuture.completedFuture(null));
+        return residencyRead.thenRun(this::cleanUp);
     }
 
     /**
      * An entry that died leaves attempts that nobody polls. They would hold the target until their end, so
      * they are cancelled; a plain call that may have run already is left to end by itself.
      */
-    private void tidy() {
+    private void cleanUp() {
         long nowMillis = context.clock().monotonicMillis();
-        book.purge();
-        watch.run();
-        for (Attempt attempt : book.all()) {
+        attempts.removeExpired();
+        streamCheck.run();
+        for (Attempt attempt : attempts.all()) {
             boolean cancellable = attempt.state() == RequestState.QUEUED
                     || attempt.submission().isSetModel();
-            if (cancellable && attempt.isUnpolledSince(context.limits().unpolledLimitMillis(), nowMillis)) {
+            if (cancellable && attempt.isUnpolledFor(context.limits().unpolledLimitMillis(), nowMillis)) {
                 context.count(
                         "waxwingquay.side.abandoned", "side", context.identity().sideId());
                 attempt.cancel(nowMillis);
             }
-            if (attempt.isEndedSince(context.limits().answerRetentionMillis(), nowMillis)
-                    && !attempt.isNonIdempotent()) {
-                attempt.release();
+            if (attempt.isEndedFor(context.limits().answerRetentionMillis(), nowMillis) && !attempt.isNonIdempotent()) {
+                attempt.releaseAnswer();
             }
         }
-        if (residency.map(loop -> loop.lastReadMillis().isPresent()).orElse(true)
+        if (residencyLoop.map(loop -> loop.lastReadMillis().isPresent()).orElse(true)
                 && context.service().isPresent()) {
-            self.on(SideEvent.READY);
+            recordPublisher.handle(SideEvent.READY);
         } else {
-            self.publish();
+            recordPublisher.publish();
         }
     }
 
     private void runAndSchedule() {
-        round().whenComplete((ignored, failure) -> {
+        runOnce().whenComplete((ignored, failure) -> {
             if (failure != null) {
                 LOG.log(System.Logger.Level.ERROR, "side: housekeeping failed, going on.", failure);
             }
-            boolean awaited = residency.filter(ResidencyLoop::isAdapterAwaited).isPresent();
+            boolean awaited =
+                    residencyLoop.filter(ResidencyLoop::isAwaitingAdapter).isPresent();
             synchronized (this) {
-                next.ifPresent(scheduled -> scheduled.cancel(false));
+                nextRun.ifPresent(scheduled -> scheduled.cancel(false));
                 schedule(
                         awaited
                                 ? context.limits().adapterTickIntervalMillis()
@@ -98,7 +102,8 @@
             return;
         }
         try {
-            next = Optional.of(context.scheduler().schedule(this::runAndSchedule, delayMillis, TimeUnit.MILLISECONDS));
+            nextRun =
+                    Optional.of(context.scheduler().schedule(this::runAndSchedule, delayMillis, TimeUnit.MILLISECONDS));
         } catch (RejectedExecutionException stopped) {
             closed = true;
         }
--- a/src/main/java/io/waxwingquay/side/ModelItems.java
+++ b/src/main/java/io/waxwingquay/side/ItemNames.java
@@ -7,22 +7,22 @@
 /**
  * Turns the names in a call into item names; a call may also name the item itself, to ask for one version.
  */
-final class ModelItems {
+final class ItemNames {
 
-    private ModelItems() {}
+    private ItemNames() {}
 
-    static String model(Optional<Bundle> bundle, ModelCall call) {
+    static String modelItem(Optional<Bundle> bundle, ModelCall call) {
         return bundle.flatMap(found -> found.model(call.getModel()))
                 .map(Bundle.Model::item)
                 .orElse(call.getModel());
     }
 
-    static boolean isOffered(Optional<Bundle> bundle, String item) {
+    static boolean isInBundle(Optional<Bundle> bundle, String item) {
         return bundle.stream().flatMap(found -> found.models().stream()).anyMatch(model -> model.item()
                 .equals(item));
     }
 
-    static Optional<String> adapter(Optional<Bundle> bundle, ModelCall call) {
+    static Optional<String> adapterItem(Optional<Bundle> bundle, ModelCall call) {
         if (!call.isSetAdapter()) {
             return Optional.empty();
         }
--- a/src/main/java/io/waxwingquay/side/LoadMeter.java
+++ b/src/main/java/io/waxwingquay/side/LoadMeter.java
@@ -14,14 +14,14 @@
 final class LoadMeter {
 
     private static final long TIME_CONSTANT_MILLIS = 10_000L;
-    private static final long SHORTEST_RETURN_MILLIS = 50L;
-    private static final long LONGEST_RETURN_MILLIS = 30_000L;
-    private static final double UNMEASURED_PER_SECOND = 1.0;
-    private static final double NEWEST_SHARE = 0.1;
+    private static final long MIN_RETRY_AFTER_MILLIS = 50L;
+    private static final long MAX_RETRY_AFTER_MILLIS = 30_000L;
+    private static final double DEFAULT_THROUGHPUT_PER_SECOND = 1.0;
+    private static final double SMOOTHING_FACTOR = 0.1;
     private static final double MILLIS_PER_SECOND = 1000.0;
 
     private final RandomGenerator random;
-    private final DecayedRate tokens;
+    private final DecayedRate tokenRate;
     private final LongSupplier freeBytes;
     private volatile Counts counts = new Counts(0, 0, 0L, 0);
     private double meanRunMillis;
@@ -29,21 +29,21 @@
 
     LoadMeter(Clock clock, RandomGenerator random, LongSupplier freeBytes) {
         this.random = random;
-        this.tokens = new DecayedRate(clock, TIME_CONSTANT_MILLIS);
+        this.tokenRate = new DecayedRate(clock, TIME_CONSTANT_MILLIS);
         this.freeBytes = freeBytes;
     }
 
-    void set(Counts now) {
-        counts = now;
+    void setCounts(Counts newCounts) {
+        counts = newCounts;
     }
 
     Counts counts() {
         return counts;
     }
 
-    synchronized void noteFinished(long runMillis) {
+    synchronized void recordRun(long runMillis) {
         double newest = Math.max(1L, runMillis);
-        meanRunMillis = meanRunMillis == 0.0 ? newest : meanRunMillis + NEWEST_SHARE * (newest - meanRunMillis);
+        meanRunMillis = meanRunMillis == 0.0 ? newest : meanRunMillis + SMOOTHING_FACTOR * (newest - meanRunMillis);
     }
 
     /**
@@ -52,20 +52,21 @@
      * @param runMillis the time from its start.
      * @param units what it brought; 0 tells nothing.
      */
-    synchronized void noteUnits(long runMillis, long units) {
+    synchronized void recordUnits(long runMillis, long units) {
         if (units > 0) {
             double newest = (double) runMillis / units;
-            meanUnitMillis = meanUnitMillis == 0.0 ? newest : meanUnitMillis + NEWEST_SHARE * (newest - meanUnitMillis);
+            meanUnitMillis =
+                    meanUnitMillis == 0.0 ? newest : meanUnitMillis + SMOOTHING_FACTOR * (newest - meanUnitMillis);
         }
     }
 
     /** The expected time of a run that brings so many units; 0 before any was measured. */
-    synchronized double runMillis(long units) {
+    synchronized double estimatedRunMillis(long units) {
         return meanUnitMillis * units;
     }
 
-    void noteToken() {
-        tokens.add(1.0);
+    void recordToken() {
+        tokenRate.add(1.0);
     }
 
     /**
@@ -75,14 +76,19 @@
      * instead measures demand, which is low on an idle target. Symptom: the first burst after a quiet time is refused
      * because its queue seems to take minutes. The time of a run does not depend on how many callers came.
      */
-    synchronized double drainPerSecond() {
+    synchronized double throughputPerSecond() {
         return meanRunMillis == 0.0 ? 0.0 : counts.maxConcurrent() * MILLIS_PER_SECOND / meanRunMillis;
     }
 
     LoadReport report() {
-        Counts now = counts;
+        Counts current = counts;
         return new LoadReport(
-                now.running(), now.queued(), now.queuedTokens(), tokens.perSecond(), freeBytes.getAsLong(), 0L);
+                current.running(),
+                current.queued(),
+                current.queuedTokens(),
+                tokenRate.perSecond(),
+                freeBytes.getAsLong(),
+                0L);
     }
 
     Refusal refusal(RefusalReason reason, String message, Execution execution) {
@@ -91,13 +97,13 @@
 
     /** The time to work off the queue, spread so that refused callers do not return together. */
     private long retryAfterMillis() {
-        double perSecond = drainPerSecond() > 0.0 ? drainPerSecond() : UNMEASURED_PER_SECOND;
+        double perSecond = throughputPerSecond() > 0.0 ? throughputPerSecond() : DEFAULT_THROUGHPUT_PER_SECOND;
         double waitMillis = (counts.queued() + 1) / perSecond * MILLIS_PER_SECOND;
         double jitter;
         synchronized (random) {
             jitter = 0.5 + random.nextDouble();
         }
-        return Math.max(SHORTEST_RETURN_MILLIS, Math.min(LONGEST_RETURN_MILLIS, (long) (waitMillis * jitter)));
+        return Math.max(MIN_RETRY_AFTER_MILLIS, Math.min(MAX_RETRY_AFTER_MILLIS, (long) (waitMillis * jitter)));
     }
 
     /**
--- a/src/main/java/io/waxwingquay/side/ModelRunner.java
+++ b/src/main/java/io/waxwingquay/side/ModelRunner.java
@@ -20,23 +20,23 @@
 
     private final SideContext context;
     private final ModelEngine engine;
-    private final LoadMeter meter;
-    private final CrashHandler crashes;
+    private final LoadMeter loadMeter;
+    private final CrashHandler crashHandler;
     private final Set<Run> runs = ConcurrentHashMap.newKeySet();
 
-    ModelRunner(SideContext context, ModelEngine engine, LoadMeter meter, CrashHandler crashes) {
+    ModelRunner(SideContext context, ModelEngine engine, LoadMeter loadMeter, CrashHandler crashHandler) {
         this.context = context;
         this.engine = engine;
-        this.meter = meter;
-        this.crashes = crashes;
+        this.loadMeter = loadMeter;
+        this.crashHandler = crashHandler;
     }
 
     /** Runs an attempt that has just been started. */
     void run(Attempt attempt, String bootId) {
-        crashes.track(attempt, bootId);
+        crashHandler.track(attempt, bootId);
         Run run = new Run(attempt, generation(attempt), bootId);
         runs.add(run);
-        attempt.ended().thenRun(run::stop);
+        attempt.whenEnded().thenRun(run::stop);
         run.open();
     }
 
@@ -44,7 +44,7 @@
      * A connection can go silent for good while new ones work; the symptom is an answer that stops without an
      * end. Opening a stream anew costs little and repeats nothing, so it need not be known why it is silent.
      */
-    void reopenSilent() {
+    void reopenSilentStreams() {
         long nowMillis = context.clock().monotonicMillis();
         runs.forEach(run -> run.reopenIfSilent(nowMillis));
     }
@@ -53,8 +53,8 @@
         ModelCall call = attempt.submission().getModel();
         return new Generation(
                 attempt.id(),
-                ModelItems.model(context.bundles().current(), call),
-                ModelItems.adapter(context.bundles().current(), call),
+                ItemNames.modelItem(context.bundles().current(), call),
+                ItemNames.adapterItem(context.bundles().current(), call),
                 call.getPrompt(),
                 call.getMaxTokens(),
                 call.getPriority());
@@ -62,7 +62,7 @@
 
     private void fail(Attempt attempt, String message, Execution execution) {
         attempt.fail(
-                meter.refusal(RefusalReason.TARGET_DOWN, message, execution),
+                loadMeter.refusal(RefusalReason.TARGET_DOWN, message, execution),
                 context.clock().monotonicMillis());
     }
 
@@ -72,11 +72,11 @@
         private final Attempt attempt;
         private final Generation generation;
         private final String bootId;
-        private Optional<Stream> stream = Optional.empty();
+        private Optional<EngineStream> stream = Optional.empty();
         private long unitsAtLastOpen = -1L;
-        private int fruitlessOpens;
-        private volatile long heardMillis;
-        private boolean reached;
+        private int opensWithoutProgress;
+        private volatile long lastReceivedMillis;
+        private boolean engineReached;
 
         private Run(Attempt attempt, Generation generation, String bootId) {
             this.attempt = attempt;
@@ -85,18 +85,18 @@
         }
 
         private void open() {
-            Stream next = new Stream(this);
+            EngineStream next = new EngineStream(this);
             synchronized (this) {
                 if (attempt.state() != RequestState.RUNNING) {
                     return;
                 }
-                heardMillis = context.clock().monotonicMillis();
-                fruitlessOpens = attempt.units() > unitsAtLastOpen ? 0 : fruitlessOpens + 1;
+                lastReceivedMillis = context.clock().monotonicMillis();
+                opensWithoutProgress = attempt.units() > unitsAtLastOpen ? 0 : opensWithoutProgress + 1;
                 unitsAtLastOpen = attempt.units();
-                stream.ifPresent(Stream::close);
+                stream.ifPresent(EngineStream::close);
                 stream = Optional.of(next);
             }
-            if (fruitlessOpens > context.limits().resumeLimit()) {
+            if (opensWithoutProgress > context.limits().resumeLimit()) {
                 fail(attempt, "the target's stream cannot be resumed", Execution.UNKNOWN);
                 return;
             }
@@ -105,33 +105,33 @@
 
         private void reopenIfSilent(long nowMillis) {
             synchronized (this) {
-                if (nowMillis - heardMillis <= context.limits().streamSilenceMillis()) {
+                if (nowMillis - lastReceivedMillis <= context.limits().streamSilenceMillis()) {
                     return;
                 }
-                heardMillis = nowMillis;
-                fruitlessOpens = -1;
-                stream.ifPresent(Stream::close);
+                lastReceivedMillis = nowMillis;
+                opensWithoutProgress = -1;
+                stream.ifPresent(EngineStream::close);
             }
             context.count(
                     "waxwingquay.side.streams.silent",
                     "side",
                     context.identity().sideId());
-            cut();
+            resume();
         }
 
-        private void ended(OptionalLong total, Optional<TargetException> failure) {
+        private void handleStreamEnd(OptionalLong total, Optional<TargetException> failure) {
             if (total.isPresent() && attempt.units() == total.getAsLong()) {
                 finish();
             } else if (total.isPresent()) {
-                cut();
+                resume();
             } else if (failure.filter(found -> found.kind() == Kind.REFUSED).isPresent()) {
-                boolean neverRan = !reached && attempt.units() == 0L;
+                boolean neverRan = !engineReached && attempt.units() == 0L;
                 fail(attempt, "the target refused it", neverRan ? Execution.DID_NOT_RUN : Execution.UNKNOWN);
-            } else if (!reached && isUnreachable(failure)) {
+            } else if (!engineReached && isUnreachable(failure)) {
                 fail(attempt, "the target was not reached", Execution.DID_NOT_RUN);
-                crashes.examine(bootId);
+                crashHandler.checkEngine(bootId);
             } else {
-                cut();
+                resume();
             }
         }
 
@@ -139,10 +139,10 @@
          * A cut stream alone says nothing of the engine. In the same boot the generation goes on under the
          * same id, so opening it again from the next token neither repeats nor loses one.
          */
-        private void cut() {
-            reached = true;
-            crashes.examine(bootId).thenAccept(verdict -> {
-                if (verdict == CrashHandler.Verdict.SAME_BOOT) {
+        private void resume() {
+            engineReached = true;
+            crashHandler.checkEngine(bootId).thenAccept(verdict -> {
+                if (verdict == CrashHandler.EngineStatus.SAME_BOOT) {
                     open();
                 }
             });
@@ -159,7 +159,7 @@
         private void stop() {
             runs.remove(this);
             synchronized (this) {
-                stream.ifPresent(Stream::close);
+                stream.ifPresent(EngineStream::close);
             }
             if (attempt.state() != RequestState.DONE) {
                 engine.cancel(attempt.id());
@@ -172,13 +172,13 @@
     }
 
     /** One opened stream; once closed it is deaf. */
-    private final class Stream implements ModelEngine.Listener {
+    private final class EngineStream implements ModelEngine.Listener {
 
         private final Run run;
         private boolean closed;
         private Optional<AutoCloseable> handle = Optional.empty();
 
-        private Stream(Run run) {
+        private EngineStream(Run run) {
             this.run = run;
         }
 
@@ -188,13 +188,13 @@
             if (isClosed()) {
                 return;
             }
-            run.reached = true;
-            run.heardMillis = context.clock().monotonicMillis();
+            run.engineReached = true;
+            run.lastReceivedMillis = context.clock().monotonicMillis();
             if (run.attempt.append(offset, Attempt.utf8(text))) {
-                meter.noteToken();
+                loadMeter.recordToken();
             } else {
                 close();
-                run.cut();
+                run.resume();
             }
         }
 
@@ -203,7 +203,7 @@
         public void end(OptionalLong totalTokens, Optional<TargetException> failure) {
             if (!isClosed()) {
                 close();
-                run.ended(totalTokens, failure);
+                run.handleStreamEnd(totalTokens, failure);
             }
         }
 
@@ -228,7 +228,7 @@
                 opened = handle;
                 handle = Optional.empty();
             }
-            opened.ifPresent(Stream::closeQuietly);
+            opened.ifPresent(EngineStream::closeQuietly);
         }
 
         private static void closeQuietly(AutoCloseable opened) {
--- a/src/main/java/io/waxwingquay/side/OrderDesk.java
+++ b/src/main/java/io/waxwingquay/side/OrderSender.java
@@ -27,36 +27,36 @@
  * Sends orders to the engine: each after its bytes were reserved, a load only with a permit of the shared
  * limit, and a lost one again. Safe for concurrent use.
  */
-final class OrderDesk {
+final class OrderSender {
 
     private static final String FENCE_PREFIX = "fence:";
-    private static final String MOVES = "waxwingquay.side.moves";
+    private static final String MOVES_COUNTER = "waxwingquay.side.moves";
 
     private final SideContext context;
     private final ModelEngine engine;
     private final MemoryLedger ledger;
     private final Permits permits;
     private final BooleanSupplier retired;
-    private final Runnable staleFence;
-    private final Map<String, Permit> heldPermits = new HashMap<>();
-    private final Map<String, Long> sentMillis = new HashMap<>();
-    private final Set<String> asking = new HashSet<>();
-    private Optional<String> fencedBoot = Optional.empty();
+    private final Runnable onStaleFence;
+    private final Map<String, Permit> permitsByItem = new HashMap<>();
+    private final Map<String, Long> lastSentMillis = new HashMap<>();
+    private final Set<String> itemsAwaitingPermit = new HashSet<>();
+    private Optional<String> fencedBootId = Optional.empty();
     private long orderCount;
 
-    OrderDesk(
+    OrderSender(
             SideContext context,
             ModelEngine engine,
             MemoryLedger ledger,
             Permits permits,
             BooleanSupplier retired,
-            Runnable staleFence) {
+            Runnable onStaleFence) {
         this.context = context;
         this.engine = engine;
         this.ledger = ledger;
         this.permits = permits;
         this.retired = retired;
-        this.staleFence = staleFence;
+        this.onStaleFence = onStaleFence;
     }
 
     /**
@@ -65,7 +65,7 @@
      */
     synchronized boolean mustRaiseFence(String bootId) {
         boolean fenced = context.service().map(Bundle.Service::ordersFenced).orElse(false);
-        return fenced && !fencedBoot.equals(Optional.of(bootId));
+        return fenced && !fencedBootId.equals(Optional.of(bootId));
     }
 
     /**
@@ -82,11 +82,11 @@
                 nextOrderId(), OrderKind.EVICT, item, 0L, context.identity().epoch());
         return engine.order(order).thenApply(answer -> {
             if (answer == OrderAnswer.STALE_FENCE) {
-                staleFence.run();
+                onStaleFence.run();
                 return false;
             }
             synchronized (this) {
-                fencedBoot = Optional.of(bootId);
+                fencedBootId = Optional.of(bootId);
             }
             return true;
         });
@@ -108,14 +108,14 @@
 
     void load(Load load) {
         synchronized (this) {
-            if (!asking.add(load.item())) {
+            if (!itemsAwaitingPermit.add(load.item())) {
                 return;
             }
         }
         Limit limit = ResidencyPlan.isAdapter(load.item()) ? Limit.ADAPTER_LOADS : Limit.WEIGHT_LOADS;
         permits.acquire(limit).whenComplete((permit, failure) -> {
             synchronized (this) {
-                asking.remove(load.item());
+                itemsAwaitingPermit.remove(load.item());
             }
             if (failure == null) {
                 permit.ifPresent(granted -> loadWith(granted, load));
@@ -130,7 +130,7 @@
             return;
         }
         synchronized (this) {
-            heldPermits.put(load.item(), permit);
+            permitsByItem.put(load.item(), permit);
         }
         countMove(OrderKind.LOAD, load.item());
         send(new Order(
@@ -146,12 +146,13 @@
      * take effect; under the same id the engine takes it once, however often and late it lands.
      */
     void resend(ModelEngine.Residency report) {
-        Set<String> open = report.openOrders().stream().map(Order::id).collect(Collectors.toSet());
-        long dueMillis = context.clock().monotonicMillis() - context.limits().resendIntervalMillis();
+        Set<String> openOrderIds = report.openOrders().stream().map(Order::id).collect(Collectors.toSet());
+        long sentBeforeMillis =
+                context.clock().monotonicMillis() - context.limits().resendIntervalMillis();
         ledger.snapshot().holdings().values().stream()
                 .filter(holding -> holding.state() != State.RESIDENT)
-                .filter(holding -> !open.contains(holding.orderId()))
-                .filter(holding -> lastSent(holding.orderId()) <= dueMillis)
+                .filter(holding -> !openOrderIds.contains(holding.orderId()))
+                .filter(holding -> lastSentMillis(holding.orderId()) <= sentBeforeMillis)
                 .forEach(this::resend);
     }
 
@@ -166,34 +167,35 @@
                 context.identity().epoch()));
     }
 
-    private synchronized long lastSent(String orderId) {
-        return sentMillis.getOrDefault(orderId, Long.MIN_VALUE);
+    private synchronized long lastSentMillis(String orderId) {
+        return lastSentMillis.getOrDefault(orderId, Long.MIN_VALUE);
     }
 
     private void send(Order order) {
         synchronized (this) {
-            sentMillis.put(order.id(), context.clock().monotonicMillis());
+            lastSentMillis.put(order.id(), context.clock().monotonicMillis());
         }
         engine.order(order).whenComplete((answer, failure) -> {
             if (failure != null && !isUnreachable(failure)) {
                 ledger.noteLost();
             }
             if (answer == OrderAnswer.STALE_FENCE) {
-                staleFence.run();
+                onStaleFence.run();
             }
         });
     }
 
     /** Gives back the permits of loads that have landed. */
-    synchronized void settle() {
+    synchronized void releasePermits() {
         Map<String, Holding> holdings = ledger.snapshot().holdings();
-        List<String> landed = heldPermits.keySet().stream()
+        List<String> finished = permitsByItem.keySet().stream()
                 .filter(item ->
                         !holdings.containsKey(item) || !holdings.get(item).awaitsLoad())
                 .toList();
-        landed.forEach(item -> heldPermits.remove(item).close());
-        Set<String> live = holdings.values().stream().map(Holding::orderId).collect(Collectors.toSet());
-        sentMillis.keySet().retainAll(live);
+        finished.forEach(item -> permitsByItem.remove(item).close());
+        Set<String> openOrderIds =
+                holdings.values().stream().map(Holding::orderId).collect(Collectors.toSet());
+        lastSentMillis.keySet().retainAll(openOrderIds);
     }
 
     private static boolean isUnreachable(Throwable failure) {
@@ -206,9 +208,9 @@
     }
 
     private void countMove(OrderKind kind, String item) {
-        String what = ResidencyPlan.isAdapter(item) ? "adapter" : "model";
+        String itemType = ResidencyPlan.isAdapter(item) ? "adapter" : "model";
         context.meters()
-                .counter(MOVES, "kind", kind.name().toLowerCase(java.util.Locale.ROOT), "item", what)
+                .counter(MOVES_COUNTER, "kind", kind.name().toLowerCase(java.util.Locale.ROOT), "item", itemType)
                 .increment();
     }
 }
--- a/src/main/java/io/waxwingquay/side/PlainRunner.java
+++ b/src/main/java/io/waxwingquay/side/PlainRunner.java
@@ -17,12 +17,12 @@
 
     private final SideContext context;
     private final PlainService service;
-    private final LoadMeter meter;
+    private final LoadMeter loadMeter;
 
-    PlainRunner(SideContext context, PlainService service, LoadMeter meter) {
+    PlainRunner(SideContext context, PlainService service, LoadMeter loadMeter) {
         this.context = context;
         this.service = service;
-        this.meter = meter;
+        this.loadMeter = loadMeter;
     }
 
     /** Runs an attempt that has just been started. */
@@ -34,7 +34,7 @@
             } else {
                 String message =
                         "the call to the target failed: " + cause(failure).getMessage();
-                attempt.fail(meter.refusal(RefusalReason.TARGET_DOWN, message, execution(failure)), nowMillis);
+                attempt.fail(loadMeter.refusal(RefusalReason.TARGET_DOWN, message, execution(failure)), nowMillis);
             }
         });
     }
--- a/src/main/java/io/waxwingquay/side/RequestState.java
+++ b/src/main/java/io/waxwingquay/side/RequestState.java
@@ -25,21 +25,21 @@
     /** The chart. */
     static final StateChart<RequestState, Event> CHART = StateChart.load(CHART_NAME, RequestState.class, Event.class);
 
-    private final AttemptState wire;
+    private final AttemptState wireState;
 
-    RequestState(AttemptState wire) {
-        this.wire = wire;
+    RequestState(AttemptState wireState) {
+        this.wireState = wireState;
     }
 
-    AttemptState wire() {
-        return wire;
+    AttemptState wireState() {
+        return wireState;
     }
 
     boolean hasEnded() {
         return this == DONE || this == FAILED || this == CANCELLED;
     }
 
-    Optional<RequestState> after(Event event) {
+    Optional<RequestState> next(Event event) {
         return CHART.next(this, event);
     }
 
--- a/src/main/java/io/waxwingquay/side/ResidencyLoop.java
+++ b/src/main/java/io/waxwingquay/side/ResidencyLoop.java
@@ -28,14 +28,14 @@
     private final ModelEngine engine;
     private final MemoryLedger ledger;
     private final WantedItems wantedItems;
-    private final Runnable superseded;
-    private final AdapterQueue adapters;
-    private final OrderDesk orders;
-    private final Map<String, Long> usedMillis = new HashMap<>();
-    private Optional<CompletableFuture<Void>> running = Optional.empty();
+    private final Runnable onSuperseded;
+    private final AdapterQueue adapterQueue;
+    private final OrderSender orderSender;
+    private final Map<String, Long> lastUsedMillis = new HashMap<>();
+    private Optional<CompletableFuture<Void>> currentTick = Optional.empty();
     private Optional<Long> lastTickMillis = Optional.empty();
-    private Optional<Long> readMillis = Optional.empty();
-    private List<String> refused = List.of();
+    private Optional<Long> lastReadMillis = Optional.empty();
+    private List<String> unplaceableItems = List.of();
     private boolean retired;
 
     ResidencyLoop(
@@ -44,14 +44,14 @@
             MemoryLedger ledger,
             Permits permits,
             WantedItems wantedItems,
-            Runnable superseded) {
+            Runnable onSuperseded) {
         this.context = context;
         this.engine = engine;
         this.ledger = ledger;
         this.wantedItems = wantedItems;
-        this.superseded = superseded;
-        this.adapters = new AdapterQueue(ledger);
-        this.orders = new OrderDesk(
+        this.onSuperseded = onSuperseded;
+        this.adapterQueue = new AdapterQueue(ledger);
+        this.orderSender = new OrderSender(
                 context,
                 engine,
                 ledger,
@@ -69,30 +69,30 @@
         CompletableFuture<Void> done = new CompletableFuture<>();
         boolean paused;
         synchronized (this) {
-            paused = notePause();
-            if (running.isPresent()) {
-                return running.get();
+            paused = detectPause();
+            if (currentTick.isPresent()) {
+                return currentTick.get();
             }
-            running = Optional.of(done);
+            currentTick = Optional.of(done);
         }
         read(done, paused);
         return done;
     }
 
     private void read(CompletableFuture<Void> done, boolean paused) {
-        long askedMillis = context.clock().monotonicMillis();
+        long requestedMillis = context.clock().monotonicMillis();
         long waitMillis = context.limits().pauseLimitMillis();
         engine.residency().orTimeout(waitMillis, TimeUnit.MILLISECONDS).whenComplete((report, failure) -> {
-            CompletableFuture<Boolean> again = CompletableFuture.completedFuture(false);
+            CompletableFuture<Boolean> mustReread = CompletableFuture.completedFuture(false);
             try {
                 if (failure == null) {
-                    again = observe(report, askedMillis, paused);
+                    mustReread = applyReport(report, requestedMillis, paused);
                 }
             } catch (RuntimeException unexpected) {
                 LOG.log(System.Logger.Level.ERROR, "side: the order loop failed, retrying.", unexpected);
             }
-            again.whenComplete((raised, lost) -> {
-                if (lost == null && raised) {
+            mustReread.whenComplete((raised, orderFailure) -> {
+                if (orderFailure == null && raised) {
                     read(done, paused);
                 } else {
                     endTick(done);
@@ -109,9 +109,9 @@
      */
     public CompletableFuture<Void> pinAdapter(String item) {
         synchronized (this) {
-            usedMillis.put(item, context.clock().monotonicMillis());
+            lastUsedMillis.put(item, context.clock().monotonicMillis());
         }
-        return adapters.pin(item);
+        return adapterQueue.pin(item);
     }
 
     /**
@@ -119,8 +119,8 @@
      *
      * @return whether one waits.
      */
-    public boolean isAdapterAwaited() {
-        return !adapters.awaited().isEmpty();
+    public boolean isAwaitingAdapter() {
+        return !adapterQueue.awaitedItems().isEmpty();
     }
 
     /**
@@ -129,12 +129,12 @@
      * @return the items.
      */
     public synchronized List<String> unplaceableItems() {
-        return refused;
+        return unplaceableItems;
     }
 
     /** When the engine was last asked for a report that came, in monotonic milliseconds. */
     synchronized Optional<Long> lastReadMillis() {
-        return readMillis;
+        return lastReadMillis;
     }
 
     /** Never orders again. */
@@ -142,8 +142,8 @@
         retired = true;
     }
 
-    synchronized void noteUsed(String item) {
-        usedMillis.put(item, context.clock().monotonicMillis());
+    synchronized void recordUse(String item) {
+        lastUsedMillis.put(item, context.clock().monotonicMillis());
     }
 
     /**
@@ -152,7 +152,7 @@
      * which membership or the engine's open orders show the successor; only an order already handed to the
      * kernel before the pause escapes this.
      */
-    private boolean notePause() {
+    private boolean detectPause() {
         long nowMillis = context.clock().monotonicMillis();
         boolean paused = lastTickMillis
                 .filter(last -> nowMillis - last > context.limits().pauseLimitMillis())
@@ -167,38 +167,38 @@
     }
 
     private synchronized void endTick(CompletableFuture<Void> done) {
-        running = Optional.empty();
+        currentTick = Optional.empty();
         done.completeAsync(() -> null);
     }
 
     /** Whether the engine's memory must be read once more, as its fence was raised after this report. */
-    private CompletableFuture<Boolean> observe(ModelEngine.Residency report, long askedMillis, boolean paused) {
+    private CompletableFuture<Boolean> applyReport(ModelEngine.Residency report, long requestedMillis, boolean paused) {
         Observation observation = ledger.observe(report);
         synchronized (this) {
-            readMillis = Optional.of(askedMillis);
+            lastReadMillis = Optional.of(requestedMillis);
         }
         if (!isRetired()) {
-            noteAlarms(observation);
+            reportAnomalies(observation);
         }
-        orders.settle();
-        forgetUse();
-        adapters.settle();
+        orderSender.releasePermits();
+        removeUnheldUse();
+        adapterQueue.completeResident();
         if (isSuperseded(report)) {
             stepDown("a later process of this name gives orders");
         }
-        boolean stale = context.clock().monotonicMillis() - askedMillis
+        boolean stale = context.clock().monotonicMillis() - requestedMillis
                 > context.limits().pauseLimitMillis();
         if (paused || stale || isRetired()) {
             return CompletableFuture.completedFuture(false);
         }
-        if (orders.mustRaiseFence(report.bootId())) {
-            return orders.raiseFence(report.bootId());
+        if (orderSender.mustRaiseFence(report.bootId())) {
+            return orderSender.raiseFence(report.bootId());
         }
-        context.bundles().current().ifPresent(bundle -> act(bundle, report));
+        context.bundles().current().ifPresent(bundle -> sendOrders(bundle, report));
         return CompletableFuture.completedFuture(false);
     }
 
-    private void noteAlarms(Observation observation) {
+    private void reportAnomalies(Observation observation) {
         if (observation.surplusBytes() > 0L) {
             context.count(
                     "waxwingquay.side.overcommits", "side", context.identity().sideId());
@@ -232,35 +232,35 @@
             retired = true;
         }
         LOG.log(System.Logger.Level.ERROR, "side: stepping down, {0}.", cause);
-        superseded.run();
+        onSuperseded.run();
     }
 
-    private void act(Bundle bundle, ModelEngine.Residency report) {
+    private void sendOrders(Bundle bundle, ModelEngine.Residency report) {
         Snapshot snapshot = ledger.snapshot();
         if (!snapshot.quarantined()) {
-            orders.resend(report);
+            orderSender.resend(report);
         }
         Wanted wanted = wantedItems.wanted(bundle);
         ResidencyPlan plan = ResidencyPlan.decide(
-                snapshot, wanted, adapters.awaited(), item -> sizeBytes(bundle, item), this::lastUsed);
-        noteRefused(plan.refused());
-        plan.evictions().forEach(orders::evict);
-        plan.loads().forEach(orders::load);
+                snapshot, wanted, adapterQueue.awaitedItems(), item -> sizeBytes(bundle, item), this::lastUsedMillis);
+        setUnplaceable(plan.unplaceable());
+        plan.evictions().forEach(orderSender::evict);
+        plan.loads().forEach(orderSender::load);
     }
 
-    private synchronized long lastUsed(String item) {
-        return usedMillis.getOrDefault(item, Long.MIN_VALUE);
+    private synchronized long lastUsedMillis(String item) {
+        return lastUsedMillis.getOrDefault(item, Long.MIN_VALUE);
     }
 
-    private synchronized void forgetUse() {
-        usedMillis.keySet().retainAll(ledger.snapshot().holdings().keySet());
+    private synchronized void removeUnheldUse() {
+        lastUsedMillis.keySet().retainAll(ledger.snapshot().holdings().keySet());
     }
 
-    private synchronized void noteRefused(List<String> items) {
+    private synchronized void setUnplaceable(List<String> items) {
         items.stream()
-                .filter(item -> !refused.contains(item))
+                .filter(item -> !unplaceableItems.contains(item))
                 .forEach(item -> LOG.log(System.Logger.Level.WARNING, "side: no room for {0}.", item));
-        refused = items;
+        unplaceableItems = items;
     }
 
     private static OptionalLong sizeBytes(Bundle bundle, String item) {
--- a/src/main/java/io/waxwingquay/side/ResidencyPlan.java
+++ b/src/main/java/io/waxwingquay/side/ResidencyPlan.java
@@ -19,9 +19,9 @@
  *
  * @param loads items to load now; they fit.
  * @param evictions items to evict now.
- * @param refused wanted items for which no room can be made.
+ * @param unplaceable wanted items for which no room can be made.
  */
-record ResidencyPlan(List<Load> loads, List<String> evictions, List<String> refused) {
+record ResidencyPlan(List<Load> loads, List<String> evictions, List<String> unplaceable) {
 
     private static final String ADAPTER_PREFIX = "adapter:";
 
@@ -34,24 +34,24 @@
      *
      * @param snapshot the ledger.
      * @param wanted what placement wants.
-     * @param adapters adapters that requests wait for, the longest waiting first.
-     * @param sizes the size of an item, or empty if the bundle names none such.
-     * @param lastUsed when an item was last used, in milliseconds.
+     * @param awaitedAdapters adapters that requests wait for, the longest waiting first.
+     * @param sizeBytes the size of an item, or empty if the bundle names none such.
+     * @param lastUsedMillis when an item was last used, in milliseconds.
      */
     static ResidencyPlan decide(
             Snapshot snapshot,
             Wanted wanted,
-            List<String> adapters,
-            Function<String, OptionalLong> sizes,
-            ToLongFunction<String> lastUsed) {
-        Decision decision = new Decision(snapshot, wanted, adapters, lastUsed);
-        decision.evictSurplus();
+            List<String> awaitedAdapters,
+            Function<String, OptionalLong> sizeBytes,
+            ToLongFunction<String> lastUsedMillis) {
+        Planner planner = new Planner(snapshot, wanted, awaitedAdapters, lastUsedMillis);
+        planner.evictSurplus();
         if (!snapshot.quarantined()) {
-            wanted.items().forEach(item -> sizes.apply(item).ifPresent(size -> decision.place(item, size)));
-            adapters.forEach(item -> sizes.apply(item).ifPresent(size -> decision.place(item, size)));
+            wanted.items().forEach(item -> sizeBytes.apply(item).ifPresent(size -> planner.place(item, size)));
+            awaitedAdapters.forEach(item -> sizeBytes.apply(item).ifPresent(size -> planner.place(item, size)));
         }
         return new ResidencyPlan(
-                List.copyOf(decision.loads), List.copyOf(decision.evictions), List.copyOf(decision.refused));
+                List.copyOf(planner.loads), List.copyOf(planner.evictions), List.copyOf(planner.unplaceable));
     }
 
     /**
@@ -62,26 +62,27 @@
      */
     record Load(String item, long sizeBytes) {}
 
-    private static final class Decision {
+    private static final class Planner {
 
         private final Snapshot snapshot;
         private final Wanted wanted;
-        private final Set<String> needed;
-        private final ToLongFunction<String> lastUsed;
+        private final Set<String> neededItems;
+        private final ToLongFunction<String> lastUsedMillis;
         private final List<Load> loads = new ArrayList<>();
         private final Set<String> evictions = new LinkedHashSet<>();
-        private final List<String> refused = new ArrayList<>();
+        private final List<String> unplaceable = new ArrayList<>();
         private long freeBytes;
-        private long expectedBytes;
+        private long freeBytesAfterEvictions;
 
-        private Decision(Snapshot snapshot, Wanted wanted, List<String> adapters, ToLongFunction<String> lastUsed) {
+        private Planner(
+                Snapshot snapshot, Wanted wanted, List<String> awaitedAdapters, ToLongFunction<String> lastUsedMillis) {
             this.snapshot = snapshot;
             this.wanted = wanted;
-            this.needed = new HashSet<>(wanted.items());
-            this.needed.addAll(adapters);
-            this.lastUsed = lastUsed;
+            this.neededItems = new HashSet<>(wanted.items());
+            this.neededItems.addAll(awaitedAdapters);
+            this.lastUsedMillis = lastUsedMillis;
             this.freeBytes = snapshot.freeBytes();
-            this.expectedBytes = freeBytes + evictingBytes();
+            this.freeBytesAfterEvictions = freeBytes + evictingBytes();
         }
 
         private long evictingBytes() {
@@ -100,7 +101,7 @@
                     .mapToLong(Holding::sizeBytes)
                     .sum();
             long surplusBytes = heldBytes - snapshot.capacityBytes() - evictingBytes();
-            for (Holding holding : bySacrifice()) {
+            for (Holding holding : surplusCandidates()) {
                 if (surplusBytes <= 0L) {
                     return;
                 }
@@ -109,27 +110,28 @@
             }
         }
 
-        private List<Holding> bySacrifice() {
+        private List<Holding> surplusCandidates() {
             Comparator<Holding> order = Comparator.comparing(
                             (Holding holding) -> wanted.protectedItems().contains(holding.item()))
-                    .thenComparing(holding -> needed.contains(holding.item()))
-                    .thenComparingLong(holding -> lastUsed.applyAsLong(holding.item()))
+                    .thenComparing(holding -> neededItems.contains(holding.item()))
+                    .thenComparingLong(holding -> lastUsedMillis.applyAsLong(holding.item()))
                     .thenComparing(Holding::item);
-            return idle().sorted(order).toList();
+            return evictable().sorted(order).toList();
         }
 
-        private java.util.stream.Stream<Holding> idle() {
+        private java.util.stream.Stream<Holding> evictable() {
             return snapshot.holdings().values().stream()
                     .filter(holding -> holding.state() == State.RESIDENT)
                     .filter(holding -> !snapshot.pinned().contains(holding.item()))
                     .filter(holding -> !evictions.contains(holding.item()));
         }
 
-        private List<Holding> victims() {
+        private List<Holding> evictionCandidates() {
             Comparator<Holding> order = Comparator.comparing((Holding holding) -> !isAdapter(holding.item()))
-                    .thenComparingLong(holding -> lastUsed.applyAsLong(holding.item()))
+                    .thenComparingLong(holding -> lastUsedMillis.applyAsLong(holding.item()))
                     .thenComparing(Holding::item);
-            return idle().filter(holding -> !needed.contains(holding.item()))
+            return evictable()
+                    .filter(holding -> !neededItems.contains(holding.item()))
                     .filter(holding -> !wanted.protectedItems().contains(holding.item()))
                     .sorted(order)
                     .toList();
@@ -142,31 +144,31 @@
             if (sizeBytes <= freeBytes) {
                 loads.add(new Load(item, sizeBytes));
                 freeBytes -= sizeBytes;
-                expectedBytes -= sizeBytes;
+                freeBytesAfterEvictions -= sizeBytes;
             } else if (makeRoom(sizeBytes)) {
-                expectedBytes -= sizeBytes;
+                freeBytesAfterEvictions -= sizeBytes;
                 freeBytes = 0L;
             } else {
-                refused.add(item);
+                unplaceable.add(item);
             }
         }
 
         /** Evicts nothing unless that makes enough room. */
         private boolean makeRoom(long sizeBytes) {
-            long roomBytes = expectedBytes;
+            long availableBytes = freeBytesAfterEvictions;
             List<String> chosen = new ArrayList<>();
-            for (Holding victim : victims()) {
-                if (roomBytes >= sizeBytes) {
+            for (Holding candidate : evictionCandidates()) {
+                if (availableBytes >= sizeBytes) {
                     break;
                 }
-                chosen.add(victim.item());
-                roomBytes += victim.sizeBytes();
+                chosen.add(candidate.item());
+                availableBytes += candidate.sizeBytes();
             }
-            if (roomBytes < sizeBytes) {
+            if (availableBytes < sizeBytes) {
                 return false;
             }
             evictions.addAll(chosen);
-            expectedBytes = roomBytes;
+            freeBytesAfterEvictions = availableBytes;
             return true;
         }
     }
--- a/src/main/java/io/waxwingquay/side/SideMeters.java
+++ b/src/main/java/io/waxwingquay/side/SideMeters.java
@@ -17,7 +17,7 @@
  */
 final class SideMeters {
 
-    private static final List<String> MODEL_EVENTS = List.of("crashes", "streams.silent", "pauses", "overcommits");
+    private static final List<String> MODEL_COUNTERS = List.of("crashes", "streams.silent", "pauses", "overcommits");
     private static final String PREFIX = "waxwingquay.side.";
 
     private final MeterRegistry registry;
@@ -38,15 +38,15 @@
 
     /** Registers what a side before a model engine has besides. */
     void registerModel(MemoryLedger ledger) {
-        MODEL_EVENTS.forEach(event -> registry.counter(PREFIX + event, "side", sideId));
+        MODEL_COUNTERS.forEach(event -> registry.counter(PREFIX + event, "side", sideId));
         for (String kind : List.of("load", "evict")) {
             registry.counter(PREFIX + "orders.resent", "kind", kind.toUpperCase(Locale.ROOT));
             List.of("model", "adapter").forEach(item -> registry.counter(PREFIX + "moves", "kind", kind, "item", item));
         }
-        memory(ledger, "counted", Snapshot::countedBytes);
-        memory(ledger, "capacity", Snapshot::capacityBytes);
+        registerMemoryGauge(ledger, "counted", Snapshot::countedBytes);
+        registerMemoryGauge(ledger, "capacity", Snapshot::capacityBytes);
         for (State state : EnumSet.complementOf(EnumSet.of(State.ABSENT))) {
-            Gauge.builder(PREFIX + "memory.items", ledger, found -> items(found, state))
+            Gauge.builder(PREFIX + "memory.items", ledger, found -> countItems(found, state))
                     .tag("state", state.name())
                     .strongReference(true)
                     .register(registry);
@@ -59,14 +59,14 @@
                 .register(registry);
     }
 
-    private void memory(MemoryLedger ledger, String name, ToDoubleFunction<Snapshot> value) {
+    private void registerMemoryGauge(MemoryLedger ledger, String name, ToDoubleFunction<Snapshot> value) {
         Gauge.builder(PREFIX + "memory." + name, ledger, found -> value.applyAsDouble(found.snapshot()))
                 .baseUnit("bytes")
                 .strongReference(true)
                 .register(registry);
     }
 
-    private static double items(MemoryLedger ledger, State state) {
+    private static double countItems(MemoryLedger ledger, State state) {
         return ledger.snapshot().holdings().values().stream()
                 .filter(holding -> holding.state() == state)
                 .count();
--- a/src/main/java/io/waxwingquay/side/SideNode.java
+++ b/src/main/java/io/waxwingquay/side/SideNode.java
@@ -29,10 +29,10 @@
 public final class SideNode extends ForwardingPeer implements SideProtocol, AutoCloseable {
 
     private static final System.Logger LOG = System.getLogger("waxwingquay.side");
-    private static final long DRAIN_CHECK_MILLIS = 20L;
+    private static final long DRAIN_CHECK_INTERVAL_MILLIS = 20L;
 
     /** An entry that lost an answer asks again after 1 s at most (its longest time-out of a call) and its first pause. */
-    private static final long ASK_AGAIN_MILLIS = 1_500L;
+    private static final long POLL_RESEND_MILLIS = 1_500L;
 
     private final SideParts parts;
 
@@ -45,8 +45,8 @@
      * Starts the order loop and publishes this side.
      */
     public void start() {
-        parts.self().publish();
-        parts.housekeeping().wake();
+        parts.recordPublisher().publish();
+        parts.housekeeping().runNow();
     }
 
     /**
@@ -55,7 +55,7 @@
      * @return completes when done.
      */
     public CompletableFuture<Void> tick() {
-        return parts.housekeeping().round();
+        return parts.housekeeping().runOnce();
     }
 
     /**
@@ -67,9 +67,9 @@
     public CompletableFuture<Void> drain(long limitMillis) {
         leave();
         CompletableFuture<Void> drained = new CompletableFuture<>();
-        parts.gate().close().thenRun(() -> awaitFetched(drained));
+        parts.gate().close().thenRun(() -> awaitDelivery(drained));
         return drained.completeOnTimeout(null, limitMillis, TimeUnit.MILLISECONDS)
-                .thenRun(() -> parts.self().on(SideEvent.DRAINED));
+                .thenRun(() -> parts.recordPublisher().handle(SideEvent.DRAINED));
     }
 
     /**
@@ -87,7 +87,7 @@
      * @return the items.
      */
     public List<String> unplaceableItems() {
-        return parts.residency().map(ResidencyLoop::unplaceableItems).orElse(List.of());
+        return parts.residencyLoop().map(ResidencyLoop::unplaceableItems).orElse(List.of());
     }
 
     /**
@@ -96,7 +96,7 @@
      * @return how many are in each state.
      */
     public Map<RequestState, Long> attemptsByState() {
-        return parts.book().all().stream()
+        return parts.attempts().all().stream()
                 .collect(Collectors.groupingBy(
                         Attempt::state, () -> new EnumMap<>(RequestState.class), Collectors.counting()));
     }
@@ -107,7 +107,7 @@
      * @return the time by the monotonic clock, or empty before the first report and for a plain service.
      */
     public Optional<Long> lastResidencyReadMillis() {
-        return parts.residency().flatMap(ResidencyLoop::lastReadMillis);
+        return parts.residencyLoop().flatMap(ResidencyLoop::lastReadMillis);
     }
 
     /**
@@ -116,23 +116,24 @@
      * @return its state.
      */
     public SideState state() {
-        return parts.self().state();
+        return parts.recordPublisher().state();
     }
 
     /** {@inheritDoc} */
     @Override
     public CompletableFuture<SubmitAnswer> submit(Submission submission) {
-        Optional<Door.Denial> denial = parts.admission().submit(submission);
+        Optional<AdmissionCheck.Rejection> rejection = parts.admission().submit(submission);
         long epoch = parts.context().identity().epoch();
-        SubmitAnswer answer = new SubmitAnswer(denial.isEmpty(), parts.meter().report(), epoch);
-        denial.ifPresent(found -> {
+        SubmitAnswer answer =
+                new SubmitAnswer(rejection.isEmpty(), parts.loadMeter().report(), epoch);
+        rejection.ifPresent(found -> {
             parts.context()
                     .count("waxwingquay.side.refusals", "reason", found.reason().name());
             LOG.log(
                     System.Logger.Level.INFO,
                     () -> "side: request " + submission.getRequestId() + " was refused, " + found.reason() + ", "
                             + found.execution() + ".");
-            answer.setRefusal(parts.meter().refusal(found.reason(), found.message(), found.execution()));
+            answer.setRefusal(parts.loadMeter().refusal(found.reason(), found.message(), found.execution()));
         });
         return CompletableFuture.completedFuture(answer);
     }
@@ -140,11 +141,11 @@
     /** {@inheritDoc} */
     @Override
     public CompletableFuture<PollAnswer> poll(PollRequest request) {
-        Optional<Attempt> attempt = parts.book().find(request.getAttemptId());
+        Optional<Attempt> attempt = parts.attempts().find(request.getAttemptId());
         if (attempt.isEmpty()) {
             PollAnswer absent = new PollAnswer(
-                    AttemptState.ABSENT, new ArrayList<>(), parts.meter().report());
-            absent.setFailure(parts.meter()
+                    AttemptState.ABSENT, new ArrayList<>(), parts.loadMeter().report());
+            absent.setFailure(parts.loadMeter()
                     .refusal(RefusalReason.EXPIRED_ATTEMPT, "this side does not know the attempt", Execution.UNKNOWN));
             return CompletableFuture.completedFuture(absent);
         }
@@ -155,13 +156,13 @@
                                 request.getWaitMillis(),
                                 parts.context().limits().pollWaitMillis()),
                         parts.context().clock().monotonicMillis(),
-                        parts.meter()::report);
+                        parts.loadMeter()::report);
     }
 
     /** {@inheritDoc} */
     @Override
     public CompletableFuture<Boolean> cancel(String attemptId) {
-        Optional<Attempt> attempt = parts.book().find(attemptId);
+        Optional<Attempt> attempt = parts.attempts().find(attemptId);
         attempt.ifPresent(found -> found.cancel(parts.context().clock().monotonicMillis()));
         return CompletableFuture.completedFuture(attempt.isPresent());
     }
@@ -172,7 +173,8 @@
         if (request.getSideEpoch() != parts.context().identity().epoch()) {
             return CompletableFuture.completedFuture(new ResolveAnswer(Execution.UNKNOWN, AttemptState.ABSENT));
         }
-        return CompletableFuture.completedFuture(parts.book().resolve(request.getAttemptId(), request.isWithdraw()));
+        return CompletableFuture.completedFuture(
+                parts.attempts().resolve(request.getAttemptId(), request.isWithdraw()));
     }
 
     /** Stops at once, whatever is in flight; drain first. */
@@ -180,7 +182,7 @@
     public void close() {
         parts.gate().close();
         parts.housekeeping().close();
-        parts.residency().ifPresent(ResidencyLoop::retire);
+        parts.residencyLoop().ifPresent(ResidencyLoop::retire);
         parts.context().scheduler().shutdownNow();
     }
 
@@ -188,12 +190,12 @@
     void leave() {
         LOG.log(System.Logger.Level.INFO, "side: leaving.");
         parts.gate().close();
-        parts.residency().ifPresent(ResidencyLoop::retire);
-        parts.self().on(SideEvent.LEAVE);
+        parts.residencyLoop().ifPresent(ResidencyLoop::retire);
+        parts.recordPublisher().handle(SideEvent.LEAVE);
         parts.admission()
                 .dispatcher()
-                .refuseQueued(
-                        parts.meter().refusal(RefusalReason.LEAVING, "this side is leaving", Execution.DID_NOT_RUN));
+                .rejectQueued(parts.loadMeter()
+                        .refusal(RefusalReason.LEAVING, "this side is leaving", Execution.DID_NOT_RUN));
     }
 
     /**
@@ -201,18 +203,18 @@
      * the side stays until each answer was polled to its end or its entry has gone. The reply to that poll is still to be
      * sent then, and may be lost; so it stays for as long as an entry that did not get it takes to ask again.
      */
-    private void awaitFetched(CompletableFuture<Void> drained) {
+    private void awaitDelivery(CompletableFuture<Void> drained) {
         long nowMillis = parts.context().clock().monotonicMillis();
-        long goneMillis = parts.context().limits().unpolledLimitMillis();
-        boolean fetched = parts.book().all().stream()
-                .allMatch(attempt ->
-                        attempt.isFetched(ASK_AGAIN_MILLIS, nowMillis) || attempt.isEndedSince(goneMillis, nowMillis));
-        if (fetched) {
+        long abandonedMillis = parts.context().limits().unpolledLimitMillis();
+        boolean delivered = parts.attempts().all().stream()
+                .allMatch(attempt -> attempt.isEndDelivered(POLL_RESEND_MILLIS, nowMillis)
+                        || attempt.isEndedFor(abandonedMillis, nowMillis));
+        if (delivered) {
             drained.complete(null);
         } else if (!drained.isDone()) {
             parts.context()
                     .scheduler()
-                    .schedule(() -> awaitFetched(drained), DRAIN_CHECK_MILLIS, TimeUnit.MILLISECONDS);
+                    .schedule(() -> awaitDelivery(drained), DRAIN_CHECK_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
         }
     }
 }
--- a/src/main/java/io/waxwingquay/side/SideNodeBuilder.java
+++ b/src/main/java/io/waxwingquay/side/SideNodeBuilder.java
@@ -190,16 +190,25 @@
      */
     public SideNode forPlainService(PlainService service) {
         SideContext context = context();
-        LoadMeter meter = new LoadMeter(clock, random, () -> 0L);
-        Target target = new Target.ForPlainService(new PlainRunner(context, service, meter));
-        AttemptBook book = book();
-        SelfRecord self = new SelfRecord(context, TargetKind.PLAIN_SERVICE, Optional::empty);
+        LoadMeter loadMeter = new LoadMeter(clock, random, () -> 0L);
+        Target target = new Target.ForPlainService(new PlainRunner(context, service, loadMeter));
+        AttemptRegistry attempts = attempts();
+        SideRecordPublisher recordPublisher =
+                new SideRecordPublisher(context, TargetKind.PLAIN_SERVICE, Optional::empty);
         DrainGate gate = new DrainGate();
-        Admission admission = new Admission(context, book, gate, target, meter, self, admissionRule);
-        Housekeeping housekeeping = new Housekeeping(context, book, self, Optional.empty(), () -> {});
+        Admission admission = new Admission(context, attempts, gate, target, loadMeter, recordPublisher, admissionRule);
+        Housekeeping housekeeping = new Housekeeping(context, attempts, recordPublisher, Optional.empty(), () -> {});
         return new SideNode(
                 new SideParts(
-                        context, book, gate, meter, self, admission, housekeeping, Optional.empty(), Optional::empty),
+                        context,
+                        attempts,
+                        gate,
+                        loadMeter,
+                        recordPublisher,
+                        admission,
+                        housekeeping,
+                        Optional.empty(),
+                        Optional::empty),
                 peer);
     }
 
@@ -213,33 +222,47 @@
     public SideNode forModelEngine(ModelEngine engine, MemoryLedger ledger) {
         SideContext context = context();
         AtomicReference<Runnable> leave = new AtomicReference<>(() -> {});
-        AtomicReference<Runnable> wake = new AtomicReference<>(() -> {});
-        AtomicReference<Admission> way = new AtomicReference<>();
+        AtomicReference<Runnable> runHousekeeping = new AtomicReference<>(() -> {});
+        AtomicReference<Admission> admission = new AtomicReference<>();
         new SideMeters(meters, identity.sideId()).registerModel(ledger);
-        LoadMeter meter = new LoadMeter(clock, random, () -> ledger.snapshot().freeBytes());
-        ResidencyLoop residency = new ResidencyLoop(
+        LoadMeter loadMeter =
+                new LoadMeter(clock, random, () -> ledger.snapshot().freeBytes());
+        ResidencyLoop residencyLoop = new ResidencyLoop(
                 context, engine, ledger, permits, wantedItems, () -> leave.get().run());
-        CrashHandler crashes = new CrashHandler(
-                context, engine, meter, refusal -> way.get().dispatcher().refuseQueued(refusal));
-        ModelRunner runner = new ModelRunner(context, engine, meter, crashes);
-        Target target = new Target.ForModels(
-                context, ledger, residency, runner, crashes, () -> wake.get().run());
+        CrashHandler crashHandler = new CrashHandler(context, engine, loadMeter, refusal -> admission
+                .get()
+                .dispatcher()
+                .rejectQueued(refusal));
+        ModelRunner runner = new ModelRunner(context, engine, loadMeter, crashHandler);
+        Target target =
+                new Target.ForModelEngine(context, ledger, residencyLoop, runner, crashHandler, () -> runHousekeeping
+                        .get()
+                        .run());
         Supplier<Optional<Snapshot>> memory = () -> Optional.of(ledger.snapshot());
-        AttemptBook book = book();
-        SelfRecord self = new SelfRecord(context, TargetKind.MODEL_ENGINE, memory);
+        AttemptRegistry attempts = attempts();
+        SideRecordPublisher recordPublisher = new SideRecordPublisher(context, TargetKind.MODEL_ENGINE, memory);
         DrainGate gate = new DrainGate();
-        way.set(new Admission(context, book, gate, target, meter, self, admissionRule));
-        Housekeeping housekeeping = new Housekeeping(context, book, self, Optional.of(residency), runner::reopenSilent);
+        admission.set(new Admission(context, attempts, gate, target, loadMeter, recordPublisher, admissionRule));
+        Housekeeping housekeeping = new Housekeeping(
+                context, attempts, recordPublisher, Optional.of(residencyLoop), runner::reopenSilentStreams);
         SideParts parts = new SideParts(
-                context, book, gate, meter, self, way.get(), housekeeping, Optional.of(residency), memory);
+                context,
+                attempts,
+                gate,
+                loadMeter,
+                recordPublisher,
+                admission.get(),
+                housekeeping,
+                Optional.of(residencyLoop),
+                memory);
         SideNode node = new SideNode(parts, peer);
         leave.set(node::leave);
-        wake.set(housekeeping::wake);
+        runHousekeeping.set(housekeeping::runNow);
         return node;
     }
 
-    private AttemptBook book() {
-        return new AttemptBook(clock, limits.attemptRetentionMillis(), limits.attemptLimit());
+    private AttemptRegistry attempts() {
+        return new AttemptRegistry(clock, limits.attemptRetentionMillis(), limits.attemptLimit());
     }
 
     private SideContext context() {
--- a/src/main/java/io/waxwingquay/side/SideParts.java
+++ b/src/main/java/io/waxwingquay/side/SideParts.java
@@ -9,22 +9,22 @@
  * The parts of one side process, put together.
  *
  * @param context what all work with.
- * @param book the attempts.
+ * @param attempts the attempts.
  * @param gate closed once this side leaves.
- * @param meter measured load.
- * @param self the published record.
+ * @param loadMeter measured load.
+ * @param recordPublisher the published record.
  * @param admission the way in.
  * @param housekeeping the recurring work.
- * @param residency the order loop, for a model engine.
+ * @param residencyLoop the order loop, for a model engine.
  * @param memory the ledger, for a model engine.
  */
 record SideParts(
         SideContext context,
-        AttemptBook book,
+        AttemptRegistry attempts,
         DrainGate gate,
-        LoadMeter meter,
-        SelfRecord self,
+        LoadMeter loadMeter,
+        SideRecordPublisher recordPublisher,
         Admission admission,
         Housekeeping housekeeping,
-        Optional<ResidencyLoop> residency,
+        Optional<ResidencyLoop> residencyLoop,
         Supplier<Optional<Snapshot>> memory) {}
--- a/src/main/java/io/waxwingquay/side/SelfRecord.java
+++ b/src/main/java/io/waxwingquay/side/SideRecordPublisher.java
@@ -18,26 +18,26 @@
 /**
  * What this side publishes of itself, and the demand it has seen. Safe for concurrent use.
  */
-final class SelfRecord {
+final class SideRecordPublisher {
 
     private static final StateChart<SideState, SideEvent> CHART =
             StateChart.load(SideEvent.CHART_NAME, SideState.class, SideEvent.class);
-    private static final long DEMAND_MILLIS = 30_000L;
-    private static final long DEMAND_PUBLISH_MILLIS = 5_000L;
-    private static final double DEMAND_BYTES_PER_SECOND = 3_000.0;
-    private static final int HIGHEST_STEP = 60;
+    private static final long DEMAND_TIME_CONSTANT_MILLIS = 30_000L;
+    private static final long MIN_DEMAND_INTERVAL_MILLIS = 5_000L;
+    private static final double MAX_DEMAND_BYTES_PER_SECOND = 3_000.0;
+    private static final int MAX_DEMAND_STEP = 60;
     private static final double NEGLIGIBLE_PER_SECOND = 0.01;
 
     private final SideContext context;
     private final TargetKind kind;
     private final Supplier<Optional<Snapshot>> memory;
-    private final Map<String, DecayedRate> demand = new TreeMap<>();
+    private final Map<String, DecayedRate> demandByItem = new TreeMap<>();
     private Optional<SideRecord> published = Optional.empty();
     private SideState state = CHART.initial();
     private long publishedMillis;
     private long version;
 
-    SelfRecord(SideContext context, TargetKind kind, Supplier<Optional<Snapshot>> memory) {
+    SideRecordPublisher(SideContext context, TargetKind kind, Supplier<Optional<Snapshot>> memory) {
         this.context = context;
         this.kind = kind;
         this.memory = memory;
@@ -47,28 +47,29 @@
         return state;
     }
 
-    synchronized void on(SideEvent event) {
+    synchronized void handle(SideEvent event) {
         state = CHART.next(state, event).orElse(state);
         publish();
     }
 
-    synchronized void noteDemand(String item) {
-        demand.computeIfAbsent(item, name -> new DecayedRate(context.clock(), DEMAND_MILLIS))
+    synchronized void recordDemand(String item) {
+        demandByItem
+                .computeIfAbsent(item, name -> new DecayedRate(context.clock(), DEMAND_TIME_CONSTANT_MILLIS))
                 .add(1.0);
     }
 
     /** Publishes the record if it changed; a change of demand alone waits a little. */
     synchronized void publish() {
-        demand.values().removeIf(rate -> rate.perSecond() < NEGLIGIBLE_PER_SECOND);
+        demandByItem.values().removeIf(rate -> rate.perSecond() < NEGLIGIBLE_PER_SECOND);
         SideRecord next = record();
         if (published.filter(next::equals).isPresent()) {
             return;
         }
         long nowMillis = context.clock().monotonicMillis();
-        boolean demandOnly = published
+        boolean onlyDemandChanged = published
                 .filter(last -> withoutDemand(last).equals(withoutDemand(next)))
                 .isPresent();
-        if (demandOnly && nowMillis - publishedMillis < demandWaitMillis(next)) {
+        if (onlyDemandChanged && nowMillis - publishedMillis < demandIntervalMillis(next)) {
             return;
         }
         version++;
@@ -84,27 +85,28 @@
             return 0;
         }
         int step = 1 + (int) Math.floor(2.0 * Math.log(perSecond) / Math.log(2.0));
-        return Math.max(1, Math.min(HIGHEST_STEP, step));
+        return Math.max(1, Math.min(MAX_DEMAND_STEP, step));
     }
 
     // At 2,400 sides, one change each 5 s would send every process some 600 KB/s of others' records.
-    private long demandWaitMillis(SideRecord next) {
+    private long demandIntervalMillis(SideRecord next) {
         int sides = context.membership().sides().size();
-        return Math.max(DEMAND_PUBLISH_MILLIS, PublishPace.millisBetween(sides, next, DEMAND_BYTES_PER_SECOND));
+        return Math.max(
+                MIN_DEMAND_INTERVAL_MILLIS, PublishPace.millisBetween(sides, next, MAX_DEMAND_BYTES_PER_SECOND));
     }
 
     private SideRecord record() {
         Optional<Snapshot> snapshot = memory.get();
-        SideIdentity self = context.identity();
+        SideIdentity identity = context.identity();
         return new SideRecord(
-                self.sideId(),
-                self.address().host(),
-                self.address().port(),
-                self.dataCentre(),
-                self.serviceName(),
-                self.replica(),
+                identity.sideId(),
+                identity.address().host(),
+                identity.address().port(),
+                identity.dataCentre(),
+                identity.serviceName(),
+                identity.replica(),
                 kind,
-                self.epoch(),
+                identity.epoch(),
                 version,
                 state,
                 snapshot.map(Snapshot::capacityBytes).orElse(0L),
@@ -112,22 +114,23 @@
     }
 
     private List<ItemRecord> items(Optional<Snapshot> snapshot) {
-        TreeSet<String> names = new TreeSet<>(demand.keySet());
+        TreeSet<String> names = new TreeSet<>(demandByItem.keySet());
         snapshot.ifPresent(found ->
                 found.holdings().keySet().stream().filter(found::isResident).forEach(names::add));
         List<ItemRecord> items = new ArrayList<>();
         for (String name : names) {
             boolean resident = snapshot.filter(found -> found.isResident(name)).isPresent();
-            double perSecond = demand.containsKey(name) ? demand.get(name).perSecond() : 0.0;
+            double perSecond =
+                    demandByItem.containsKey(name) ? demandByItem.get(name).perSecond() : 0.0;
             items.add(new ItemRecord(name, resident, demandStep(perSecond)));
         }
         return items;
     }
 
     private static SideRecord withoutDemand(SideRecord record) {
-        SideRecord bare = record.deepCopy();
-        bare.getItems().removeIf(item -> !item.isResident());
-        bare.getItems().forEach(item -> item.setDemandStep(0));
-        return bare;
+        SideRecord stripped = record.deepCopy();
+        stripped.getItems().removeIf(item -> !item.isResident());
+        stripped.getItems().forEach(item -> item.setDemandStep(0));
+        return stripped;
     }
 }
--- a/src/main/java/io/waxwingquay/side/Target.java
+++ b/src/main/java/io/waxwingquay/side/Target.java
@@ -16,7 +16,7 @@
     boolean isReady();
 
     /** Whether it can run a submission from memory. */
-    boolean holds(Submission submission);
+    boolean canRun(Submission submission);
 
     /** Keeps what the attempt needs in memory; each success needs one unpin. */
     boolean pin(Attempt attempt);
@@ -33,46 +33,46 @@
     /**
      * A model engine.
      */
-    final class ForModels implements Target {
+    final class ForModelEngine implements Target {
 
-        private static final long STALE_PAUSES = 3L;
+        private static final long MAX_REPORT_AGE_PAUSES = 3L;
 
         private final SideContext context;
         private final MemoryLedger ledger;
-        private final ResidencyLoop residency;
+        private final ResidencyLoop residencyLoop;
         private final ModelRunner runner;
-        private final CrashHandler crashes;
-        private final Runnable wake;
+        private final CrashHandler crashHandler;
+        private final Runnable runHousekeeping;
 
-        ForModels(
+        ForModelEngine(
                 SideContext context,
                 MemoryLedger ledger,
-                ResidencyLoop residency,
+                ResidencyLoop residencyLoop,
                 ModelRunner runner,
-                CrashHandler crashes,
-                Runnable wake) {
+                CrashHandler crashHandler,
+                Runnable runHousekeeping) {
             this.context = context;
             this.ledger = ledger;
-            this.residency = residency;
+            this.residencyLoop = residencyLoop;
             this.runner = runner;
-            this.crashes = crashes;
-            this.wake = wake;
+            this.crashHandler = crashHandler;
+            this.runHousekeeping = runHousekeeping;
         }
 
         /** {@inheritDoc} */
         @Override
         public boolean isReady() {
             long oldestMillis = context.clock().monotonicMillis()
-                    - STALE_PAUSES * context.limits().pauseLimitMillis();
-            return residency
+                    - MAX_REPORT_AGE_PAUSES * context.limits().pauseLimitMillis();
+            return residencyLoop
                     .lastReadMillis()
-                    .filter(read -> read > crashes.downMillis() && read >= oldestMillis)
+                    .filter(read -> read > crashHandler.lastCrashMillis() && read >= oldestMillis)
                     .isPresent();
         }
 
         /** {@inheritDoc} */
         @Override
-        public boolean holds(Submission submission) {
+        public boolean canRun(Submission submission) {
             return submission.isSetModel() && ledger.snapshot().isResident(item(submission.getModel()));
         }
 
@@ -83,7 +83,7 @@
                 return false;
             }
             String item = item(attempt.submission().getModel());
-            residency.noteUsed(item);
+            residencyLoop.recordUse(item);
             return ledger.pin(item);
         }
 
@@ -96,20 +96,20 @@
         /** {@inheritDoc} */
         @Override
         public CompletableFuture<Void> prepare(Attempt attempt) {
-            Optional<String> adapter = ModelItems.adapter(
+            Optional<String> adapter = ItemNames.adapterItem(
                     context.bundles().current(), attempt.submission().getModel());
             return adapter.map(item -> prepare(attempt, item)).orElse(CompletableFuture.completedFuture(null));
         }
 
         private CompletableFuture<Void> prepare(Attempt attempt, String adapter) {
-            CompletableFuture<Void> pinned = residency.pinAdapter(adapter);
-            attempt.ended().thenRun(() -> {
+            CompletableFuture<Void> pinned = residencyLoop.pinAdapter(adapter);
+            attempt.whenEnded().thenRun(() -> {
                 if (!pinned.cancel(false)) {
                     ledger.unpin(adapter);
                 }
             });
             if (!pinned.isDone()) {
-                wake.run();
+                runHousekeeping.run();
             }
             return pinned;
         }
@@ -122,7 +122,7 @@
         }
 
         private String item(ModelCall call) {
-            return ModelItems.model(context.bundles().current(), call);
+            return ItemNames.modelItem(context.bundles().current(), call);
         }
     }
 
@@ -145,7 +145,7 @@
 
         /** {@inheritDoc} */
         @Override
-        public boolean holds(Submission submission) {
+        public boolean canRun(Submission submission) {
             return submission.isSetPlain();
         }
 
--- a/src/main/java/io/waxwingquay/side/UnitBuffer.java
+++ b/src/main/java/io/waxwingquay/side/UnitBuffer.java
@@ -9,51 +9,51 @@
  */
 final class UnitBuffer {
 
-    private static final int FIRST_UNITS = 16;
-    private static final int FIRST_BYTES = 128;
+    private static final int INITIAL_UNITS = 16;
+    private static final int INITIAL_BYTES = 128;
 
-    private byte[] bytes = new byte[FIRST_BYTES];
-    private int[] ends = new int[FIRST_UNITS];
-    private int units;
+    private byte[] bytes = new byte[INITIAL_BYTES];
+    private int[] endOffsets = new int[INITIAL_UNITS];
+    private int unitCount;
     private boolean released;
 
     int units() {
-        return units;
+        return unitCount;
     }
 
     void append(byte[] unit) {
-        int start = end();
+        int start = endOffset();
         int end = start + unit.length;
         if (end > bytes.length) {
             bytes = Arrays.copyOf(bytes, Math.max(end, bytes.length * 2));
         }
-        if (units == ends.length) {
-            ends = Arrays.copyOf(ends, units * 2);
+        if (unitCount == endOffsets.length) {
+            endOffsets = Arrays.copyOf(endOffsets, unitCount * 2);
         }
         System.arraycopy(unit, 0, bytes, start, unit.length);
-        ends[units] = end;
-        units++;
+        endOffsets[unitCount] = end;
+        unitCount++;
     }
 
-    boolean hasAfter(long offset) {
-        return offset < units && !released;
+    boolean hasUnitsFrom(long offset) {
+        return offset < unitCount && !released;
     }
 
     /** All units from an offset on, as one chunk. */
-    Chunk from(long offset) {
+    Chunk chunkFrom(long offset) {
         int first = (int) Math.max(0L, offset);
-        int start = first == 0 ? 0 : ends[first - 1];
-        return new Chunk(first, ByteBuffer.wrap(Arrays.copyOfRange(bytes, start, end())), units - first);
+        int start = first == 0 ? 0 : endOffsets[first - 1];
+        return new Chunk(first, ByteBuffer.wrap(Arrays.copyOfRange(bytes, start, endOffset())), unitCount - first);
     }
 
     /** Drops the bytes and keeps the count. */
     void release() {
         released = true;
         bytes = new byte[0];
-        ends = new int[0];
+        endOffsets = new int[0];
     }
 
-    private int end() {
-        return units == 0 ? 0 : ends[units - 1];
+    private int endOffset() {
+        return unitCount == 0 ? 0 : endOffsets[unitCount - 1];
     }
 }
--- a/src/test/java/io/waxwingquay/side/AttemptBookTest.java
+++ b/src/test/java/io/waxwingquay/side/AttemptRegistryTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import io.waxwingquay.side.AttemptBook.Outcome;
+import io.waxwingquay.side.AttemptRegistry.Outcome;
 import io.waxwingquay.transport.generated.Execution;
 import io.waxwingquay.transport.generated.ResolveAnswer;
 import io.waxwingquay.transport.generated.ServiceCall;
@@ -14,18 +14,18 @@
 import org.jetbrains.lincheck.datastructures.StressOptions;
 import org.junit.jupiter.api.Test;
 
-class AttemptBookTest {
+class AttemptRegistryTest {
 
     private static final long RETENTION_MILLIS = 900_000L;
 
     private final ManualClock clock = new ManualClock();
-    private final AttemptBook book = new AttemptBook(clock, RETENTION_MILLIS, 3);
+    private final AttemptRegistry book = new AttemptRegistry(clock, RETENTION_MILLIS, 3);
 
     @Test
     void attachesARepeatedSubmission() {
-        Attempt first = book.take(submission("a")).attempt().orElseThrow();
-        assertEquals(Outcome.ATTACHED, book.take(submission("a")).outcome());
-        assertEquals(first, book.take(submission("a")).attempt().orElseThrow());
+        Attempt first = book.register(submission("a")).attempt().orElseThrow();
+        assertEquals(Outcome.ATTACHED, book.register(submission("a")).outcome());
+        assertEquals(first, book.register(submission("a")).attempt().orElseThrow());
     }
 
     // The caller pays twice. Its entry heard no answer, withdrew the attempt and made a new one; the first
@@ -33,13 +33,13 @@
     @Test
     void refusesALateSubmissionOfAWithdrawnAttempt() {
         assertEquals(Execution.DID_NOT_RUN, book.resolve("a", true).getExecution());
-        assertEquals(Outcome.WITHDRAWN, book.take(submission("a")).outcome());
+        assertEquals(Outcome.WITHDRAWN, book.register(submission("a")).outcome());
     }
 
     @Test
     void withdrawsOnlyWhatHasNotStarted() {
-        Attempt queued = book.take(submission("a")).attempt().orElseThrow();
-        Attempt running = book.take(submission("b")).attempt().orElseThrow();
+        Attempt queued = book.register(submission("a")).attempt().orElseThrow();
+        Attempt running = book.register(submission("b")).attempt().orElseThrow();
         assertTrue(running.start());
         assertEquals(Execution.DID_NOT_RUN, book.resolve("a", true).getExecution());
         assertFalse(queued.start());
@@ -50,21 +50,21 @@
     // attempt ran but is no longer kept: "absent" must not be taken for "did not run".
     @Test
     void neverSaysDidNotRunOfAnAttemptItHasForgotten() {
-        Attempt ran = book.take(submission("a")).attempt().orElseThrow();
+        Attempt ran = book.register(submission("a")).attempt().orElseThrow();
         ran.start();
         ran.finishPlain(200, "text/plain", new byte[0], clock.monotonicMillis());
         clock.advance(RETENTION_MILLIS + 1L);
-        book.purge();
+        book.removeExpired();
         assertTrue(book.find("a").isEmpty());
         assertEquals(Execution.UNKNOWN, book.resolve("a", true).getExecution());
     }
 
     @Test
     void isBounded() {
-        book.take(submission("a"));
-        book.take(submission("b"));
+        book.register(submission("a"));
+        book.register(submission("b"));
         book.resolve("c", true);
-        assertEquals(Outcome.FULL, book.take(submission("d")).outcome());
+        assertEquals(Outcome.FULL, book.register(submission("d")).outcome());
         assertEquals(Execution.UNKNOWN, book.resolve("e", true).getExecution());
     }
 
@@ -87,11 +87,11 @@
     /** Operations that run against each other. */
     public static class Concurrent {
 
-        private final AttemptBook book = new AttemptBook(new ManualClock(), RETENTION_MILLIS, 10);
+        private final AttemptRegistry book = new AttemptRegistry(new ManualClock(), RETENTION_MILLIS, 10);
 
         @Operation
         public String takeAndStart() {
-            return book.take(submission("a"))
+            return book.register(submission("a"))
                     .attempt()
                     .map(attempt -> attempt.start() ? "started" : "not started")
                     .orElse("withdrawn");
--- a/src/test/java/io/waxwingquay/side/LoadMeterTest.java
+++ b/src/test/java/io/waxwingquay/side/LoadMeterTest.java
@@ -20,24 +20,24 @@
      */
     @Test
     void doesNotTakeAQuietTargetForASlowOne() {
-        meter.set(new LoadMeter.Counts(0, 0, 0L, AT_ONCE));
-        meter.noteFinished(10L);
+        meter.setCounts(new LoadMeter.Counts(0, 0, 0L, AT_ONCE));
+        meter.recordRun(10L);
         clock.advance(60_000L);
-        assertEquals(400.0, meter.drainPerSecond());
+        assertEquals(400.0, meter.throughputPerSecond());
     }
 
     @Test
     void measuresNothingBeforeTheFirstRun() {
-        meter.set(new LoadMeter.Counts(0, 0, 0L, AT_ONCE));
-        assertEquals(0.0, meter.drainPerSecond());
+        meter.setCounts(new LoadMeter.Counts(0, 0, 0L, AT_ONCE));
+        assertEquals(0.0, meter.throughputPerSecond());
     }
 
     @Test
     void followsSlowerRuns() {
-        meter.set(new LoadMeter.Counts(0, 0, 0L, AT_ONCE));
-        meter.noteFinished(10L);
-        double before = meter.drainPerSecond();
-        meter.noteFinished(1_000L);
-        assertTrue(meter.drainPerSecond() < before);
+        meter.setCounts(new LoadMeter.Counts(0, 0, 0L, AT_ONCE));
+        meter.recordRun(10L);
+        double before = meter.throughputPerSecond();
+        meter.recordRun(1_000L);
+        assertTrue(meter.throughputPerSecond() < before);
     }
 }
--- a/src/test/java/io/waxwingquay/side/SideNodeTest.java
+++ b/src/test/java/io/waxwingquay/side/SideNodeTest.java
@@ -302,7 +302,7 @@
             assertEquals(SideState.SERVING, record.getState());
             assertTrue(record.getItems().get(0).isResident());
             assertEquals(1, record.getItems().get(0).getDemandStep());
-            assertEquals(1 + 6, SelfRecord.demandStep(8.0));
+            assertEquals(1 + 6, SideRecordPublisher.demandStep(8.0));
         }
     }
 
--- a/src/test/java/io/waxwingquay/side/SelfRecordTest.java
+++ b/src/test/java/io/waxwingquay/side/SideRecordPublisherTest.java
@@ -6,7 +6,7 @@
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 
-class SelfRecordTest {
+class SideRecordPublisherTest {
 
     private static final long SOON_MILLIS = 6_000L;
     private static final long LATE_MILLIS = 200_000L;
