--- a/src/test/java/io/waxwingquay/side/AdmissionRuleTest.java
+++ b/src/test/java/io/waxwingquay/side/AdmissionRuleTest.java
@@ -17,7 +17,7 @@
     private static final int BUSY = 16;
 
     @Property(tries = 300, seed = "20261202")
-    void busyTargetTakesWhatEndsByTheDeadlineAndNothingElse(
+    void busyTargetAdmitsOnlyRequestsThatFinishByTheDeadline(
             @ForAll @DoubleRange(max = 2_000) double waitMillis, @ForAll @DoubleRange(max = 2_000) double runMillis) {
         Estimate outlook = new Estimate(waitMillis, runMillis, BUDGET_MILLIS, BUSY);
         assertEquals(waitMillis + runMillis <= BUDGET_MILLIS, AdmissionRule.WITH_RUN_TIME.mayQueue(outlook));
@@ -29,14 +29,14 @@
      * newer measure. An idle target therefore takes whatever comes.
      */
     @Property(tries = 100, seed = "20261202")
-    void idleTargetRefusesNothing(@ForAll @IntRange(min = 1, max = 1_000_000) int runMillis) {
+    void idleTargetRejectsNothing(@ForAll @IntRange(min = 1, max = 1_000_000) int runMillis) {
         Estimate outlook = new Estimate(0, runMillis, 1L, 0);
         assertTrue(AdmissionRule.WITH_RUN_TIME.mayQueue(outlook));
         assertTrue(AdmissionRule.WITH_RUN_TIME.mayStart(outlook));
     }
 
     @Test
-    void waitingRoomLetsAllInButOffersNoStartThatIsTooLate() {
+    void startCheckOnlyQueuesEveryRequestButStartsNoneTooLate() {
         Estimate late = new Estimate(0, 2 * BUDGET_MILLIS, BUDGET_MILLIS, BUSY);
         assertTrue(AdmissionRule.START_CHECK_ONLY.mayQueue(late));
         assertFalse(AdmissionRule.START_CHECK_ONLY.mayStart(late));
--- a/src/test/java/io/waxwingquay/side/AttemptRegistryTest.java
+++ b/src/test/java/io/waxwingquay/side/AttemptRegistryTest.java
@@ -19,63 +19,63 @@
     private static final long RETENTION_MILLIS = 900_000L;
 
     private final ManualClock clock = new ManualClock();
-    private final AttemptRegistry book = new AttemptRegistry(clock, RETENTION_MILLIS, 3);
+    private final AttemptRegistry registry = new AttemptRegistry(clock, RETENTION_MILLIS, 3);
 
     @Test
-    void attachesARepeatedSubmission() {
-        Attempt first = book.register(submission("a")).attempt().orElseThrow();
-        assertEquals(Outcome.ATTACHED, book.register(submission("a")).outcome());
-        assertEquals(first, book.register(submission("a")).attempt().orElseThrow());
+    void attachesResentSubmissionToItsAttempt() {
+        Attempt first = registry.register(submission("a")).attempt().orElseThrow();
+        assertEquals(Outcome.ATTACHED, registry.register(submission("a")).outcome());
+        assertEquals(first, registry.register(submission("a")).attempt().orElseThrow());
     }
 
     // The caller pays twice. Its entry heard no answer, withdrew the attempt and made a new one; the first
     // submission was only late and arrives afterwards. It must not start any more.
     @Test
-    void refusesALateSubmissionOfAWithdrawnAttempt() {
-        assertEquals(Execution.DID_NOT_RUN, book.resolve("a", true).getExecution());
-        assertEquals(Outcome.WITHDRAWN, book.register(submission("a")).outcome());
+    void rejectsLateSubmissionOfWithdrawnAttempt() {
+        assertEquals(Execution.DID_NOT_RUN, registry.resolve("a", true).getExecution());
+        assertEquals(Outcome.WITHDRAWN, registry.register(submission("a")).outcome());
     }
 
     @Test
-    void withdrawsOnlyWhatHasNotStarted() {
-        Attempt queued = book.register(submission("a")).attempt().orElseThrow();
-        Attempt running = book.register(submission("b")).attempt().orElseThrow();
+    void withdrawsOnlyAttemptsThatHaveNotStarted() {
+        Attempt queued = registry.register(submission("a")).attempt().orElseThrow();
+        Attempt running = registry.register(submission("b")).attempt().orElseThrow();
         assertTrue(running.start());
-        assertEquals(Execution.DID_NOT_RUN, book.resolve("a", true).getExecution());
+        assertEquals(Execution.DID_NOT_RUN, registry.resolve("a", true).getExecution());
         assertFalse(queued.start());
-        assertEquals(Execution.UNKNOWN, book.resolve("b", true).getExecution());
+        assertEquals(Execution.UNKNOWN, registry.resolve("b", true).getExecution());
     }
 
     // The caller pays twice. Hours later it sends the call again; the entry finds the old claim and asks. The
     // attempt ran but is no longer kept: "absent" must not be taken for "did not run".
     @Test
-    void neverSaysDidNotRunOfAnAttemptItHasForgotten() {
-        Attempt ran = book.register(submission("a")).attempt().orElseThrow();
+    void reportsExpiredAttemptAsUnknown() {
+        Attempt ran = registry.register(submission("a")).attempt().orElseThrow();
         ran.start();
         ran.finishPlain(200, "text/plain", new byte[0], clock.monotonicMillis());
         clock.advance(RETENTION_MILLIS + 1L);
-        book.removeExpired();
-        assertTrue(book.find("a").isEmpty());
-        assertEquals(Execution.UNKNOWN, book.resolve("a", true).getExecution());
+        registry.removeExpired();
+        assertTrue(registry.find("a").isEmpty());
+        assertEquals(Execution.UNKNOWN, registry.resolve("a", true).getExecution());
     }
 
     @Test
-    void isBounded() {
-        book.register(submission("a"));
-        book.register(submission("b"));
-        book.resolve("c", true);
-        assertEquals(Outcome.FULL, book.register(submission("d")).outcome());
-        assertEquals(Execution.UNKNOWN, book.resolve("e", true).getExecution());
+    void boundsAttemptsAndWithdrawals() {
+        registry.register(submission("a"));
+        registry.register(submission("b"));
+        registry.resolve("c", true);
+        assertEquals(Outcome.FULL, registry.register(submission("d")).outcome());
+        assertEquals(Execution.UNKNOWN, registry.resolve("e", true).getExecution());
     }
 
     @Test
-    void startsAnAttemptAtMostOnceWhateverTheOrder() {
+    void startsAttemptAtMostOnceInAnyInterleaving() {
         new StressOptions()
                 .iterations(10)
                 .invocationsPerIteration(500)
                 .threads(2)
                 .actorsPerThread(3)
-                .check(Concurrent.class);
+                .check(ConcurrentOperations.class);
     }
 
     private static Submission submission(String attemptId) {
@@ -85,13 +85,13 @@
     }
 
     /** Operations that run against each other. */
-    public static class Concurrent {
+    public static class ConcurrentOperations {
 
-        private final AttemptRegistry book = new AttemptRegistry(new ManualClock(), RETENTION_MILLIS, 10);
+        private final AttemptRegistry registry = new AttemptRegistry(new ManualClock(), RETENTION_MILLIS, 10);
 
         @Operation
-        public String takeAndStart() {
-            return book.register(submission("a"))
+        public String registerAndStart() {
+            return registry.register(submission("a"))
                     .attempt()
                     .map(attempt -> attempt.start() ? "started" : "not started")
                     .orElse("withdrawn");
@@ -99,12 +99,12 @@
 
         @Operation
         public boolean start() {
-            return book.find("a").map(Attempt::start).orElse(false);
+            return registry.find("a").map(Attempt::start).orElse(false);
         }
 
         @Operation
         public String withdraw() {
-            ResolveAnswer answer = book.resolve("a", true);
+            ResolveAnswer answer = registry.resolve("a", true);
             return answer.getExecution().name();
         }
     }
--- a/src/test/java/io/waxwingquay/side/FakeEngine.java
+++ b/src/test/java/io/waxwingquay/side/FakeEngine.java
@@ -17,19 +17,19 @@
 final class FakeEngine implements ModelEngine {
 
     final long capacityBytes;
-    final Map<String, Long> memory = new LinkedHashMap<>();
-    final List<Order> sent = new ArrayList<>();
-    final List<Order> lost = new ArrayList<>();
+    final Map<String, Long> residentBytesByItem = new LinkedHashMap<>();
+    final List<Order> sentOrders = new ArrayList<>();
+    final List<Order> lostOrders = new ArrayList<>();
     final List<OpenStream> streams = new ArrayList<>();
     final List<String> cancelled = new ArrayList<>();
-    private final List<Order> open = new ArrayList<>();
-    private final Set<String> taken = new HashSet<>();
+    private final List<Order> openOrders = new ArrayList<>();
+    private final Set<String> takenOrderIds = new HashSet<>();
     String bootId = "boot-1";
     boolean losesOrders;
     boolean fenced;
     boolean unreachable;
     long highestFence;
-    long worstBytes;
+    long maxUsedBytes;
 
     FakeEngine(long capacityBytes) {
         this.capacityBytes = capacityBytes;
@@ -49,48 +49,48 @@
 
     @Override
     public synchronized CompletableFuture<OrderAnswer> order(Order order) {
-        sent.add(order);
+        sentOrders.add(order);
         if (losesOrders) {
-            lost.add(order);
+            lostOrders.add(order);
             return CompletableFuture.failedFuture(new TargetException(Kind.LOST, "order lost", null));
         }
-        return CompletableFuture.completedFuture(land(order));
+        return CompletableFuture.completedFuture(deliver(order));
     }
 
     /** Lets an order arrive. */
-    synchronized OrderAnswer land(Order order) {
+    synchronized OrderAnswer deliver(Order order) {
         if (fenced && order.fence() < highestFence) {
             return OrderAnswer.STALE_FENCE;
         }
         highestFence = Math.max(highestFence, order.fence());
-        if (taken.add(order.id())) {
-            open.add(order);
+        if (takenOrderIds.add(order.id())) {
+            openOrders.add(order);
         }
         return OrderAnswer.TAKEN;
     }
 
     /** Does all open orders. */
-    synchronized void work() {
-        for (Order order : open) {
+    synchronized void completeOrders() {
+        for (Order order : openOrders) {
             if (order.kind() == OrderKind.LOAD) {
-                memory.put(order.item(), order.bytes());
+                residentBytesByItem.put(order.item(), order.bytes());
             } else {
-                memory.remove(order.item());
+                residentBytesByItem.remove(order.item());
             }
-            worstBytes = Math.max(worstBytes, usedBytes());
+            maxUsedBytes = Math.max(maxUsedBytes, usedBytes());
         }
-        open.clear();
+        openOrders.clear();
     }
 
     synchronized void restart() {
         bootId = bootId + "+";
-        memory.clear();
-        open.clear();
-        taken.clear();
+        residentBytesByItem.clear();
+        openOrders.clear();
+        takenOrderIds.clear();
     }
 
     synchronized long usedBytes() {
-        return memory.values().stream().mapToLong(Long::longValue).sum();
+        return residentBytesByItem.values().stream().mapToLong(Long::longValue).sum();
     }
 
     @Override
@@ -98,10 +98,11 @@
         if (unreachable) {
             return CompletableFuture.failedFuture(new TargetException(Kind.UNREACHABLE, "engine is down", null));
         }
-        List<Resident> residents = memory.entrySet().stream()
+        List<Resident> residents = residentBytesByItem.entrySet().stream()
                 .map(entry -> new Resident(entry.getKey(), entry.getValue()))
                 .toList();
-        return CompletableFuture.completedFuture(new Residency(bootId, capacityBytes, residents, List.copyOf(open)));
+        return CompletableFuture.completedFuture(
+                new Residency(bootId, capacityBytes, residents, List.copyOf(openOrders)));
     }
 
     @Override
--- a/src/test/java/io/waxwingquay/side/LoadMeterTest.java
+++ b/src/test/java/io/waxwingquay/side/LoadMeterTest.java
@@ -8,7 +8,7 @@
 
 class LoadMeterTest {
 
-    private static final int AT_ONCE = 4;
+    private static final int MAX_CONCURRENT = 4;
 
     private final ManualClock clock = new ManualClock();
     private final LoadMeter meter = new LoadMeter(clock, new Random(1L), () -> 0L);
@@ -19,22 +19,22 @@
      * A rate of finished calls would say one a minute; what counts is how long a run takes.
      */
     @Test
-    void doesNotTakeAQuietTargetForASlowOne() {
-        meter.setCounts(new LoadMeter.Counts(0, 0, 0L, AT_ONCE));
+    void throughputDoesNotFallWhileTargetIsIdle() {
+        meter.setCounts(new LoadMeter.Counts(0, 0, 0L, MAX_CONCURRENT));
         meter.recordRun(10L);
         clock.advance(60_000L);
         assertEquals(400.0, meter.throughputPerSecond());
     }
 
     @Test
-    void measuresNothingBeforeTheFirstRun() {
-        meter.setCounts(new LoadMeter.Counts(0, 0, 0L, AT_ONCE));
+    void throughputIsZeroBeforeFirstRun() {
+        meter.setCounts(new LoadMeter.Counts(0, 0, 0L, MAX_CONCURRENT));
         assertEquals(0.0, meter.throughputPerSecond());
     }
 
     @Test
-    void followsSlowerRuns() {
-        meter.setCounts(new LoadMeter.Counts(0, 0, 0L, AT_ONCE));
+    void throughputFallsWhenRunsBecomeSlower() {
+        meter.setCounts(new LoadMeter.Counts(0, 0, 0L, MAX_CONCURRENT));
         meter.recordRun(10L);
         double before = meter.throughputPerSecond();
         meter.recordRun(1_000L);
--- a/src/test/java/io/waxwingquay/side/ResidencyPlanTest.java
+++ b/src/test/java/io/waxwingquay/side/ResidencyPlanTest.java
@@ -27,12 +27,12 @@
     private static final int ITEMS = 8;
 
     @Property(tries = 500, seed = "20261202")
-    void loadsOnlyWhatFitsAndEvictsNothingPinnedOrLast(
+    void loadsOnlyWhatFitsAndEvictsNoPinnedOrProtectedItem(
             @ForAll @Size(ITEMS) List<@IntRange(max = 4) Integer> states,
             @ForAll @Size(ITEMS) List<@IntRange(min = 1, max = 40) Integer> sizes,
             @ForAll Set<@IntRange(max = ITEMS - 1) Integer> wantedItems,
             @ForAll Set<@IntRange(max = ITEMS - 1) Integer> pinned,
-            @ForAll Set<@IntRange(max = ITEMS - 1) Integer> last) {
+            @ForAll Set<@IntRange(max = ITEMS - 1) Integer> protectedItems) {
         Map<String, Holding> holdings = new HashMap<>();
         long heldBytes = 0L;
         for (int i = 0; i < ITEMS; i++) {
@@ -42,14 +42,14 @@
             }
         }
         Snapshot snapshot = new Snapshot(CAPACITY_BYTES, heldBytes, holdings, names(pinned), false, Optional.of("b"));
-        Wanted wanted = new Wanted(List.copyOf(names(wantedItems)), names(last));
+        Wanted wanted = new Wanted(List.copyOf(names(wantedItems)), names(protectedItems));
         ResidencyPlan plan = ResidencyPlan.decide(
                 snapshot, wanted, List.of(), item -> OptionalLong.of(sizes.get(index(item))), item -> 0L);
         long loadBytes = plan.loads().stream().mapToLong(Load::sizeBytes).sum();
         assertTrue(loadBytes <= snapshot.freeBytes());
         assertTrue(plan.evictions().stream().allMatch(snapshot::isResident));
         assertTrue(plan.evictions().stream().noneMatch(names(pinned)::contains));
-        assertTrue(plan.evictions().stream().noneMatch(names(last)::contains));
+        assertTrue(plan.evictions().stream().noneMatch(names(protectedItems)::contains));
         assertTrue(plan.evictions().stream().noneMatch(names(wantedItems)::contains));
         assertTrue(plan.loads().stream().noneMatch(load -> holdings.containsKey(load.item())));
     }
--- a/src/test/java/io/waxwingquay/side/RolloutTest.java
+++ b/src/test/java/io/waxwingquay/side/RolloutTest.java
@@ -38,40 +38,41 @@
     // accelerator is full of old ones; each side may only evict what is not the last replica, and none may wait for
     // another that waits for it.
     @Test
-    void aRolloutOfLargerVersionsIntoFullAcceleratorsGoesOnToItsEnd() {
+    void rolloutOfLargerVersionsIntoFullAcceleratorsCompletes() {
         for (int layout = 0; layout < LAYOUTS; layout++) {
             Random random = new Random(layout);
-            Map<String, Set<String>> held = new TreeMap<>();
-            IntStream.range(0, SIDES).forEach(number -> held.put("side-" + random.nextInt(), new TreeSet<>()));
-            run(held, bundle("1", 14L), random);
+            Map<String, Set<String>> itemsBySide = new TreeMap<>();
+            IntStream.range(0, SIDES).forEach(number -> itemsBySide.put("side-" + random.nextInt(), new TreeSet<>()));
+            runRounds(itemsBySide, bundle("1", 14L), random);
             Bundle next = bundle("2", 18L);
-            run(held, next, random);
-            List<String> resident = held.values().stream().flatMap(Set::stream).toList();
+            runRounds(itemsBySide, next, random);
+            List<String> resident =
+                    itemsBySide.values().stream().flatMap(Set::stream).toList();
             List<String> items = next.models().stream().map(Bundle.Model::item).toList();
-            assertTrue(resident.containsAll(items), "layout " + layout + " is stuck at " + held);
+            assertTrue(resident.containsAll(items), "layout " + layout + " is stuck at " + itemsBySide);
         }
     }
 
-    private static void run(Map<String, Set<String>> held, Bundle bundle, Random random) {
-        List<String> names = List.copyOf(held.keySet());
+    private static void runRounds(Map<String, Set<String>> itemsBySide, Bundle bundle, Random random) {
+        List<String> names = List.copyOf(itemsBySide.keySet());
         for (int round = 0; round < ROUNDS; round++) {
-            turn(held, bundle, names.get(random.nextInt(names.size())));
+            runSide(itemsBySide, bundle, names.get(random.nextInt(names.size())));
         }
     }
 
     /** One side plans, evicts and loads, and all know of it before the next. */
-    private static void turn(Map<String, Set<String>> held, Bundle bundle, String name) {
-        List<Side> sides = held.keySet().stream()
-                .map(each -> side(each, List.copyOf(held.keySet()).indexOf(each), held.get(each)))
+    private static void runSide(Map<String, Set<String>> itemsBySide, Bundle bundle, String name) {
+        List<Side> sides = itemsBySide.keySet().stream()
+                .map(each -> side(each, List.copyOf(itemsBySide.keySet()).indexOf(each), itemsBySide.get(each)))
                 .toList();
         Plan.Share share = Strategy.named("planned", DemandMarks.DEFAULT)
                 .plan(View.of(bundle, "s", sides, Plan.EMPTY, 0L))
                 .of(name);
         Wanted wanted = new Wanted(share.wantedItems(), share.protectedItems());
-        ResidencyPlan decided =
-                ResidencyPlan.decide(snapshot(held.get(name)), wanted, List.of(), RolloutTest::size, item -> 0L);
-        held.get(name).removeAll(decided.evictions());
-        decided.loads().forEach(load -> held.get(name).add(load.item()));
+        ResidencyPlan plan =
+                ResidencyPlan.decide(snapshot(itemsBySide.get(name)), wanted, List.of(), RolloutTest::size, item -> 0L);
+        itemsBySide.get(name).removeAll(plan.evictions());
+        plan.loads().forEach(load -> itemsBySide.get(name).add(load.item()));
     }
 
     private static Snapshot snapshot(Set<String> items) {
--- a/src/test/java/io/waxwingquay/side/SideBench.java
+++ b/src/test/java/io/waxwingquay/side/SideFixture.java
@@ -38,7 +38,7 @@
 import java.util.random.RandomGenerator;
 
 /** A side process over fakes, whose loop runs when a test ticks it. */
-final class SideBench implements AutoCloseable {
+final class SideFixture implements AutoCloseable {
 
     static final long CAPACITY_BYTES = 100L;
     static final String MODEL_A = "model:a@1";
@@ -48,27 +48,27 @@
     final ManualClock clock = new ManualClock();
     final FakeEngine engine;
     final SimpleMeterRegistry meters = new SimpleMeterRegistry();
-    final Sides sides = new Sides();
-    final Suspects suspects = new Suspects();
+    final RecordingMembership membership = new RecordingMembership();
+    final SettableSuspects suspects = new SettableSuspects();
     final List<SuspectNotice> notices = new CopyOnWriteArrayList<>();
     final List<String> events = new CopyOnWriteArrayList<>();
-    Runnable onPush = () -> {};
-    List<String> wanted = List.of(MODEL_A);
+    Runnable onNotice = () -> {};
+    List<String> wantedItems = List.of(MODEL_A);
     Set<String> protectedItems = Set.of();
     int freePermits = 10;
     int maxConcurrent = 4;
     SideLimits limits = SideLimits.defaults();
     SideNode node;
 
-    SideBench() {
+    SideFixture() {
         this(new FakeEngine(CAPACITY_BYTES));
     }
 
-    SideBench(FakeEngine engine) {
+    SideFixture(FakeEngine engine) {
         this.engine = engine;
     }
 
-    SideBench start(long epoch, boolean... unfenced) {
+    SideFixture start(long epoch, boolean... unfenced) {
         MemoryLedger ledger = unfenced.length > 0
                 ? MemoryLedger.forUnfencedEngine(CAPACITY_BYTES, clock, limits.quarantineMillis())
                 : MemoryLedger.forFencedEngine(CAPACITY_BYTES, clock, limits.quarantineMillis());
@@ -77,16 +77,16 @@
         return this;
     }
 
-    SideBench startPlain(PlainService service) {
+    SideFixture startPlain(PlainService service) {
         node = builder(1L).forPlainService(service);
         tick();
         return this;
     }
 
     /** Reads, orders, lets the engine do it, and reads again. */
-    SideBench settle() {
+    SideFixture tickAndCompleteOrders() {
         tick();
-        engine.work();
+        engine.completeOrders();
         tick();
         return this;
     }
@@ -127,12 +127,12 @@
                 .limits(limits)
                 .clock(clock)
                 .random(RandomGenerator.of("L64X128MixRandom"))
-                .bundles(new Bundles())
-                .membership(sides)
+                .bundles(new FixedBundleSource())
+                .membership(membership)
                 .suspects(suspects)
-                .connections(new PeerConnections())
-                .permits(new CountedPermits())
-                .wantedItems(bundle -> new WantedItems.Wanted(wanted, protectedItems))
+                .connections(new RecordingConnections())
+                .permits(new CountingPermits())
+                .wantedItems(bundle -> new WantedItems.Wanted(wantedItems, protectedItems))
                 .meters(meters);
     }
 
@@ -153,7 +153,7 @@
         node.close();
     }
 
-    private final class Bundles implements BundleSource {
+    private final class FixedBundleSource implements BundleSource {
 
         @Override
         public Optional<Bundle> current() {
@@ -165,7 +165,7 @@
     }
 
     /** Membership that remembers what was published. */
-    static final class Sides implements Membership {
+    static final class RecordingMembership implements Membership {
 
         final List<SideRecord> published = new CopyOnWriteArrayList<>();
         final List<Side> known = new CopyOnWriteArrayList<>();
@@ -210,7 +210,7 @@
     }
 
     /** A book with standings set by hand. */
-    final class Suspects implements SuspectBook {
+    final class SettableSuspects implements SuspectBook {
 
         final Map<Long, Standing> standings = new HashMap<>();
         final List<Long> crashed = new ArrayList<>();
@@ -241,7 +241,7 @@
         }
     }
 
-    private final class CountedPermits implements Permits {
+    private final class CountingPermits implements Permits {
 
         @Override
         public CompletableFuture<Optional<Permit>> acquire(Limit limit) {
@@ -253,14 +253,14 @@
         }
     }
 
-    private final class PeerConnections implements Connections {
+    private final class RecordingConnections implements Connections {
 
         @Override
         public SideProtocol to(HostPort address) {
             return (SideProtocol) Proxy.newProxyInstance(
                     getClass().getClassLoader(), new Class<?>[] {SideProtocol.class}, (proxy, method, args) -> {
                         events.add("pushed");
-                        onPush.run();
+                        onNotice.run();
                         notices.add((SuspectNotice) args[0]);
                         return CompletableFuture.completedFuture(true);
                     });
--- a/src/test/java/io/waxwingquay/side/SideRecordPublisherTest.java
+++ b/src/test/java/io/waxwingquay/side/SideRecordPublisherTest.java
@@ -8,37 +8,37 @@
 
 class SideRecordPublisherTest {
 
-    private static final long SOON_MILLIS = 6_000L;
-    private static final long LATE_MILLIS = 200_000L;
+    private static final long FEW_SIDES_INTERVAL_MILLIS = 6_000L;
+    private static final long MANY_SIDES_INTERVAL_MILLIS = 200_000L;
     private static final int MANY_SIDES = 1_000;
 
     @Test
-    void publishesAChangeOfDemandWithinSecondsAmongFewSides() {
-        try (SideBench bench = new SideBench().start(1L).settle()) {
-            int before = bench.sides.published.size();
-            askAndWait(bench, SOON_MILLIS);
-            assertTrue(bench.sides.published.size() > before);
+    void publishesDemandChangeWithinSecondsAmongFewSides() {
+        try (SideFixture fixture = new SideFixture().start(1L).tickAndCompleteOrders()) {
+            int before = fixture.membership.published.size();
+            submitAfter(fixture, FEW_SIDES_INTERVAL_MILLIS);
+            assertTrue(fixture.membership.published.size() > before);
         }
     }
 
     // The caller sees news of leaving and of suspects late. Thousands of sides each publish every small change of
     // demand, and the links between processes are full of it.
     @Test
-    void publishesAChangeOfDemandMoreRarelyAmongManySides() {
-        try (SideBench bench = new SideBench().start(1L).settle()) {
-            IntStream.range(0, MANY_SIDES).forEach(number -> bench.sides.add("other-" + number, 1L));
-            int before = bench.sides.published.size();
-            askAndWait(bench, SOON_MILLIS);
-            assertEquals(before, bench.sides.published.size());
-            askAndWait(bench, LATE_MILLIS);
-            assertEquals(before + 1, bench.sides.published.size());
+    void publishesDemandChangesLessOftenAmongManySides() {
+        try (SideFixture fixture = new SideFixture().start(1L).tickAndCompleteOrders()) {
+            IntStream.range(0, MANY_SIDES).forEach(number -> fixture.membership.add("other-" + number, 1L));
+            int before = fixture.membership.published.size();
+            submitAfter(fixture, FEW_SIDES_INTERVAL_MILLIS);
+            assertEquals(before, fixture.membership.published.size());
+            submitAfter(fixture, MANY_SIDES_INTERVAL_MILLIS);
+            assertEquals(before + 1, fixture.membership.published.size());
         }
     }
 
-    private static void askAndWait(SideBench bench, long millis) {
-        bench.clock.advance(millis);
-        bench.tick();
-        SideBench.await(bench.node.submit(SideBench.modelCall("r" + bench.clock.monotonicMillis(), "a")));
-        bench.tick();
+    private static void submitAfter(SideFixture fixture, long millis) {
+        fixture.clock.advance(millis);
+        fixture.tick();
+        SideFixture.await(fixture.node.submit(SideFixture.modelCall("r" + fixture.clock.monotonicMillis(), "a")));
+        fixture.tick();
     }
 }
