--- a/src/main/java/io/waxwingquay/side/AdapterQueue.java
+++ b/src/main/java/io/waxwingquay/side/AdapterQueue.java
@@ -8,7 +8,7 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * Requests that wait for an adapter to become resident. Safe for concurrent use.
+ * Holds the requests that wait for an adapter to become resident. Safe for concurrent use.
  */
 final class AdapterQueue {
 
@@ -19,6 +19,12 @@
         this.ledger = ledger;
     }
 
+    /**
+     * Pins an adapter as soon as it is resident.
+     *
+     * @param item the adapter's item name.
+     * @return completes when the adapter is pinned once; cancel it to stop waiting.
+     */
     CompletableFuture<Void> pin(String item) {
         CompletableFuture<Void> pinned = new CompletableFuture<>();
         if (ledger.pin(item)) {
@@ -31,14 +37,14 @@
         return pinned;
     }
 
-    /** Items waited for, the longest waiting first. */
+    /** Returns the items that requests wait for, the longest awaited first. */
     synchronized List<String> awaitedItems() {
         waitersByItem.values().forEach(list -> list.removeIf(CompletableFuture::isDone));
         waitersByItem.values().removeIf(List::isEmpty);
         return List.copyOf(waitersByItem.keySet());
     }
 
-    /** Wakes those whose adapter is resident now. */
+    /** Pins resident adapters for the requests that wait for them, in order of arrival. */
     void completeResident() {
         for (String item : awaitedItems()) {
             while (ledger.pin(item)) {
--- a/src/main/java/io/waxwingquay/side/Admission.java
+++ b/src/main/java/io/waxwingquay/side/Admission.java
@@ -10,8 +10,8 @@
 import java.util.concurrent.atomic.AtomicReference;
 
 /**
- * Brings a submission in through the door, or refuses it. Whatever an attempt holds, such as a pin in memory,
- * it gives back when it ends.
+ * Admits or rejects submissions. The resources that an attempt holds, such as its pin in memory, are released when the
+ * attempt ends.
  */
 final class Admission {
 
@@ -48,7 +48,7 @@
         return dispatcher;
     }
 
-    /** Why the submission was refused, or empty if it is in or was in before. */
+    /** Returns why the submission is rejected, or empty if it is admitted now or was already. */
     Optional<AdmissionCheck.Rejection> submit(Submission submission) {
         if (attempts.find(submission.getAttemptId()).isPresent()) {
             return Optional.empty();
@@ -64,8 +64,8 @@
             case ATTACHED -> Optional.empty();
             case WITHDRAWN -> rejection(RefusalReason.WITHDRAWN, "the attempt was withdrawn");
             case EXPIRED -> Optional.of(new AdmissionCheck.Rejection(
-                    RefusalReason.EXPIRED_ATTEMPT, "the attempt's outcome is no longer kept", Execution.UNKNOWN));
-            case FULL -> rejection(RefusalReason.OVERLOADED, "too many attempts are remembered");
+                    RefusalReason.EXPIRED_ATTEMPT, "the outcome of the attempt has expired", Execution.UNKNOWN));
+            case FULL -> rejection(RefusalReason.OVERLOADED, "the limit of retained attempts is reached");
             case NEW -> admit(registration.attempt().orElseThrow());
         };
     }
@@ -101,18 +101,20 @@
         return Optional.empty();
     }
 
-    /** Two suspects side by side would leave open which of them crashed the target. */
+    /** Admits one suspect at a time: with two, a crash would not show which of them caused it. */
     private Optional<AdmissionCheck.Rejection> occupySuspectSlot(Attempt attempt) {
         Standing standing = context.suspects().standing(attempt.submission().getFingerprint());
         if (standing == Standing.QUARANTINED) {
-            return rejection(RefusalReason.QUARANTINED, "requests like this one ran on two targets that crashed");
+            return rejection(
+                    RefusalReason.QUARANTINED,
+                    "requests with this fingerprint were running on two targets that crashed");
         }
         if (standing == Standing.CLEAR || occupiesSuspectSlot(attempt)) {
             return Optional.empty();
         }
         Optional<Attempt> occupant = suspectSlot.get();
         if (occupant.isPresent() || !suspectSlot.compareAndSet(occupant, Optional.of(attempt))) {
-            return rejection(RefusalReason.SUSPECT_BUSY, "another suspect request is here");
+            return rejection(RefusalReason.SUSPECT_BUSY, "another suspect request is queued or running on this side");
         }
         attempt.whenEnded().thenRun(() -> suspectSlot.set(Optional.empty()));
         return Optional.empty();
@@ -124,7 +126,7 @@
 
     private Optional<AdmissionCheck.Rejection> pin(Attempt attempt) {
         if (!target.pin(attempt)) {
-            return rejection(RefusalReason.NOT_RESIDENT, "the model has just left memory here");
+            return rejection(RefusalReason.NOT_RESIDENT, "the model is no longer in memory on this target");
         }
         attempt.whenEnded().thenRun(() -> target.unpin(attempt));
         return Optional.empty();
@@ -136,7 +138,7 @@
         return queued ? Optional.empty() : rejection(RefusalReason.OVERLOADED, "the queue is full");
     }
 
-    /** A crash while it was queued may have made it a suspect, so its standing is looked at once more. */
+    /** Runs a dispatched attempt. Its standing is checked again, as a crash may have made it a suspect in the queue. */
     private void runDispatched(Attempt attempt) {
         Optional<AdmissionCheck.Rejection> rejection = occupySuspectSlot(attempt);
         if (rejection.isPresent()) {
--- a/src/main/java/io/waxwingquay/side/AdmissionCheck.java
+++ b/src/main/java/io/waxwingquay/side/AdmissionCheck.java
@@ -7,7 +7,7 @@
 import java.util.Optional;
 
 /**
- * Decides whether a submission may come in: a pure decision, before anything is handed to the target.
+ * Decides whether to admit a submission, as a pure function of its inputs and before the target is called.
  */
 final class AdmissionCheck {
 
@@ -15,19 +15,19 @@
 
     private AdmissionCheck() {}
 
-    /** Why a submission may not come in, or empty. */
+    /** Returns why a submission is rejected, or empty if it may be admitted. */
     static Optional<Rejection> check(Inputs inputs, Submission submission) {
         if (submission.isSetModel() == submission.isSetPlain()) {
             return reject(RefusalReason.MALFORMED, "exactly one of model and plain must be set");
         }
         if (!inputs.serviceName().equals(submission.getServiceName())) {
-            return reject(RefusalReason.MALFORMED, "this side serves " + inputs.serviceName());
+            return reject(RefusalReason.MALFORMED, "this side serves only service " + inputs.serviceName());
         }
         if (inputs.leaving()) {
             return reject(RefusalReason.LEAVING, "this side is leaving");
         }
         if (!inputs.ready()) {
-            return reject(RefusalReason.NOT_READY, "this side has no bundle or no target yet");
+            return reject(RefusalReason.NOT_READY, "this side has no bundle in force, or its target is not ready");
         }
         return checkClaim(inputs, submission)
                 .or(() -> checkStanding(inputs))
@@ -36,18 +36,19 @@
     }
 
     /**
-     * A claim names one side and one of its boots. Another boot cannot know whether the attempt ran, nor can
-     * this one once its book may have forgotten it.
+     * Rejects a non-idempotent call that this incarnation of the side cannot account for. A claim names one side and
+     * one of its incarnations. Another incarnation cannot know whether the attempt ran, nor can this one once the
+     * attempt may have expired from its registry.
      */
     private static Optional<Rejection> checkClaim(Inputs inputs, Submission submission) {
         if (!submission.isSetPlain() || !submission.getPlain().isNonIdempotent()) {
             return Optional.empty();
         }
         if (submission.getSideEpoch() != inputs.epoch()) {
-            return reject(RefusalReason.WRONG_EPOCH, "this submission names another boot of this side");
+            return reject(RefusalReason.WRONG_EPOCH, "the submission names another incarnation of this side");
         }
         if (submission.getIssuedAtEpochMillis() < inputs.oldestIssueEpochMillis()) {
-            String message = "the attempt is too old to tell whether it ran";
+            String message = "the attempt was issued too long ago to tell whether it ran";
             return Optional.of(new Rejection(RefusalReason.EXPIRED_ATTEMPT, message, Execution.UNKNOWN));
         }
         return Optional.empty();
@@ -55,21 +56,24 @@
 
     private static Optional<Rejection> checkStanding(Inputs inputs) {
         if (inputs.standing() == Standing.QUARANTINED) {
-            return reject(RefusalReason.QUARANTINED, "requests like this one ran on two targets that crashed");
+            return reject(
+                    RefusalReason.QUARANTINED,
+                    "requests with this fingerprint were running on two targets that crashed");
         }
         if (inputs.standing() == Standing.SUSPECT && inputs.suspectActive()) {
-            return reject(RefusalReason.SUSPECT_BUSY, "another suspect request is here");
+            return reject(RefusalReason.SUSPECT_BUSY, "another suspect request is queued or running on this side");
         }
         return Optional.empty();
     }
 
     private static Optional<Rejection> checkResidency(Inputs inputs, Submission submission) {
         if (submission.isSetPlain() && !inputs.runnable()) {
-            return reject(RefusalReason.MALFORMED, "the target here takes no plain calls");
+            return reject(RefusalReason.MALFORMED, "the target of this side does not accept plain calls");
         }
         if (submission.isSetModel() && !inputs.runnable()) {
             return reject(
-                    RefusalReason.NOT_RESIDENT, "model " + submission.getModel().getModel() + " is not in memory here");
+                    RefusalReason.NOT_RESIDENT,
+                    "model " + submission.getModel().getModel() + " is not in memory on this target");
         }
         return Optional.empty();
     }
@@ -86,7 +90,7 @@
         AdmissionRule.Estimate estimate = new AdmissionRule.Estimate(
                 waitMillis, inputs.runMillis(), submission.getBudgetMillis(), inputs.running());
         if (!inputs.rule().mayQueue(estimate)) {
-            return reject(RefusalReason.DEADLINE, "the queue is longer than the deadline allows");
+            return reject(RefusalReason.DEADLINE, "the request is not expected to meet its deadline");
         }
         return Optional.empty();
     }
@@ -96,33 +100,33 @@
     }
 
     /**
-     * Why a submission was refused.
+     * The reason for a rejection.
      *
-     * @param reason the reason.
-     * @param message a sentence for the caller.
-     * @param execution whether it ran.
+     * @param reason the reason that is sent to the entry.
+     * @param message an explanation for the caller.
+     * @param execution whether the attempt ran.
      */
     record Rejection(RefusalReason reason, String message, Execution execution) {}
 
     /**
-     * What the decision looks at.
+     * The state on which the decision is based.
      *
      * @param leaving whether this side is leaving.
-     * @param ready whether it has a bundle and a target.
+     * @param ready whether this side has a bundle in force and its target is ready.
      * @param serviceName the service its target belongs to.
-     * @param epoch its boot epoch.
-     * @param oldestIssueEpochMillis non-idempotent attempts issued before this are refused.
-     * @param standing of the request's fingerprint.
-     * @param suspectActive whether a suspect is here already.
-     * @param runnable whether the target can run it from memory.
-     * @param running attempts handed to the target.
-     * @param queued attempts waiting.
-     * @param queuedAhead of those, how many go first.
-     * @param maxConcurrent attempts the target runs at once.
-     * @param queueLimit attempts that may wait.
-     * @param throughputPerSecond attempts finished a second; 0 if not measured.
-     * @param runMillis how long the attempt would run; 0 if not measured.
-     * @param rule what may come in.
+     * @param epoch the epoch of this incarnation of the side.
+     * @param oldestIssueEpochMillis non-idempotent attempts issued earlier are rejected.
+     * @param standing the standing of the request's fingerprint: clear, suspect or quarantined.
+     * @param suspectActive whether a suspect is queued or running on this side.
+     * @param runnable whether the target can run the submission without a load of its model.
+     * @param running the number of attempts that the target runs.
+     * @param queued the number of attempts in the queue.
+     * @param queuedAhead how many of those start before the submission would.
+     * @param maxConcurrent the slots of the target.
+     * @param queueLimit the largest number of attempts in the queue.
+     * @param throughputPerSecond the attempts that the target can finish per second; 0 if not measured.
+     * @param runMillis the expected run time of the attempt; 0 if not measured.
+     * @param rule the rule that compares expected times with the deadline.
      */
     record Inputs(
             boolean leaving,
--- a/src/main/java/io/waxwingquay/side/AdmissionRule.java
+++ b/src/main/java/io/waxwingquay/side/AdmissionRule.java
@@ -1,58 +1,64 @@
 package io.waxwingquay.side;
 
 /**
- * Whether a request can still make its deadline. Pure.
+ * Decides whether a request can still meet its deadline. Implementations are pure functions of the estimate.
  */
 public interface AdmissionRule {
 
     /**
-     * Whether a request may come in to wait.
+     * Decides whether a request may enter the queue.
      *
-     * @param estimate what is expected of it.
-     * @return whether it may.
+     * @param estimate the expected times of the request.
+     * @return whether it may be queued.
      */
     boolean mayQueue(Estimate estimate);
 
     /**
-     * Whether a request that has waited may still be handed to the target.
+     * Decides whether a queued request may still be sent to the target.
      *
-     * @param estimate what is expected of it, without a wait.
-     * @return whether it may.
+     * @param estimate the expected times of the request, with no further wait.
+     * @return whether it may start.
      */
     boolean mayStart(Estimate estimate);
 
-    /** Refuses what would wait past its deadline, and starts all that came in. */
+    /** Rejects requests that would wait in the queue past their deadline, and starts every request that was queued. */
     AdmissionRule WAIT_ONLY = new WaitOnly();
 
-    /** Refuses what would not be finished by its deadline, at the door and once more before its start. */
+    /** Rejects requests that would not finish by their deadline, both on admission and again before their start. */
     AdmissionRule WITH_RUN_TIME = new WithRunTime();
 
-    /** As {@link #WITH_RUN_TIME}, with a quarter more than the mean time of a run, as half of the runs take longer. */
+    /**
+     * Like {@link #WITH_RUN_TIME}, but assumes a quarter more than the mean run time, as half of the runs exceed it.
+     */
     AdmissionRule WITH_MARGIN = new WithMargin();
 
-    /** Lets all wait, and offers a start until it is too late to finish: a waiting room before a paced target. */
+    /**
+     * Queues every request, and checks the deadline only before the start, like a waiting room in front of a
+     * rate-limited target.
+     */
     AdmissionRule START_CHECK_ONLY = new StartCheckOnly();
 
     /**
-     * What is expected of a request.
+     * The expected times of a request.
      *
-     * @param waitMillis until its start.
-     * @param runMillis from its start to its end; 0 if unknown.
-     * @param budgetMillis until its deadline.
-     * @param running requests that the target runs now.
+     * @param waitMillis the expected time until its start.
+     * @param runMillis the expected time from its start to its end; 0 if unknown.
+     * @param budgetMillis the time that remains until its deadline.
+     * @param running the number of requests that the target currently runs.
      */
     record Estimate(double waitMillis, double runMillis, long budgetMillis, int running) {
 
         /**
-         * An idle target takes any request: else one slow spell would be believed for ever, since what is refused
-         * brings no newer measure.
+         * Returns whether the request is expected to finish by its deadline. An idle target accepts any request:
+         * otherwise run times measured in a slow period would persist for ever, since rejected requests yield no newer
+         * measurement.
          */
         boolean finishesInTime() {
             return running == 0 || waitMillis + runMillis <= budgetMillis;
         }
     }
 
-    /** See {@link #WAIT_ONLY}. */
+    /** Implements {@link #WAIT_ONLY}. */
     final class WaitOnly implements AdmissionRule {
 
         /** {@inheritDoc} */
@@ -68,7 +74,7 @@
         }
     }
 
-    /** See {@link #WITH_RUN_TIME}. */
+    /** Implements {@link #WITH_RUN_TIME}. */
     final class WithRunTime implements AdmissionRule {
 
         /** {@inheritDoc} */
@@ -84,7 +90,7 @@
         }
     }
 
-    /** See {@link #WITH_MARGIN}. */
+    /** Implements {@link #WITH_MARGIN}. */
     final class WithMargin implements AdmissionRule {
 
         private static final double RUN_TIME_FACTOR = 1.25;
@@ -110,7 +116,7 @@
         }
     }
 
-    /** See {@link #START_CHECK_ONLY}. */
+    /** Implements {@link #START_CHECK_ONLY}. */
     final class StartCheckOnly implements AdmissionRule {
 
         /** {@inheritDoc} */
--- a/src/main/java/io/waxwingquay/side/Attempt.java
+++ b/src/main/java/io/waxwingquay/side/Attempt.java
@@ -15,7 +15,8 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * One attempt and its answer so far. Units are tokens of a model call; a plain answer is one unit.
+ * One attempt and the part of its answer received so far. A unit is a token of a model call; a plain answer is a single
+ * unit. Safe for concurrent use.
  */
 final class Attempt {
 
@@ -79,7 +80,7 @@
         return true;
     }
 
-    /** Appends a unit; one seen before is dropped. False says that a unit before it is missing. */
+    /** Appends a unit, or drops it if it was received before. Returns false if an earlier unit is missing. */
     boolean append(long offset, byte[] unit) {
         List<CompletableFuture<Void>> waiters;
         synchronized (this) {
@@ -114,28 +115,29 @@
     }
 
     /**
-     * Cancels it; a non-idempotent call that was handed over goes on, since dropping its outcome would leave a
-     * call that ran unknown for good.
+     * Cancels the attempt. A non-idempotent call that was sent to the target continues: were its outcome dropped,
+     * nobody could ever tell whether it ran.
      */
     boolean cancel(long nowMillis) {
         return isNonIdempotent() ? withdraw(nowMillis) : end(Event.CANCEL, Optional.empty(), nowMillis);
     }
 
+    /** Cancels the attempt if it has not been sent to the target. */
     boolean withdraw(long nowMillis) {
         return end(Event.WITHDRAW, Optional.empty(), nowMillis);
     }
 
-    /** Refuses it if it has not been handed over; a running attempt is left alone. */
+    /** Rejects the attempt if it has not been sent to the target; a running attempt continues. */
     boolean rejectIfQueued(Refusal refusal, long nowMillis) {
         return end(Event.REFUSE, Optional.of(refusal), nowMillis);
     }
 
-    /** What became of it, read as one. */
+    /** Returns the execution and state of the attempt, read atomically. */
     synchronized ResolveAnswer resolution() {
         return new ResolveAnswer(execution(), state.wireState());
     }
 
-    /** Whether the target ran it, as far as this side can tell. */
+    /** Returns whether the target ran the attempt, as far as this side can tell. */
     synchronized Execution execution() {
         if (failure.isPresent()) {
             return failure.get().getExecution();
@@ -146,7 +148,7 @@
         return dispatched || !state.hasEnded() ? Execution.UNKNOWN : Execution.DID_NOT_RUN;
     }
 
-    /** Answers once there is news after the offset, or after the wait. */
+    /** Answers a poll once there are units from the offset on, once the attempt has ended, or when the wait is over. */
     CompletableFuture<PollAnswer> poll(
             long fromOffset, long waitMillis, long nowMillis, java.util.function.Supplier<LoadReport> loadReport) {
         CompletableFuture<Void> progress = new CompletableFuture<>();
@@ -162,26 +164,28 @@
         return progress.thenApply(ignored -> pollAnswer(fromOffset, progress, loadReport.get()));
     }
 
+    /** Returns whether the attempt has not ended and has not been polled for longer than a duration. */
     synchronized boolean isUnpolledFor(long durationMillis, long nowMillis) {
         return !state.hasEnded() && nowMillis - lastPolledMillis > durationMillis;
     }
 
-    /** Notes that its entry was told of the refusal in the answer to its submission. */
+    /** Records that the answer to the submission reported the rejection to the entry. */
     synchronized void noteEndReported(long nowMillis) {
         endReportedMillis = OptionalLong.of(nowMillis);
     }
 
-    /** Whether its end was told, and has not been asked for again for a time. */
+    /** Returns whether the end was reported, and the entry has not polled again for a quiet period after that. */
     synchronized boolean isEndDelivered(long quietMillis, long nowMillis) {
         boolean reported = endReportedMillis.isPresent() && nowMillis - endReportedMillis.getAsLong() > quietMillis;
         return reported || state == RequestState.CANCELLED;
     }
 
+    /** Returns whether the attempt ended longer ago than a duration. */
     synchronized boolean isEndedFor(long durationMillis, long nowMillis) {
         return state.hasEnded() && nowMillis - endedMillis > durationMillis;
     }
 
-    /** Drops a long finished answer's bytes and keeps its outcome. */
+    /** Drops the bytes of the answer and keeps its outcome. */
     synchronized void releaseAnswer() {
         buffer.release();
     }
--- a/src/main/java/io/waxwingquay/side/AttemptRegistry.java
+++ b/src/main/java/io/waxwingquay/side/AttemptRegistry.java
@@ -14,11 +14,11 @@
 import java.util.stream.Stream;
 
 /**
- * All attempts that this side has seen in this epoch, by id. Safe for concurrent use.
+ * Registers the attempts that this side has received in this epoch, by ID. Safe for concurrent use.
  *
- * <p>An attempt of a non-idempotent call that is no longer kept leaves its hash behind. Without it, a resend
- * hours later would find nothing, be told that the call did not run, and run it a second time. A hash says
- * "unknown" instead; once hashes had to be dropped as well, every absent attempt is unknown.
+ * <p>When an attempt of a non-idempotent call expires, its hash is kept. Without it, a request resent hours later
+ * would find no attempt, be told that the call did not run, and run it a second time. With the hash, the answer is
+ * "unknown". Once hashes have been dropped as well, every absent attempt is unknown.
  */
 final class AttemptRegistry {
 
@@ -38,7 +38,7 @@
         this.maxEntries = maxEntries;
     }
 
-    /** Finds the attempt of a submission, or takes it in as queued. */
+    /** Finds the attempt of a submission, or registers a new queued one. */
     synchronized Registration register(Submission submission) {
         Attempt known = attempts.get(submission.getAttemptId());
         if (known != null) {
@@ -62,7 +62,7 @@
         return Optional.ofNullable(attempts.get(attemptId));
     }
 
-    /** Tells what became of an attempt, and first forbids its start if asked to. */
+    /** Returns the outcome of an attempt. If asked to withdraw, first prevents the attempt from starting. */
     ResolveAnswer resolve(String attemptId, boolean withdraw) {
         Optional<Attempt> attempt;
         synchronized (this) {
@@ -100,7 +100,7 @@
         return List.copyOf(attempts.values());
     }
 
-    /** Forgets what is older than the retention. */
+    /** Removes attempts that ended, and withdrawals made, longer ago than the retention period. */
     synchronized void removeExpired() {
         long nowMillis = clock.monotonicMillis();
         List<Attempt> expired = attempts.values().stream()
@@ -136,25 +136,25 @@
         return org.apache.commons.codec.digest.MurmurHash3.hash128x64(Attempt.utf8(attemptId))[0];
     }
 
-    /** What became of a submission in the book. */
+    /** The result of a registration. */
     enum Outcome {
-        /** It is new and queued. */
+        /** The attempt is new and queued. */
         NEW,
-        /** It was there already. */
+        /** The attempt was registered before. */
         ATTACHED,
-        /** It may never start. */
+        /** The attempt was withdrawn and may never start. */
         WITHDRAWN,
-        /** It was here once and may have run; its outcome is no longer kept. */
+        /** The attempt was registered before and may have run, but its outcome is no longer retained. */
         EXPIRED,
-        /** There is no room for it. */
+        /** The registry is full. */
         FULL
     }
 
     /**
-     * A submission taken in.
+     * The result of a registration with its attempt.
      *
-     * @param outcome what became of it.
-     * @param attempt the attempt, unless refused.
+     * @param outcome the result.
+     * @param attempt the attempt; empty if the submission was not registered.
      */
     record Registration(Outcome outcome, Optional<Attempt> attempt) {}
 }
--- a/src/main/java/io/waxwingquay/side/CrashHandler.java
+++ b/src/main/java/io/waxwingquay/side/CrashHandler.java
@@ -17,11 +17,12 @@
 import java.util.stream.Collectors;
 
 /**
- * Tells a cut stream from a crashed engine, and after a crash names the requests that were running.
+ * Distinguishes a broken stream from an engine crash, and after a crash records the requests that were running as
+ * suspects.
  *
- * <p>A request that crashes its target is sent again by its caller and would take down one target after the
- * other. So the suspects are pushed to the sides that could run it next before any running attempt fails, and
- * thus before its entry can try elsewhere.
+ * <p>A request that crashes its target is resent by its caller, and would crash one target after the other.
+ * Therefore the suspects are pushed to the sides that could run the request next before any running attempt fails, and
+ * thus before its entry can retry elsewhere.
  */
 final class CrashHandler {
 
@@ -45,7 +46,7 @@
         this.rejectQueued = rejectQueued;
     }
 
-    /** Notes that an attempt runs in a boot of the engine, until it ends. */
+    /** Records, until the attempt ends, that it runs in one incarnation of the engine. */
     void track(Attempt attempt, String bootId) {
         synchronized (this) {
             bootIdByAttempt.put(attempt, bootId);
@@ -53,12 +54,12 @@
         attempt.whenEnded().thenRun(() -> untrack(attempt));
     }
 
-    /** When a crash was last seen, in monotonic milliseconds. */
+    /** Returns when a crash was last detected, in monotonic milliseconds. */
     long lastCrashMillis() {
         return lastCrashMillis;
     }
 
-    /** Finds out whether the engine still is in the boot in which a now cut stream began. */
+    /** Checks whether the engine is still in the incarnation in which a broken stream was opened. */
     CompletableFuture<EngineStatus> checkEngine(String bootId) {
         CompletableFuture<EngineStatus> status;
         synchronized (this) {
@@ -130,8 +131,9 @@
     }
 
     /**
-     * Every side of the service is told, whatever it holds: what is known of another's memory lags, and a side that has
-     * just crashed or loads the model now would otherwise take the request again and a third target would go down.
+     * Notifies every side of the service, whatever models it holds. Knowledge of another side's memory is stale: a side
+     * that has just crashed, or is loading the model, would otherwise accept the request, and a third target would
+     * crash.
      */
     private CompletableFuture<Void> push(List<SuspectRecord> records) {
         SuspectNotice notice = new SuspectNotice(records);
@@ -151,15 +153,16 @@
     private void fail(List<Attempt> interrupted) {
         long nowMillis = context.clock().monotonicMillis();
         interrupted.forEach(attempt -> attempt.fail(
-                loadMeter.refusal(RefusalReason.TARGET_DOWN, "the target crashed while it ran this", Execution.UNKNOWN),
+                loadMeter.refusal(
+                        RefusalReason.TARGET_DOWN, "the target crashed while it ran the request", Execution.UNKNOWN),
                 nowMillis));
     }
 
-    /** What became of the engine. */
+    /** The state of the engine after a stream broke. */
     enum EngineStatus {
-        /** It lives; only the connection was cut. */
+        /** The engine runs in the same incarnation; only the connection broke. */
         SAME_BOOT,
-        /** It restarted or cannot be reached. */
+        /** The engine restarted or cannot be reached. */
         CRASHED
     }
 }
--- a/src/main/java/io/waxwingquay/side/DecayedRate.java
+++ b/src/main/java/io/waxwingquay/side/DecayedRate.java
@@ -3,7 +3,7 @@
 import io.waxwingquay.common.Clock;
 
 /**
- * A rate of events per second that forgets exponentially. Safe for concurrent use.
+ * An exponentially decaying rate of events per second. Safe for concurrent use.
  */
 final class DecayedRate {
 
--- a/src/main/java/io/waxwingquay/side/Dispatcher.java
+++ b/src/main/java/io/waxwingquay/side/Dispatcher.java
@@ -19,7 +19,8 @@
 import java.util.function.IntSupplier;
 
 /**
- * The bounded queue before the target: highest priority first, then earliest deadline. Safe for concurrent use.
+ * The bounded queue in front of the target, ordered by highest priority and then by earliest deadline. Safe for
+ * concurrent use.
  */
 final class Dispatcher {
 
@@ -50,11 +51,11 @@
     }
 
     /**
-     * Queues an attempt, to be started once what it needs is there.
+     * Queues an attempt, which starts once it is prepared and a slot is free.
      *
      * @param attempt the attempt.
-     * @param prepared completes when it may start.
-     * @return whether there was room.
+     * @param prepared completes when the attempt may start.
+     * @return whether the queue had room.
      */
     boolean enqueue(Attempt attempt, CompletableFuture<Void> prepared) {
         synchronized (this) {
@@ -74,6 +75,7 @@
         return true;
     }
 
+    /** Counts the queued attempts that start before one of the given priority and deadline. */
     synchronized int queuedAhead(int priority, long deadlineMillis) {
         return (int) queued.stream()
                 .filter(other -> other.priority() > priority
@@ -81,7 +83,7 @@
                 .count();
     }
 
-    /** Refuses all that has not been handed over. */
+    /** Rejects all attempts that have not been sent to the target. */
     void rejectQueued(Refusal refusal) {
         List<Attempt> candidates;
         synchronized (this) {
@@ -104,7 +106,7 @@
     }
 
     private void expire(Attempt attempt) {
-        expire(attempt, "the deadline passed in the queue");
+        expire(attempt, "the deadline passed while the request was queued");
     }
 
     private void expire(Attempt attempt, String message) {
@@ -138,7 +140,8 @@
             queued.remove(first);
             if (!mayStart(first)) {
                 publishCounts();
-                context.scheduler().execute(() -> expire(first, "too little time is left to finish"));
+                context.scheduler()
+                        .execute(() -> expire(first, "too little time remains to finish before the deadline"));
             } else if (first.start()) {
                 startedMillis.put(first, context.clock().monotonicMillis());
                 publishCounts();
@@ -154,7 +157,7 @@
         return rule.mayStart(new AdmissionRule.Estimate(0, runMillis, budgetMillis, startedMillis.size()));
     }
 
-    /** How long a submission would run; 0 for a plain call, whose time does not follow from its size. */
+    /** Estimates the run time of a submission; 0 for a plain call, whose run time cannot be derived from its size. */
     static double estimatedRunMillis(LoadMeter loadMeter, Submission submission) {
         return submission.isSetModel()
                 ? loadMeter.estimatedRunMillis(submission.getModel().getMaxTokens())
--- a/src/main/java/io/waxwingquay/side/Housekeeping.java
+++ b/src/main/java/io/waxwingquay/side/Housekeeping.java
@@ -7,7 +7,7 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * What a side does again and again: the order loop, forgetting the old, cancelling the abandoned, publishing.
+ * Runs the periodic work of a side: the order loop, expiry of attempts, cancellation of abandoned ones, and publishing.
  */
 final class Housekeeping {
 
@@ -34,7 +34,7 @@
         this.residencyLoop = residencyLoop;
     }
 
-    /** Runs now, and from then on again and again. */
+    /** Runs now, and periodically from then on. */
     synchronized void runNow() {
         nextRun.ifPresent(scheduled -> scheduled.cancel(false));
         schedule(0L);
@@ -45,7 +45,7 @@
         nextRun.ifPresent(scheduled -> scheduled.cancel(false));
     }
 
-    /** One round. */
+    /** Runs once. */
     CompletableFuture<Void> runOnce() {
         CompletableFuture<Void> residencyRead =
                 residencyLoop.map(ResidencyLoop::tick).orElse(CompletableFuture.completedFuture(null));
@@ -53,8 +53,9 @@
     }
 
     /**
-     * An entry that died leaves attempts that nobody polls. They would hold the target until their end, so
-     * they are cancelled; a plain call that may have run already is left to end by itself.
+     * Cleans up attempts and publishes the side. When an entry dies, nobody polls its attempts any more. They would
+     * occupy the target until their end, so they are cancelled; a plain call that may already have run is left to end
+     * by itself.
      */
     private void cleanUp() {
         long nowMillis = context.clock().monotonicMillis();
@@ -83,7 +84,10 @@
     private void runAndSchedule() {
         runOnce().whenComplete((ignored, failure) -> {
             if (failure != null) {
-                LOG.log(System.Logger.Level.ERROR, "side: housekeeping failed, going on.", failure);
+                LOG.log(
+                        System.Logger.Level.ERROR,
+                        "side: housekeeping failed; it runs again after its interval.",
+                        failure);
             }
             boolean awaited =
                     residencyLoop.filter(ResidencyLoop::isAwaitingAdapter).isPresent();
--- a/src/main/java/io/waxwingquay/side/ItemNames.java
+++ b/src/main/java/io/waxwingquay/side/ItemNames.java
@@ -5,7 +5,8 @@
 import java.util.Optional;
 
 /**
- * Turns the names in a call into item names; a call may also name the item itself, to ask for one version.
+ * Resolves the model and adapter names of a call to item names. A call may also give the item name itself, to request a
+ * specific version.
  */
 final class ItemNames {
 
--- a/src/main/java/io/waxwingquay/side/LoadMeter.java
+++ b/src/main/java/io/waxwingquay/side/LoadMeter.java
@@ -9,7 +9,8 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Measures how fast the target works off its queue, and derives from it when a refused caller should return.
+ * Measures the throughput of the target, and derives the retry-after delay of rejected requests from it. Safe for
+ * concurrent use.
  */
 final class LoadMeter {
 
@@ -41,16 +42,17 @@
         return counts;
     }
 
+    /** Records the duration of a finished run. */
     synchronized void recordRun(long runMillis) {
         double newest = Math.max(1L, runMillis);
         meanRunMillis = meanRunMillis == 0.0 ? newest : meanRunMillis + SMOOTHING_FACTOR * (newest - meanRunMillis);
     }
 
     /**
-     * Notes the time of a run that brought units.
+     * Records how long a run took per unit.
      *
-     * @param runMillis the time from its start.
-     * @param units what it brought; 0 tells nothing.
+     * @param runMillis the duration of the run.
+     * @param units the units that the run produced; a run of 0 units is not counted.
      */
     synchronized void recordUnits(long runMillis, long units) {
         if (units > 0) {
@@ -60,7 +62,7 @@
         }
     }
 
-    /** The expected time of a run that brings so many units; 0 before any was measured. */
+    /** Estimates the duration of a run that produces a number of units; 0 before the first measurement. */
     synchronized double estimatedRunMillis(long units) {
         return meanUnitMillis * units;
     }
@@ -70,11 +72,11 @@
     }
 
     /**
-     * Attempts that the target can finish a second, or 0 when none was seen to tell.
+     * Returns the number of attempts that the target can finish per second, or 0 if no run has been measured.
      *
-     * <p>It is the number run at once over the mean time of a run. Failure: counting attempts finished a second
-     * instead measures demand, which is low on an idle target. Symptom: the first burst after a quiet time is refused
-     * because its queue seems to take minutes. The time of a run does not depend on how many callers came.
+     * <p>The throughput is the number of slots divided by the mean run time. The rate of finished attempts would
+     * measure demand instead, which is low on an idle target: the first burst after a quiet period would be rejected,
+     * as its queue would seem to take minutes. Unlike that rate, the run time does not depend on the number of callers.
      */
     synchronized double throughputPerSecond() {
         return meanRunMillis == 0.0 ? 0.0 : counts.maxConcurrent() * MILLIS_PER_SECOND / meanRunMillis;
@@ -95,7 +97,7 @@
         return new Refusal(reason, message, retryAfterMillis(), execution);
     }
 
-    /** The time to work off the queue, spread so that refused callers do not return together. */
+    /** Returns the expected time to empty the queue, with jitter so that rejected callers do not retry all at once. */
     private long retryAfterMillis() {
         double perSecond = throughputPerSecond() > 0.0 ? throughputPerSecond() : DEFAULT_THROUGHPUT_PER_SECOND;
         double waitMillis = (counts.queued() + 1) / perSecond * MILLIS_PER_SECOND;
@@ -107,12 +109,12 @@
     }
 
     /**
-     * What is inside now.
+     * The number of attempts on this side.
      *
-     * @param running attempts handed to the target.
-     * @param queued attempts waiting.
-     * @param queuedTokens tokens wanted by those waiting.
-     * @param maxConcurrent attempts the target runs at once.
+     * @param running the attempts that the target runs.
+     * @param queued the attempts in the queue.
+     * @param queuedTokens the largest number of tokens that the queued attempts may produce.
+     * @param maxConcurrent the slots of the target.
      */
     record Counts(int running, int queued, long queuedTokens, int maxConcurrent) {}
 }
--- a/src/main/java/io/waxwingquay/side/ModelRunner.java
+++ b/src/main/java/io/waxwingquay/side/ModelRunner.java
@@ -14,7 +14,7 @@
 import java.util.concurrent.ConcurrentHashMap;
 
 /**
- * Runs attempts on a model engine and puts their streams together again when they are cut.
+ * Runs attempts on a model engine, and resumes their streams when these break.
  */
 final class ModelRunner {
 
@@ -31,7 +31,7 @@
         this.crashHandler = crashHandler;
     }
 
-    /** Runs an attempt that has just been started. */
+    /** Runs an attempt that has just been started, in one incarnation of the engine. */
     void run(Attempt attempt, String bootId) {
         crashHandler.track(attempt, bootId);
         Run run = new Run(attempt, generation(attempt), bootId);
@@ -41,8 +41,9 @@
     }
 
     /**
-     * A connection can go silent for good while new ones work; the symptom is an answer that stops without an
-     * end. Opening a stream anew costs little and repeats nothing, so it need not be known why it is silent.
+     * Reopens streams that have been silent for too long. A connection can go silent for good while new connections
+     * work, and the answer then stops without an end. Reopening a stream is cheap and repeats no token, so the cause of
+     * the silence does not matter.
      */
     void reopenSilentStreams() {
         long nowMillis = context.clock().monotonicMillis();
@@ -66,7 +67,7 @@
                 context.clock().monotonicMillis());
     }
 
-    /** One attempt over as many streams as it takes. */
+    /** The run of one attempt, over as many successive streams as it takes. */
     private final class Run {
 
         private final Attempt attempt;
@@ -126,9 +127,9 @@
                 resume();
             } else if (failure.filter(found -> found.kind() == Kind.REFUSED).isPresent()) {
                 boolean neverRan = !engineReached && attempt.units() == 0L;
-                fail(attempt, "the target refused it", neverRan ? Execution.DID_NOT_RUN : Execution.UNKNOWN);
+                fail(attempt, "the target rejected the request", neverRan ? Execution.DID_NOT_RUN : Execution.UNKNOWN);
             } else if (!engineReached && isUnreachable(failure)) {
-                fail(attempt, "the target was not reached", Execution.DID_NOT_RUN);
+                fail(attempt, "the target could not be reached", Execution.DID_NOT_RUN);
                 crashHandler.checkEngine(bootId);
             } else {
                 resume();
@@ -136,8 +137,9 @@
         }
 
         /**
-         * A cut stream alone says nothing of the engine. In the same boot the generation goes on under the
-         * same id, so opening it again from the next token neither repeats nor loses one.
+         * Reopens the stream unless the engine has crashed, which a broken stream alone does not tell. In the same
+         * incarnation of the engine the generation continues under the same ID, so a stream that is reopened from the
+         * next token neither repeats nor loses a token.
          */
         private void resume() {
             engineReached = true;
@@ -171,7 +173,7 @@
         return failure.filter(found -> found.kind() == Kind.UNREACHABLE).isPresent();
     }
 
-    /** One opened stream; once closed it is deaf. */
+    /** One open stream; it ignores all events once it is closed. */
     private final class EngineStream implements ModelEngine.Listener {
 
         private final Run run;
@@ -236,7 +238,7 @@
                 opened.close();
             } catch (Exception failure) {
                 System.getLogger("waxwingquay.side")
-                        .log(System.Logger.Level.DEBUG, "side: a stream closed badly.", failure);
+                        .log(System.Logger.Level.DEBUG, "side: closing a stream of the engine failed.", failure);
             }
         }
     }
--- a/src/main/java/io/waxwingquay/side/OrderSender.java
+++ b/src/main/java/io/waxwingquay/side/OrderSender.java
@@ -24,8 +24,8 @@
 import java.util.stream.Collectors;
 
 /**
- * Sends orders to the engine: each after its bytes were reserved, a load only with a permit of the shared
- * limit, and a lost one again. Safe for concurrent use.
+ * Sends load and evict orders to the engine, and resends lost ones. A load is sent only with a permit of the shared
+ * limit and after its bytes were reserved in the ledger. Safe for concurrent use.
  */
 final class OrderSender {
 
@@ -60,8 +60,8 @@
     }
 
     /**
-     * Whether the engine may still take orders of an earlier side: it refuses them only once it has seen the fencing
-     * number of this one, which it may forget when it restarts.
+     * Returns whether the engine may still accept orders of an earlier incarnation of this side. It rejects them only
+     * once it has seen the fencing number of this one, which it may lose when it restarts.
      */
     synchronized boolean mustRaiseFence(String bootId) {
         boolean fenced = context.service().map(Bundle.Service::ordersFenced).orElse(false);
@@ -69,12 +69,14 @@
     }
 
     /**
-     * Shows the engine this side's fencing number, by an order to evict what no engine holds. Failure: a predecessor's
-     * load lands after this side has read an empty memory and before its own first load. Symptom: both loads run, and
-     * the memory is overcommitted. The memory read after this was taken is what no predecessor can change any more; if
-     * the engine restarts in between, the boot it is read in differs and the fence is raised anew.
+     * Raises the engine's fence to this side's fencing number, with an order to evict an item that no engine holds.
+     * Otherwise, a load order of the predecessor could arrive after this side has read the memory as empty and before
+     * its own first load: both loads would run and overcommit the memory. Once the engine has accepted the fence, no
+     * predecessor can change the memory that is read from then on. If the engine restarts in between, the boot ID of
+     * the next report differs and the fence is raised again.
      *
-     * @return whether the engine took it.
+     * @param bootId the boot ID of the engine's last report.
+     * @return whether the engine accepted the fence.
      */
     CompletableFuture<Boolean> raiseFence(String bootId) {
         String item = FENCE_PREFIX + context.identity().sideId();
@@ -142,8 +144,9 @@
     }
 
     /**
-     * An order can be lost, and the loss cannot be told from a delay. Sent again under a new id, both could
-     * take effect; under the same id the engine takes it once, however often and late it lands.
+     * Resends orders that are neither open in the engine nor in effect after the resend interval. A lost order cannot
+     * be distinguished from a delayed one. Under a new ID, both could take effect; under the same ID, the engine
+     * accepts the order once, however often and late it arrives.
      */
     void resend(ModelEngine.Residency report) {
         Set<String> openOrderIds = report.openOrders().stream().map(Order::id).collect(Collectors.toSet());
@@ -185,7 +188,7 @@
         });
     }
 
-    /** Gives back the permits of loads that have landed. */
+    /** Releases the permits of loads that have finished. */
     synchronized void releasePermits() {
         Map<String, Holding> holdings = ledger.snapshot().holdings();
         List<String> finished = permitsByItem.keySet().stream()
--- a/src/main/java/io/waxwingquay/side/PlainRunner.java
+++ b/src/main/java/io/waxwingquay/side/PlainRunner.java
@@ -11,7 +11,7 @@
 import java.util.concurrent.CompletionException;
 
 /**
- * Runs attempts on a plain service, each exactly one call.
+ * Runs attempts on a plain service, with exactly one call for each.
  */
 final class PlainRunner {
 
--- a/src/main/java/io/waxwingquay/side/RequestState.java
+++ b/src/main/java/io/waxwingquay/side/RequestState.java
@@ -5,24 +5,24 @@
 import java.util.Optional;
 
 /**
- * State of one attempt. {@code charts/attempt.chart} has the moves.
+ * The state of one attempt. {@code charts/attempt.chart} defines the transitions.
  */
 public enum RequestState {
-    /** Taken in, not handed to the target. */
+    /** Admitted, but not sent to the target. */
     QUEUED(AttemptState.QUEUED),
-    /** Handed to the target. */
+    /** Sent to the target. */
     RUNNING(AttemptState.RUNNING),
-    /** The whole answer is here. */
+    /** The answer is complete. */
     DONE(AttemptState.DONE),
-    /** It ended with a refusal. */
+    /** Rejected or failed. */
     FAILED(AttemptState.FAILED),
-    /** It was cancelled or withdrawn. */
+    /** Cancelled or withdrawn. */
     CANCELLED(AttemptState.CANCELLED);
 
-    /** The name of the chart. */
+    /** The name of the state chart. */
     public static final String CHART_NAME = "attempt";
 
-    /** The chart. */
+    /** The state chart. */
     static final StateChart<RequestState, Event> CHART = StateChart.load(CHART_NAME, RequestState.class, Event.class);
 
     private final AttemptState wireState;
@@ -43,19 +43,19 @@
         return CHART.next(this, event);
     }
 
-    /** What moves an attempt. */
+    /** An event that changes the state of an attempt. */
     public enum Event {
-        /** It is handed to the target. */
+        /** The attempt is sent to the target. */
         START,
-        /** The target finished it. */
+        /** The target has finished the attempt. */
         FINISH,
-        /** It was refused or its target failed. */
+        /** The attempt was rejected, or its target failed. */
         FAIL,
-        /** It was refused before it was handed over. */
+        /** The attempt was rejected before it was sent to the target. */
         REFUSE,
-        /** Nobody wants its answer. */
+        /** The answer is no longer wanted. */
         CANCEL,
-        /** It must never start. */
+        /** The attempt must never start. */
         WITHDRAW
     }
 }
--- a/src/main/java/io/waxwingquay/side/ResidencyLoop.java
+++ b/src/main/java/io/waxwingquay/side/ResidencyLoop.java
@@ -17,8 +17,8 @@
 import java.util.stream.Stream;
 
 /**
- * The order loop: brings the engine's memory towards what placement wants, one report at a time. All orders
- * to the engine come from here. Safe for concurrent use.
+ * The order loop, which reconciles the engine's memory with what placement wants, one report at a time. All orders to
+ * the engine originate here. Safe for concurrent use.
  */
 public final class ResidencyLoop {
 
@@ -61,9 +61,10 @@
     }
 
     /**
-     * Reads the engine once and orders what is due. A run that is still going on is returned instead.
+     * Reads the engine's memory once and sends the orders that are due. If a previous tick is still running, that one
+     * is returned instead.
      *
-     * @return completes when the engine was read and the orders were sent; never fails.
+     * @return completes when the memory was read and the orders were sent; never fails.
      */
     public CompletableFuture<Void> tick() {
         CompletableFuture<Void> done = new CompletableFuture<>();
@@ -89,7 +90,10 @@
                     mustReread = applyReport(report, requestedMillis, paused);
                 }
             } catch (RuntimeException unexpected) {
-                LOG.log(System.Logger.Level.ERROR, "side: the order loop failed, retrying.", unexpected);
+                LOG.log(
+                        System.Logger.Level.ERROR,
+                        "side: the order loop failed; it runs again after its interval.",
+                        unexpected);
             }
             mustReread.whenComplete((raised, orderFailure) -> {
                 if (orderFailure == null && raised) {
@@ -102,7 +106,7 @@
     }
 
     /**
-     * Gets an adapter into memory for one request and pins it there.
+     * Loads an adapter for one request and pins it in memory.
      *
      * @param item the adapter's item name.
      * @return completes when it is resident and pinned once; cancel it to stop waiting.
@@ -115,29 +119,29 @@
     }
 
     /**
-     * Whether a request waits for an adapter, so that the loop should run soon.
+     * Returns whether a request waits for an adapter, in which case the loop should run soon.
      *
-     * @return whether one waits.
+     * @return whether a request waits.
      */
     public boolean isAwaitingAdapter() {
         return !adapterQueue.awaitedItems().isEmpty();
     }
 
     /**
-     * Wanted items for which no room could be made at the last run.
+     * Returns the wanted items for which the last tick could not make room.
      *
-     * @return the items.
+     * @return the item names.
      */
     public synchronized List<String> unplaceableItems() {
         return unplaceableItems;
     }
 
-    /** When the engine was last asked for a report that came, in monotonic milliseconds. */
+    /** Returns when the last report received from the engine was requested, in monotonic milliseconds. */
     synchronized Optional<Long> lastReadMillis() {
         return lastReadMillis;
     }
 
-    /** Never orders again. */
+    /** Stops all further orders. */
     synchronized void retire() {
         retired = true;
     }
@@ -147,10 +151,10 @@
     }
 
     /**
-     * A process that was paused may have been replaced meanwhile without knowing. Its orders would fill memory
-     * that its successor has reserved. After a gap the memory counts as unknown again for a quarantine, in
-     * which membership or the engine's open orders show the successor; only an order already handed to the
-     * kernel before the pause escapes this.
+     * Detects a gap between ticks. A process that was paused may have been replaced in the meantime without knowing,
+     * and its orders would fill memory that its successor has reserved. Therefore, after a gap the memory counts as
+     * unknown for a quarantine period, in which membership or the engine's open orders reveal the successor. Only an
+     * order that was already handed to the kernel before the pause escapes this.
      */
     private boolean detectPause() {
         long nowMillis = context.clock().monotonicMillis();
@@ -159,7 +163,9 @@
                 .isPresent();
         lastTickMillis = Optional.of(nowMillis);
         if (paused) {
-            LOG.log(System.Logger.Level.WARNING, "side: paused, holding orders back.");
+            LOG.log(
+                    System.Logger.Level.WARNING,
+                    "side: the process was paused; nothing is loaded for the quarantine period.");
             context.count("waxwingquay.side.pauses", "side", context.identity().sideId());
             ledger.quarantine();
         }
@@ -171,7 +177,9 @@
         done.completeAsync(() -> null);
     }
 
-    /** Whether the engine's memory must be read once more, as its fence was raised after this report. */
+    /**
+     * Applies a report, and completes with whether the memory must be read again because the fence was raised after it.
+     */
     private CompletableFuture<Boolean> applyReport(ModelEngine.Residency report, long requestedMillis, boolean paused) {
         Observation observation = ledger.observe(report);
         synchronized (this) {
@@ -184,7 +192,7 @@
         removeUnheldUse();
         adapterQueue.completeResident();
         if (isSuperseded(report)) {
-            stepDown("a later process of this name gives orders");
+            stepDown("a later incarnation of this side exists");
         }
         boolean stale = context.clock().monotonicMillis() - requestedMillis
                 > context.limits().pauseLimitMillis();
@@ -204,10 +212,18 @@
                     "waxwingquay.side.overcommits", "side", context.identity().sideId());
             LOG.log(
                     System.Logger.Level.ERROR,
-                    "side: memory is overcommitted, evicting " + observation.surplusBytes() + " bytes.");
+                    "side: memory is overcommitted by " + observation.surplusBytes() + " bytes; evicting items.");
         }
-        observation.adopted().forEach(item -> LOG.log(System.Logger.Level.WARNING, "side: adopted item {0}.", item));
-        observation.vanished().forEach(item -> LOG.log(System.Logger.Level.WARNING, "side: item {0} is gone.", item));
+        observation
+                .adopted()
+                .forEach(item -> LOG.log(
+                        System.Logger.Level.WARNING, "side: adopted item {0}, which this side did not order.", item));
+        observation
+                .vanished()
+                .forEach(item -> LOG.log(
+                        System.Logger.Level.WARNING,
+                        "side: item {0} left memory without an eviction by this side.",
+                        item));
     }
 
     private boolean isSuperseded(ModelEngine.Residency report) {
@@ -231,7 +247,7 @@
             }
             retired = true;
         }
-        LOG.log(System.Logger.Level.ERROR, "side: stepping down, {0}.", cause);
+        LOG.log(System.Logger.Level.ERROR, "side: stepping down: {0}.", cause);
         onSuperseded.run();
     }
 
@@ -259,7 +275,8 @@
     private synchronized void setUnplaceable(List<String> items) {
         items.stream()
                 .filter(item -> !unplaceableItems.contains(item))
-                .forEach(item -> LOG.log(System.Logger.Level.WARNING, "side: no room for {0}.", item));
+                .forEach(item ->
+                        LOG.log(System.Logger.Level.WARNING, "side: no room for item {0}; it is not loaded.", item));
         unplaceableItems = items;
     }
 
--- a/src/main/java/io/waxwingquay/side/ResidencyPlan.java
+++ b/src/main/java/io/waxwingquay/side/ResidencyPlan.java
@@ -15,11 +15,11 @@
 import java.util.function.ToLongFunction;
 
 /**
- * What the order loop does next: a pure decision over one snapshot of the ledger.
+ * The next loads and evictions of the order loop, decided as a pure function of one snapshot of the ledger.
  *
- * @param loads items to load now; they fit.
- * @param evictions items to evict now.
- * @param unplaceable wanted items for which no room can be made.
+ * @param loads the items to load now; they fit into free memory.
+ * @param evictions the items to evict now.
+ * @param unplaceable the wanted items for which no room can be made.
  */
 record ResidencyPlan(List<Load> loads, List<String> evictions, List<String> unplaceable) {
 
@@ -30,13 +30,14 @@
     }
 
     /**
-     * Decides.
+     * Decides on loads and evictions.
      *
-     * @param snapshot the ledger.
-     * @param wanted what placement wants.
-     * @param awaitedAdapters adapters that requests wait for, the longest waiting first.
-     * @param sizeBytes the size of an item, or empty if the bundle names none such.
-     * @param lastUsedMillis when an item was last used, in milliseconds.
+     * @param snapshot the snapshot of the ledger.
+     * @param wanted the items that placement wants or protects.
+     * @param awaitedAdapters the adapters that requests wait for, the longest awaited first.
+     * @param sizeBytes returns the size of an item, or empty if the bundle does not name the item.
+     * @param lastUsedMillis returns when an item was last used, in milliseconds.
+     * @return the plan.
      */
     static ResidencyPlan decide(
             Snapshot snapshot,
@@ -55,10 +56,10 @@
     }
 
     /**
-     * One load.
+     * A load of one item.
      *
-     * @param item the item.
-     * @param sizeBytes the memory it takes.
+     * @param item the item name.
+     * @param sizeBytes the memory that the item takes.
      */
     record Load(String item, long sizeBytes) {}
 
@@ -93,8 +94,9 @@
         }
 
         /**
-         * Memory is over capacity: an earlier process's order landed late. The engine may fail any request
-         * until it is mended, so it goes before all else; unwanted items first, a last replica only at the end.
+         * Evicts items while the memory exceeds its capacity, which happens when an order of an earlier process arrives
+         * late. Until the surplus is gone the engine may fail any request, so this precedes all other decisions.
+         * Unwanted items are evicted first, a last copy only at the end.
          */
         private void evictSurplus() {
             long heldBytes = snapshot.holdings().values().stream()
@@ -153,7 +155,7 @@
             }
         }
 
-        /** Evicts nothing unless that makes enough room. */
+        /** Evicts the candidates that make room for an item, or nothing if all of them would not. */
         private boolean makeRoom(long sizeBytes) {
             long availableBytes = freeBytesAfterEvictions;
             List<String> chosen = new ArrayList<>();
--- a/src/main/java/io/waxwingquay/side/SideContext.java
+++ b/src/main/java/io/waxwingquay/side/SideContext.java
@@ -12,18 +12,18 @@
 import java.util.random.RandomGenerator;
 
 /**
- * What every part of a side process works with.
+ * The dependencies that the components of a side process share.
  *
- * @param identity who this side is.
- * @param limits its bounds.
- * @param clock the time.
+ * @param identity the identity of this side.
+ * @param limits the limits of this side.
+ * @param clock the clock.
  * @param random the source of jitter and identifiers.
- * @param bundles the bundle in force.
- * @param membership the other sides.
- * @param suspects the shared record of crashes.
- * @param connections connections to other sides.
- * @param meters where counts go.
- * @param scheduler runs what has to happen later.
+ * @param bundles the source of the bundle in force.
+ * @param membership the known sides.
+ * @param suspects the shared record of crashes and suspects.
+ * @param connections the connections to other sides.
+ * @param meters the registry of metrics.
+ * @param scheduler runs delayed and periodic tasks.
  */
 record SideContext(
         SideIdentity identity,
--- a/src/main/java/io/waxwingquay/side/SideEvent.java
+++ b/src/main/java/io/waxwingquay/side/SideEvent.java
@@ -1,17 +1,17 @@
 package io.waxwingquay.side;
 
 /**
- * What moves a side process from one {@link io.waxwingquay.transport.generated.SideState} to the next.
- * {@code charts/side.chart} has the moves.
+ * An event that changes the {@link io.waxwingquay.transport.generated.SideState} of a side process.
+ * {@code charts/side.chart} defines the transitions.
  */
 public enum SideEvent {
-    /** Its target answers, and its memory is known. */
+    /** The target answers, and the contents of its memory are known. */
     READY,
-    /** It was told to leave, or was replaced. */
+    /** The side was told to leave, or was replaced. */
     LEAVE,
-    /** All that was in flight has ended. */
+    /** All attempts in flight have ended. */
     DRAINED;
 
-    /** The name of the chart. */
+    /** The name of the state chart. */
     public static final String CHART_NAME = "side";
 }
--- a/src/main/java/io/waxwingquay/side/SideIdentity.java
+++ b/src/main/java/io/waxwingquay/side/SideIdentity.java
@@ -3,14 +3,15 @@
 import io.waxwingquay.common.HostPort;
 
 /**
- * Who a side process is.
+ * The identity of a side process.
  *
- * @param sideId its name.
- * @param address where it listens for Thrift.
- * @param dataCentre its data centre.
- * @param serviceName the service its target belongs to.
- * @param replica its number within the service.
- * @param epoch its boot epoch, higher than that of any earlier process of this name; also its fencing number.
+ * @param sideId the name of the side.
+ * @param address the address on which it listens for Thrift.
+ * @param dataCentre the data centre.
+ * @param serviceName the service to which its target belongs.
+ * @param replica the replica number within the service.
+ * @param epoch the epoch of this incarnation, higher than that of any earlier process of this name; also its fencing
+ *     number.
  */
 public record SideIdentity(
         String sideId, HostPort address, String dataCentre, String serviceName, int replica, long epoch) {}
--- a/src/main/java/io/waxwingquay/side/SideLimits.java
+++ b/src/main/java/io/waxwingquay/side/SideLimits.java
@@ -1,21 +1,22 @@
 package io.waxwingquay.side;
 
 /**
- * Bounds of a side process.
+ * The limits and intervals of a side process.
  *
- * @param queueLimit attempts that wait at once.
- * @param attemptLimit attempts remembered at once.
- * @param attemptRetentionMillis how long an ended attempt is remembered.
- * @param answerRetentionMillis how long the bytes of an ended answer are kept for polls.
- * @param unpolledLimitMillis how long an attempt goes unpolled before its entry counts as gone.
- * @param tickIntervalMillis time between two runs of the order loop.
- * @param adapterTickIntervalMillis the same while an adapter is waited for.
- * @param resendIntervalMillis time before an order without effect is sent again under the same id.
- * @param quarantineMillis longer than the longest delay of an order.
+ * @param queueLimit the largest number of queued attempts.
+ * @param attemptLimit the largest number of retained attempts.
+ * @param attemptRetentionMillis how long an ended attempt is retained.
+ * @param answerRetentionMillis how long the bytes of an ended answer are retained for polls.
+ * @param unpolledLimitMillis how long an attempt may go unpolled before its entry is presumed dead.
+ * @param tickIntervalMillis the interval of the order loop.
+ * @param adapterTickIntervalMillis the interval of the order loop while a request waits for an adapter.
+ * @param resendIntervalMillis the time before an order without effect is resent under the same ID.
+ * @param quarantineMillis how long free memory counts as unknown, and nothing is loaded, when orders of others may
+ *     still arrive; longer than the longest delay of an order.
  * @param pauseLimitMillis the longest gap in the order loop that does not count as a pause of the process.
- * @param noticeTimeoutMillis the longest wait for other sides to take in suspects.
- * @param resumeLimit how often a cut stream is opened again in a row without a new token.
- * @param streamSilenceMillis how long a stream may bring nothing before it is opened afresh.
+ * @param noticeTimeoutMillis the longest wait for other sides to acknowledge suspects.
+ * @param resumeLimit how often in a row a broken stream is reopened without receiving a new token.
+ * @param streamSilenceMillis how long a stream may be silent before it is reopened.
  * @param pollWaitMillis how long a poll is held open at most.
  */
 public record SideLimits(
@@ -35,7 +36,7 @@
         long pollWaitMillis) {
 
     /**
-     * Limits that suit the sizes of the brief.
+     * Returns the default limits.
      *
      * @return the limits.
      */
@@ -45,10 +46,10 @@
     }
 
     /**
-     * The same with another quarantine.
+     * Returns a copy with another quarantine period.
      *
-     * @param millis longer than the longest delay of an order.
-     * @return the changed limits.
+     * @param millis the period, longer than the longest delay of an order.
+     * @return the copy.
      */
     public SideLimits withQuarantineMillis(long millis) {
         return new SideLimits(
@@ -69,10 +70,10 @@
     }
 
     /**
-     * The same with another bound of the queue.
+     * Returns a copy with another queue limit.
      *
-     * @param attempts attempts that wait at once.
-     * @return the changed limits.
+     * @param attempts the largest number of queued attempts.
+     * @return the copy.
      */
     public SideLimits withQueueLimit(int attempts) {
         return new SideLimits(
@@ -93,10 +94,10 @@
     }
 
     /**
-     * The same with another retention of ended attempts.
+     * Returns a copy with another retention period of ended attempts.
      *
-     * @param millis how long an ended attempt is remembered.
-     * @return the changed limits.
+     * @param millis how long an ended attempt is retained.
+     * @return the copy.
      */
     public SideLimits withAttemptRetentionMillis(long millis) {
         return new SideLimits(
@@ -117,10 +118,10 @@
     }
 
     /**
-     * The same with another limit of a silent stream.
+     * Returns a copy with another limit for silent streams.
      *
-     * @param millis how long a stream may bring nothing.
-     * @return the changed limits.
+     * @param millis how long a stream may be silent before it is reopened.
+     * @return the copy.
      */
     public SideLimits withStreamSilenceMillis(long millis) {
         return new SideLimits(
@@ -141,10 +142,10 @@
     }
 
     /**
-     * The same with another longest wait of a poll.
+     * Returns a copy with another limit for the wait of a poll.
      *
      * @param millis how long a poll is held open at most.
-     * @return the changed limits.
+     * @return the copy.
      */
     public SideLimits withPollWaitMillis(long millis) {
         return new SideLimits(
--- a/src/main/java/io/waxwingquay/side/SideMeters.java
+++ b/src/main/java/io/waxwingquay/side/SideMeters.java
@@ -12,8 +12,8 @@
 import java.util.function.ToDoubleFunction;
 
 /**
- * Registers the meters of a side process as it is built. A counter that is first seen at its first event hides that
- * event from rates, so all begin at 0. {@code docs/METRICS.md} lists the names.
+ * Registers the metrics of a side process when it is built. A counter that first appears with its first event hides
+ * that event from rates, so all counters start at 0. {@code docs/METRICS.md} lists the names.
  */
 final class SideMeters {
 
@@ -28,7 +28,7 @@
         this.sideId = sideId;
     }
 
-    /** Registers what every side has. */
+    /** Registers the metrics of every side. */
     void registerCommon() {
         for (RefusalReason reason : RefusalReason.values()) {
             registry.counter(PREFIX + "refusals", "reason", reason.name());
@@ -36,7 +36,7 @@
         registry.counter(PREFIX + "abandoned", "side", sideId);
     }
 
-    /** Registers what a side before a model engine has besides. */
+    /** Registers the additional metrics of a side whose target is a model engine. */
     void registerModel(MemoryLedger ledger) {
         MODEL_COUNTERS.forEach(event -> registry.counter(PREFIX + event, "side", sideId));
         for (String kind : List.of("load", "evict")) {
--- a/src/main/java/io/waxwingquay/side/SideNode.java
+++ b/src/main/java/io/waxwingquay/side/SideNode.java
@@ -24,14 +24,17 @@
 import java.util.stream.Collectors;
 
 /**
- * The only door to one target. Built by {@link SideNodeBuilder}.
+ * The sole gateway to one target. Built by {@link SideNodeBuilder}.
  */
 public final class SideNode extends ForwardingPeer implements SideProtocol, AutoCloseable {
 
     private static final System.Logger LOG = System.getLogger("waxwingquay.side");
     private static final long DRAIN_CHECK_INTERVAL_MILLIS = 20L;
 
-    /** An entry that lost an answer asks again after 1 s at most (its longest time-out of a call) and its first pause. */
+    /**
+     * How long an entry that lost an answer takes to resend its poll: at most 1 s, its longest call timeout, plus its
+     * first backoff.
+     */
     private static final long POLL_RESEND_MILLIS = 1_500L;
 
     private final SideParts parts;
@@ -42,7 +45,7 @@
     }
 
     /**
-     * Starts the order loop and publishes this side.
+     * Publishes this side and starts the order loop.
      */
     public void start() {
         parts.recordPublisher().publish();
@@ -50,19 +53,20 @@
     }
 
     /**
-     * Runs the order loop and housekeeping once, now.
+     * Runs the order loop and housekeeping once.
      *
-     * @return completes when done.
+     * @return completes when both are done.
      */
     public CompletableFuture<Void> tick() {
         return parts.housekeeping().runOnce();
     }
 
     /**
-     * Leaves: refuses new work, refuses queued work truthfully, and lets running work end and be fetched.
+     * Drains this side: rejects new attempts, rejects queued attempts as not run, and waits until running attempts have
+     * ended and their answers have been delivered.
      *
      * @param limitMillis the longest wait.
-     * @return completes when nothing is left or the limit has passed; the side may then be closed.
+     * @return completes when no attempt is left or the limit has passed; the side may then be closed.
      */
     public CompletableFuture<Void> drain(long limitMillis) {
         leave();
@@ -73,27 +77,27 @@
     }
 
     /**
-     * The memory ledger.
+     * Returns a snapshot of the memory ledger.
      *
-     * @return a snapshot, or empty for a plain service.
+     * @return the snapshot, or empty for a plain service.
      */
     public Optional<Snapshot> memory() {
         return parts.memory().get();
     }
 
     /**
-     * Wanted items for which there is no room.
+     * Returns the wanted items for which there is no room.
      *
-     * @return the items.
+     * @return the item names.
      */
     public List<String> unplaceableItems() {
         return parts.residencyLoop().map(ResidencyLoop::unplaceableItems).orElse(List.of());
     }
 
     /**
-     * The attempts that are remembered, for dumps.
+     * Counts the retained attempts by state, for state dumps.
      *
-     * @return how many are in each state.
+     * @return the number of attempts in each state.
      */
     public Map<RequestState, Long> attemptsByState() {
         return parts.attempts().all().stream()
@@ -102,18 +106,18 @@
     }
 
     /**
-     * When the order loop last read the engine's residency, for dumps.
+     * Returns when the order loop last read the engine's memory, for state dumps.
      *
-     * @return the time by the monotonic clock, or empty before the first report and for a plain service.
+     * @return the time in monotonic milliseconds, or empty before the first report and for a plain service.
      */
     public Optional<Long> lastResidencyReadMillis() {
         return parts.residencyLoop().flatMap(ResidencyLoop::lastReadMillis);
     }
 
     /**
-     * The lifecycle of this side.
+     * Returns the lifecycle state of this side.
      *
-     * @return its state.
+     * @return the state.
      */
     public SideState state() {
         return parts.recordPublisher().state();
@@ -146,7 +150,8 @@
             PollAnswer absent = new PollAnswer(
                     AttemptState.ABSENT, new ArrayList<>(), parts.loadMeter().report());
             absent.setFailure(parts.loadMeter()
-                    .refusal(RefusalReason.EXPIRED_ATTEMPT, "this side does not know the attempt", Execution.UNKNOWN));
+                    .refusal(
+                            RefusalReason.EXPIRED_ATTEMPT, "no such attempt is known to this side", Execution.UNKNOWN));
             return CompletableFuture.completedFuture(absent);
         }
         return attempt.get()
@@ -177,7 +182,7 @@
                 parts.attempts().resolve(request.getAttemptId(), request.isWithdraw()));
     }
 
-    /** Stops at once, whatever is in flight; drain first. */
+    /** Stops at once and abandons attempts in flight; call {@link #drain} first. */
     @Override
     public void close() {
         parts.gate().close();
@@ -186,9 +191,9 @@
         parts.context().scheduler().shutdownNow();
     }
 
-    /** Refuses new and queued work from now on. */
+    /** Rejects new and queued attempts from now on, and stops all orders to the engine. */
     void leave() {
-        LOG.log(System.Logger.Level.INFO, "side: leaving.");
+        LOG.log(System.Logger.Level.INFO, "side: leaving; new and queued requests are rejected.");
         parts.gate().close();
         parts.residencyLoop().ifPresent(ResidencyLoop::retire);
         parts.recordPublisher().handle(SideEvent.LEAVE);
@@ -199,9 +204,10 @@
     }
 
     /**
-     * An answer that has ended here may not have reached its entry yet. Going away now would cut it off, so
-     * the side stays until each answer was polled to its end or its entry has gone. The reply to that poll is still to be
-     * sent then, and may be lost; so it stays for as long as an entry that did not get it takes to ask again.
+     * Completes a drain once all answers are delivered. An answer that is complete here may not have reached its entry
+     * yet, and an exit would cut it off, so the side stays until each answer was polled to its end or its entry is
+     * presumed dead. The reply to that last poll is still to be sent and may be lost, so the side stays for as long as
+     * an entry that did not receive it takes to resend the poll.
      */
     private void awaitDelivery(CompletableFuture<Void> drained) {
         long nowMillis = parts.context().clock().monotonicMillis();
--- a/src/main/java/io/waxwingquay/side/SideNodeBuilder.java
+++ b/src/main/java/io/waxwingquay/side/SideNodeBuilder.java
@@ -21,7 +21,7 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Puts a {@link SideNode} together. Everything without a default must be given.
+ * Builds a {@link SideNode}. Properties without a default must be set.
  */
 public final class SideNodeBuilder {
 
@@ -42,18 +42,18 @@
     private MeterRegistry meters;
 
     /**
-     * A builder for one side.
+     * Creates a builder for one side.
      *
-     * @param identity who it is.
+     * @param identity the identity of the side.
      */
     public SideNodeBuilder(SideIdentity identity) {
         this.identity = identity;
     }
 
     /**
-     * Sets the bounds.
+     * Sets the limits.
      *
-     * @param value the bounds.
+     * @param value the limits.
      * @return this builder.
      */
     public SideNodeBuilder limits(SideLimits value) {
@@ -62,7 +62,7 @@
     }
 
     /**
-     * Sets the time.
+     * Sets the clock.
      *
      * @param value the clock.
      * @return this builder.
@@ -84,7 +84,7 @@
     }
 
     /**
-     * Sets the bundle in force.
+     * Sets the source of the bundle in force.
      *
      * @param value the source.
      * @return this builder.
@@ -95,7 +95,7 @@
     }
 
     /**
-     * Sets what is known of the other sides.
+     * Sets the membership, through which this side is published and the others are known.
      *
      * @param value the membership.
      * @return this builder.
@@ -106,9 +106,9 @@
     }
 
     /**
-     * Sets the record of crashes.
+     * Sets the shared record of crashes and suspects.
      *
-     * @param value the book.
+     * @param value the record.
      * @return this builder.
      */
     public SideNodeBuilder suspects(SuspectBook value) {
@@ -128,7 +128,7 @@
     }
 
     /**
-     * Sets what answers the calls between any two processes.
+     * Sets the handler of the calls that any two processes may exchange.
      *
      * @param value the handler.
      * @return this builder.
@@ -139,7 +139,7 @@
     }
 
     /**
-     * Sets the shared limits.
+     * Sets the permits of the shared load limits.
      *
      * @param value the permits.
      * @return this builder.
@@ -150,9 +150,9 @@
     }
 
     /**
-     * Sets placement.
+     * Sets the source of the items that this side should hold in memory.
      *
-     * @param value what this side should hold.
+     * @param value the source.
      * @return this builder.
      */
     public SideNodeBuilder wantedItems(WantedItems value) {
@@ -161,7 +161,7 @@
     }
 
     /**
-     * Sets which requests can still make their deadline.
+     * Sets the rule that decides whether a request can still meet its deadline.
      *
      * @param value the rule.
      * @return this builder.
@@ -172,7 +172,7 @@
     }
 
     /**
-     * Sets where counts go.
+     * Sets the registry of metrics.
      *
      * @param value the registry.
      * @return this builder.
@@ -183,7 +183,7 @@
     }
 
     /**
-     * Builds a side before a plain service.
+     * Builds a side whose target is a plain service.
      *
      * @param service the target.
      * @return the side, not started.
@@ -213,10 +213,10 @@
     }
 
     /**
-     * Builds a side before a model engine.
+     * Builds a side whose target is a model engine.
      *
      * @param engine the target.
-     * @param ledger the memory ledger, for a fenced or an unfenced engine as the bundle says.
+     * @param ledger the memory ledger, for a fenced or unfenced engine as declared in the bundle.
      * @return the side, not started.
      */
     public SideNode forModelEngine(ModelEngine engine, MemoryLedger ledger) {
--- a/src/main/java/io/waxwingquay/side/SideParts.java
+++ b/src/main/java/io/waxwingquay/side/SideParts.java
@@ -6,17 +6,17 @@
 import java.util.function.Supplier;
 
 /**
- * The parts of one side process, put together.
+ * The components of one side process.
  *
- * @param context what all work with.
- * @param attempts the attempts.
- * @param gate closed once this side leaves.
- * @param loadMeter measured load.
- * @param recordPublisher the published record.
- * @param admission the way in.
- * @param housekeeping the recurring work.
- * @param residencyLoop the order loop, for a model engine.
- * @param memory the ledger, for a model engine.
+ * @param context the shared dependencies.
+ * @param attempts the registry of attempts.
+ * @param gate the gate that is closed once this side leaves.
+ * @param loadMeter the measured load.
+ * @param recordPublisher publishes the record of this side.
+ * @param admission the admission control.
+ * @param housekeeping the periodic work.
+ * @param residencyLoop the order loop; empty for a plain service.
+ * @param memory supplies a snapshot of the memory ledger; empty for a plain service.
  */
 record SideParts(
         SideContext context,
--- a/src/main/java/io/waxwingquay/side/SideRecordPublisher.java
+++ b/src/main/java/io/waxwingquay/side/SideRecordPublisher.java
@@ -16,7 +16,7 @@
 import java.util.function.Supplier;
 
 /**
- * What this side publishes of itself, and the demand it has seen. Safe for concurrent use.
+ * Publishes the record of this side to membership, with the demand that it has measured. Safe for concurrent use.
  */
 final class SideRecordPublisher {
 
@@ -47,6 +47,7 @@
         return state;
     }
 
+    /** Applies an event to the lifecycle of this side, and publishes the record. */
     synchronized void handle(SideEvent event) {
         state = CHART.next(state, event).orElse(state);
         publish();
@@ -58,7 +59,7 @@
                 .add(1.0);
     }
 
-    /** Publishes the record if it changed; a change of demand alone waits a little. */
+    /** Publishes the record if it has changed; changes of demand alone are rate-limited. */
     synchronized void publish() {
         demandByItem.values().removeIf(rate -> rate.perSecond() < NEGLIGIBLE_PER_SECOND);
         SideRecord next = record();
@@ -79,7 +80,7 @@
         context.membership().publish(next.deepCopy());
     }
 
-    /** 0 for none, else 1 + floor(2 * log2(perSecond)), within 1 and 60. */
+    /** Quantises a rate: 0 if it is negligible, otherwise 1 + floor(2 * log2(perSecond)), bounded to 1 and 60. */
     static int demandStep(double perSecond) {
         if (perSecond < NEGLIGIBLE_PER_SECOND) {
             return 0;
@@ -88,7 +89,7 @@
         return Math.max(1, Math.min(MAX_DEMAND_STEP, step));
     }
 
-    // At 2,400 sides, one change each 5 s would send every process some 600 KB/s of others' records.
+    // With 2,400 sides, one change each per 5 s would send every process about 600 KB/s of records of other sides.
     private long demandIntervalMillis(SideRecord next) {
         int sides = context.membership().sides().size();
         return Math.max(
--- a/src/main/java/io/waxwingquay/side/Target.java
+++ b/src/main/java/io/waxwingquay/side/Target.java
@@ -8,30 +8,30 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * What admission needs of the target behind this side.
+ * The target of a side, as seen by admission.
  */
 interface Target {
 
-    /** Whether it can run anything. */
+    /** Returns whether the target can currently run anything. */
     boolean isReady();
 
-    /** Whether it can run a submission from memory. */
+    /** Returns whether the target can run a submission without a load of its model. */
     boolean canRun(Submission submission);
 
-    /** Keeps what the attempt needs in memory; each success needs one unpin. */
+    /** Pins the model of an attempt in memory. Returns whether it did; each success requires one unpin. */
     boolean pin(Attempt attempt);
 
-    /** Gives back the pin. */
+    /** Releases the pin of an attempt. */
     void unpin(Attempt attempt);
 
-    /** Completes when the attempt may start. */
+    /** Prepares an attempt; completes when it may start. */
     CompletableFuture<Void> prepare(Attempt attempt);
 
     /** Runs an attempt that has just been started. */
     void run(Attempt attempt);
 
     /**
-     * A model engine.
+     * A target that is a model engine.
      */
     final class ForModelEngine implements Target {
 
@@ -127,7 +127,7 @@
     }
 
     /**
-     * A plain service.
+     * A target that is a plain service.
      */
     final class ForPlainService implements Target {
 
@@ -158,7 +158,7 @@
         /** {@inheritDoc} */
         @Override
         public void unpin(Attempt attempt) {
-            // Nothing is held for a plain call.
+            // A plain call pins nothing.
         }
 
         /** {@inheritDoc} */
--- a/src/main/java/io/waxwingquay/side/UnitBuffer.java
+++ b/src/main/java/io/waxwingquay/side/UnitBuffer.java
@@ -5,7 +5,7 @@
 import java.util.Arrays;
 
 /**
- * An answer's bytes and where each of its units ends. Not safe for concurrent use.
+ * A buffer of the bytes of an answer and the end offset of each unit. Not safe for concurrent use.
  */
 final class UnitBuffer {
 
@@ -39,14 +39,14 @@
         return offset < unitCount && !released;
     }
 
-    /** All units from an offset on, as one chunk. */
+    /** Returns all units from an offset on, as one chunk. */
     Chunk chunkFrom(long offset) {
         int first = (int) Math.max(0L, offset);
         int start = first == 0 ? 0 : endOffsets[first - 1];
         return new Chunk(first, ByteBuffer.wrap(Arrays.copyOfRange(bytes, start, endOffset())), unitCount - first);
     }
 
-    /** Drops the bytes and keeps the count. */
+    /** Drops the bytes, but keeps the number of units. */
     void release() {
         released = true;
         bytes = new byte[0];
--- a/src/main/java/io/waxwingquay/side/WantedItems.java
+++ b/src/main/java/io/waxwingquay/side/WantedItems.java
@@ -5,24 +5,25 @@
 import java.util.Set;
 
 /**
- * Placement as the order loop sees it: what this side should hold in memory.
+ * Supplies the items that placement wants this side to hold in memory.
  */
 @FunctionalInterface
 public interface WantedItems {
 
     /**
-     * Decides what this side should hold now.
+     * Returns the items that this side should hold now.
      *
      * @param bundle the bundle in force.
-     * @return the wanted items.
+     * @return the wanted and the protected items.
      */
     Wanted wanted(Bundle bundle);
 
     /**
-     * What a side should hold.
+     * The items that a side should hold.
      *
-     * @param items model items, the most wanted first.
-     * @param protectedItems resident items that are the last replica and must not be evicted by choice.
+     * @param items the wanted model items in descending priority.
+     * @param protectedItems the resident items that are the last copy of their model; they are evicted only to end an
+     *     overcommit of the memory.
      */
     record Wanted(List<String> items, Set<String> protectedItems) {}
 }
--- a/src/main/java/io/waxwingquay/side/package-info.java
+++ b/src/main/java/io/waxwingquay/side/package-info.java
@@ -1,4 +1,5 @@
 /**
- * The side process: the only door to its target, for requests and for orders.
+ * The side process: the sole gateway to its target. Every request to the target, and every order to load or evict,
+ * passes through it.
  */
 package io.waxwingquay.side;
