--- a/src/test/java/io/waxwingquay/side/AdmissionRuleTest.java
+++ b/src/test/java/io/waxwingquay/side/AdmissionRuleTest.java
@@ -23,11 +23,9 @@
         assertEquals(waitMillis + runMillis <= BUDGET_MILLIS, AdmissionRule.WITH_RUN_TIME.mayQueue(outlook));
     }
 
-    /*
-     * Every caller is refused for good although the target is idle.
-     * During a slow spell runs took longer than any deadline; since then all are refused, so no run brings a
-     * newer measure. An idle target therefore takes whatever comes.
-     */
+    // Guards against an idle target that rejects every request for good. Run times measured in a slow period exceed
+    // every deadline, and as rejected requests yield no newer measurement, they would persist. An idle target therefore
+    // accepts any request.
     @Property(tries = 100, seed = "20261202")
     void idleTargetRejectsNothing(@ForAll @IntRange(min = 1, max = 1_000_000) int runMillis) {
         Estimate outlook = new Estimate(0, runMillis, 1L, 0);
--- a/src/test/java/io/waxwingquay/side/AttemptRegistryTest.java
+++ b/src/test/java/io/waxwingquay/side/AttemptRegistryTest.java
@@ -28,8 +28,8 @@
         assertEquals(first, registry.register(submission("a")).attempt().orElseThrow());
     }
 
-    // The caller pays twice. Its entry heard no answer, withdrew the attempt and made a new one; the first
-    // submission was only late and arrives afterwards. It must not start any more.
+    // Guards against a non-idempotent call that runs twice. The entry received no answer, withdrew the attempt and
+    // created another one; the delayed first submission arrives afterwards and must not start.
     @Test
     void rejectsLateSubmissionOfWithdrawnAttempt() {
         assertEquals(Execution.DID_NOT_RUN, registry.resolve("a", true).getExecution());
@@ -46,8 +46,8 @@
         assertEquals(Execution.UNKNOWN, registry.resolve("b", true).getExecution());
     }
 
-    // The caller pays twice. Hours later it sends the call again; the entry finds the old claim and asks. The
-    // attempt ran but is no longer kept: "absent" must not be taken for "did not run".
+    // Guards against a non-idempotent call that runs twice. The caller resends it hours later, and the entry finds the
+    // old claim and asks this side. The attempt ran but has expired: "absent" must not be reported as "did not run".
     @Test
     void reportsExpiredAttemptAsUnknown() {
         Attempt ran = registry.register(submission("a")).attempt().orElseThrow();
@@ -84,7 +84,7 @@
         return submission;
     }
 
-    /** Operations that run against each other. */
+    /** Operations that run concurrently. */
     public static class ConcurrentOperations {
 
         private final AttemptRegistry registry = new AttemptRegistry(new ManualClock(), RETENTION_MILLIS, 10);
--- a/src/test/java/io/waxwingquay/side/FakeEngine.java
+++ b/src/test/java/io/waxwingquay/side/FakeEngine.java
@@ -13,7 +13,9 @@
 import java.util.Set;
 import java.util.concurrent.CompletableFuture;
 
-/** An engine whose every step a test takes by hand. It refuses no overcommit but remembers the worst. */
+/**
+ * A fake engine whose steps a test triggers one by one. It allows overcommits and records the maximum of used memory.
+ */
 final class FakeEngine implements ModelEngine {
 
     final long capacityBytes;
@@ -57,7 +59,7 @@
         return CompletableFuture.completedFuture(deliver(order));
     }
 
-    /** Lets an order arrive. */
+    /** Delivers an order to the engine. */
     synchronized OrderAnswer deliver(Order order) {
         if (fenced && order.fence() < highestFence) {
             return OrderAnswer.STALE_FENCE;
@@ -69,7 +71,7 @@
         return OrderAnswer.TAKEN;
     }
 
-    /** Does all open orders. */
+    /** Completes all open orders. */
     synchronized void completeOrders() {
         for (Order order : openOrders) {
             if (order.kind() == OrderKind.LOAD) {
@@ -110,7 +112,7 @@
         return CompletableFuture.completedFuture(new EngineLoad(0, 0, 0L, 0.0, 0L));
     }
 
-    /** One opened stream. */
+    /** A stream that the side has opened. */
     record OpenStream(Generation generation, long fromOffset, Listener listener) {
 
         void tokens(long from, String... texts) {
--- a/src/test/java/io/waxwingquay/side/LoadMeterTest.java
+++ b/src/test/java/io/waxwingquay/side/LoadMeterTest.java
@@ -13,11 +13,9 @@
     private final ManualClock clock = new ManualClock();
     private final LoadMeter meter = new LoadMeter(clock, new Random(1L), () -> 0L);
 
-    /*
-     * Callers of a quiet target see their first burst refused, although it would be worked off in a moment.
-     * One call of 10 ms is finished, then nothing comes for a minute; then a burst arrives.
-     * A rate of finished calls would say one a minute; what counts is how long a run takes.
-     */
+    // Guards against rejecting the first burst after a quiet period. One run of 10 ms is followed by a minute without
+    // requests. The rate of finished runs would be one per minute, although the target can run a burst at once; the
+    // throughput is therefore derived from the run time.
     @Test
     void throughputDoesNotFallWhileTargetIsIdle() {
         meter.setCounts(new LoadMeter.Counts(0, 0, 0L, MAX_CONCURRENT));
--- a/src/test/java/io/waxwingquay/side/ManualClock.java
+++ b/src/test/java/io/waxwingquay/side/ManualClock.java
@@ -3,7 +3,7 @@
 import io.waxwingquay.common.Clock;
 import java.util.concurrent.atomic.AtomicLong;
 
-/** A clock that moves when told to. */
+/** A clock that advances only on request. */
 final class ManualClock implements Clock {
 
     private final AtomicLong millis = new AtomicLong(1_000_000L);
--- a/src/test/java/io/waxwingquay/side/ResidencyLoopTest.java
+++ b/src/test/java/io/waxwingquay/side/ResidencyLoopTest.java
@@ -18,8 +18,8 @@
 
 class ResidencyLoopTest {
 
-    // The caller sees its model refused for ever. The order to load it was lost on the way, and so is not
-    // done; sent anew under another id, both could land, so it is sent again under the same one.
+    // Guards against a model that is never loaded because its load order was lost. Under another ID both orders could
+    // take effect, so the order is resent under the same ID.
     @Test
     void resendsLostOrderUnderSameId() {
         try (SideFixture fixture = new SideFixture()) {
@@ -40,9 +40,9 @@
         }
     }
 
-    // The caller sees the engine fail after a restart of the side process: an order of the predecessor lands
-    // late on an engine that ignores fencing numbers. During the quarantine nothing is loaded, what is resident
-    // serves at once, and the late item is adopted and makes room before the wanted one is loaded.
+    // Guards against an overcommit after a restart of the side process: an order of the predecessor arrives late at an
+    // engine that ignores fencing numbers. During the quarantine nothing is loaded, but resident models serve at once;
+    // the late item is adopted, and evicted before the wanted one is loaded.
     @Test
     void loadsNothingWhileOrdersOfPredecessorMayArrive() {
         try (SideFixture fixture = new SideFixture()) {
@@ -62,8 +62,8 @@
         }
     }
 
-    // The caller sees nothing, as it should: an eviction is taken and never done. The wanted model is not
-    // loaded beside the one that is still there, however long that lasts.
+    // Guards against an overcommit when the engine accepts an eviction but never completes it. The wanted model is not
+    // loaded while the other one is still resident, however long that takes.
     @Test
     void doesNotLoadBeforeEvictionIsConfirmed() {
         try (SideFixture fixture = new SideFixture()) {
@@ -80,8 +80,8 @@
         }
     }
 
-    // The caller sees the only replica of its model go. A rollout wants a larger version and the accelerator is
-    // full; the old one is the last replica, so the rollout is refused here and reported.
+    // Guards against the eviction of the last copy of a model. A rollout wants a larger version and the accelerator is
+    // full; as the old version is the last copy, the new one is not loaded here but reported as unplaceable.
     @Test
     void reportsRolloutThatWouldEvictLastCopyAsUnplaceable() {
         try (SideFixture fixture = new SideFixture()) {
@@ -98,8 +98,8 @@
         }
     }
 
-    // The caller sees its answer cut because its model was evicted under it. The model is no longer wanted
-    // here, but a request uses it, so it stays until that has ended.
+    // Guards against an answer that breaks because its model is evicted while in use. The model is no longer wanted
+    // here, but stays until the request that uses it has ended.
     @Test
     void doesNotEvictModelInUse() {
         try (SideFixture fixture = new SideFixture()) {
@@ -115,8 +115,8 @@
         }
     }
 
-    // The caller sees the engine fail: two sides order for one target. The first was paused, a second took
-    // over, the first comes back and believes that it still owns the memory. It must not order again.
+    // Guards against an overcommit by two sides that order for one target. The first was paused, a second took over,
+    // and the first resumes in the belief that it still owns the memory. It must not send any further order.
     @Test
     void stepsDownAfterPauseWhenReplaced() {
         try (SideFixture fixture = new SideFixture()) {
@@ -133,8 +133,8 @@
         }
     }
 
-    // As before, but the news of the successor is late: no gossip has come in when the process resumes.
-    // The gap in its own loop holds its orders back until a quarantine has passed.
+    // Guards against the same overcommit when the status update of the successor has not arrived by the time the
+    // process resumes. The gap in its own loop delays its loads until a quarantine period has passed.
     @Test
     void delaysLoadsAfterPauseUntilQuarantineEnds() {
         try (SideFixture fixture = new SideFixture()) {
@@ -151,7 +151,8 @@
         }
     }
 
-    // Where fences are enforced the engine itself tells the replaced side, which then leaves.
+    // Guards against a replaced side that keeps resending orders to an engine that enforces fences: the stale fence
+    // tells the side that it was replaced, and it leaves.
     @Test
     void stepsDownOnStaleFence() {
         try (SideFixture fixture = new SideFixture()) {
@@ -165,8 +166,9 @@
         }
     }
 
-    // The caller sees the engine fail: a stranger's order overfilled it. Nothing refuses that on an engine that
-    // ignores fences; it is mended at the next report by evicting what is not wanted.
+    // Guards against an engine that fails requests because an order that this side did not send overcommitted its
+    // memory. An engine that ignores fences accepts such an order; the next report reveals it, and an unwanted item is
+    // evicted.
     @Test
     void evictsSurplusOfForeignOrder() {
         try (SideFixture fixture = new SideFixture()) {
@@ -189,7 +191,7 @@
             call.getModel().setAdapter("x");
             assertTrue(SideFixture.await(fixture.node.submit(call)).isAccepted());
             assertEquals(AttemptState.QUEUED, fixture.poll("r", 0L).getState());
-            // The submission has woken the order loop, whose round a tick may join instead of starting its own.
+            // The submission has triggered the order loop; a tick may join that run instead of starting its own.
             Await.until(() -> fixture.tickAndCompleteOrders().poll("r", 0L).getState() == AttemptState.RUNNING);
             assertTrue(fixture.engine.residentBytesByItem.containsKey(ADAPTER));
             assertTrue(fixture.node.memory().orElseThrow().pinned().contains(ADAPTER));
--- a/src/test/java/io/waxwingquay/side/RolloutTest.java
+++ b/src/test/java/io/waxwingquay/side/RolloutTest.java
@@ -34,9 +34,9 @@
     private static final int LAYOUTS = 300;
     private static final int ROUNDS = 40;
 
-    // The caller sees the old version of a model for ever. Larger versions of all models are rolled out while every
-    // accelerator is full of old ones; each side may only evict what is not the last replica, and none may wait for
-    // another that waits for it.
+    // Guards against a rollout that deadlocks and serves an old version for ever. Larger versions of all models are
+    // rolled out while every accelerator is full of old ones. Each side may only evict copies that are not the last
+    // one, and no two sides may wait for each other.
     @Test
     void rolloutOfLargerVersionsIntoFullAcceleratorsCompletes() {
         for (int layout = 0; layout < LAYOUTS; layout++) {
@@ -60,7 +60,7 @@
         }
     }
 
-    /** One side plans, evicts and loads, and all know of it before the next. */
+    /** Lets one side plan, evict and load; all sides see the result before the next one plans. */
     private static void runSide(Map<String, Set<String>> itemsBySide, Bundle bundle, String name) {
         List<Side> sides = itemsBySide.keySet().stream()
                 .map(each -> side(each, List.copyOf(itemsBySide.keySet()).indexOf(each), itemsBySide.get(each)))
--- a/src/test/java/io/waxwingquay/side/SideFixture.java
+++ b/src/test/java/io/waxwingquay/side/SideFixture.java
@@ -37,7 +37,7 @@
 import java.util.function.Consumer;
 import java.util.random.RandomGenerator;
 
-/** A side process over fakes, whose loop runs when a test ticks it. */
+/** A side process with fake dependencies, whose order loop runs only when a test ticks it. */
 final class SideFixture implements AutoCloseable {
 
     static final long CAPACITY_BYTES = 100L;
@@ -83,7 +83,7 @@
         return this;
     }
 
-    /** Reads, orders, lets the engine do it, and reads again. */
+    /** Ticks, completes the orders that were sent, and ticks again to read the result. */
     SideFixture tickAndCompleteOrders() {
         tick();
         engine.completeOrders();
@@ -164,7 +164,7 @@
         public void onAdopted(Consumer<Bundle> listener) {}
     }
 
-    /** Membership that remembers what was published. */
+    /** A membership that records what was published. */
     static final class RecordingMembership implements Membership {
 
         final List<SideRecord> published = new CopyOnWriteArrayList<>();
@@ -209,7 +209,7 @@
         public void noteReached(String sideId, long epoch, boolean reached) {}
     }
 
-    /** A book with standings set by hand. */
+    /** A record of suspects whose standings a test sets. */
     final class SettableSuspects implements SuspectBook {
 
         final Map<Long, Standing> standings = new HashMap<>();
--- a/src/test/java/io/waxwingquay/side/SideNodeTest.java
+++ b/src/test/java/io/waxwingquay/side/SideNodeTest.java
@@ -43,8 +43,9 @@
         }
     }
 
-    // The caller sees its answer stop half way, doubled or short. The stream from the engine is cut after two
-    // tokens while the engine goes on; the side opens it again from the third and drops what it has already.
+    // Guards against an answer with missing or repeated tokens. The stream from the engine breaks after two tokens
+    // while the generation continues; the side reopens it from the third token and drops tokens that it has received
+    // before.
     @Test
     void resumesCutStreamByOffset() {
         try (SideFixture fixture = new SideFixture().start(1L).tickAndCompleteOrders()) {
@@ -63,8 +64,8 @@
         }
     }
 
-    // The caller sees its answer stop and never end. The connection to the engine has gone silent for good while
-    // new ones work; the side opens another and goes on from the next token, as often as it takes.
+    // Guards against an answer that stops without an end. The connection to the engine has gone silent for good while
+    // new connections work; the side reopens the stream from the next token, as often as necessary.
     @Test
     void reopensSilentStream() {
         try (SideFixture fixture = new SideFixture().start(1L).tickAndCompleteOrders()) {
@@ -83,7 +84,7 @@
         }
     }
 
-    // As before, but a token is missing inside the stream, or the end comes before the last token.
+    // Guards against an answer with missing tokens when the stream skips a token or ends before the last one.
     @Test
     void reopensStreamAfterGapOrEarlyEnd() {
         try (SideFixture fixture = new SideFixture().start(1L).tickAndCompleteOrders()) {
@@ -99,9 +100,9 @@
         }
     }
 
-    // The caller sends the same request again and takes one target down after the other. The engine restarts while
-    // two requests run; both are recorded and pushed to every other side of the service before they fail: what a
-    // side is known to hold lags, so one that shows another model may have loaded this one by now.
+    // Guards against a resent request that crashes one target after the other. The engine restarts while two requests
+    // run; both are recorded as suspects and pushed to every other side of the service before they fail. Knowledge of
+    // the models that a side holds is stale, so a side that shows another model may have loaded this one by now.
     @Test
     void recordsAndPushesSuspectsBeforeFailingAttemptsAfterCrash() {
         try (SideFixture fixture = new SideFixture().start(1L).tickAndCompleteOrders()) {
@@ -145,9 +146,9 @@
         }
     }
 
-    // The caller sees its answer cut off, or is told that a call did not run which did, when a VM is replaced. One
-    // answer streams and one call waits as the side leaves: the first ends and is fetched, the second is refused
-    // truthfully, and only then is the drain over.
+    // Guards against an answer that is cut off, or a call that ran but is reported as not run, when a VM is replaced.
+    // One attempt is running and one is queued when the side leaves. The first ends and its answer is delivered, the
+    // second is rejected as not run, and only then is the drain complete.
     @Test
     void drainCompletesRunningAndRejectsQueuedAttempts() {
         try (SideFixture fixture = new SideFixture()) {
@@ -172,10 +173,10 @@
         }
     }
 
-    // An entry polls the end of an answer and the side leaves. The end is still in the side's socket, or its
-    // connection has gone silent, and the side exits at once: the entry asks again, reaches nobody, and tells its
-    // caller that it is unknown whether the call ran. The side stays until an entry that lost the end would have
-    // asked again.
+    // Guards against a side that exits before the end of an answer has reached the entry. The reply to the poll may
+    // still be in the socket of the side, or its connection may have gone silent; the entry would resend the poll,
+    // reach nobody, and report that it is unknown whether the call ran. The side therefore stays until an entry that
+    // lost the reply would have resent the poll.
     @Test
     void drainWaitsForResentPollOfEnd() {
         try (SideFixture fixture = new SideFixture().start(1L).tickAndCompleteOrders()) {
@@ -232,7 +233,7 @@
         }
     }
 
-    // Targets work for nobody: an entry died and nobody polls its attempts any more.
+    // Guards against targets that run abandoned attempts: an entry has died and nobody polls its attempts any more.
     @Test
     void cancelsAttemptThatIsNoLongerPolled() {
         try (SideFixture fixture = new SideFixture().start(1L).tickAndCompleteOrders()) {
@@ -244,8 +245,9 @@
         }
     }
 
-    // The caller pays twice. The entry heard nothing, withdrew the attempt at this side and would now make a new
-    // one; the first submission arrives late. Before, between and after, the service is called once.
+    // Guards against a non-idempotent call that runs twice. The entry received no answer, withdrew the attempt and
+    // would now create another one; the delayed first submission arrives afterwards. In all, the service is called
+    // once.
     @Test
     void neverRunsWithdrawnOrExpiredAttemptAndRunsResentOneOnce() {
         List<PlainService.Call> calls = new ArrayList<>();
@@ -277,8 +279,9 @@
         }
     }
 
-    // The caller never learns whether it paid: its entry cancelled the call when the caller hung up, the service
-    // answered afterwards, and the outcome was dropped. A call handed over is let go on and its outcome kept.
+    // Guards against losing the outcome of a non-idempotent call. The entry cancels the call when the caller
+    // disconnects, and the service answers afterwards. A call that was sent to the target continues, and its outcome is
+    // retained.
     @Test
     void keepsOutcomeOfNonIdempotentCallCancelledAfterStart() {
         CompletableFuture<PlainService.Answer> answer = new CompletableFuture<>();
--- a/src/test/java/io/waxwingquay/side/SideRecordPublisherTest.java
+++ b/src/test/java/io/waxwingquay/side/SideRecordPublisherTest.java
@@ -21,8 +21,8 @@
         }
     }
 
-    // The caller sees news of leaving and of suspects late. Thousands of sides each publish every small change of
-    // demand, and the links between processes are full of it.
+    // Guards against delayed status updates of leaving sides and suspects: if thousands of sides each published every
+    // small change of demand, these would saturate the links between processes.
     @Test
     void publishesDemandChangesLessOftenAmongManySides() {
         try (SideFixture fixture = new SideFixture().start(1L).tickAndCompleteOrders()) {
