--- a/src/main/java/io/waxwingquay/side/Housekeeping.java
+++ b/src/main/java/io/waxwingquay/side/Housekeeping.java
@@ -45,7 +45,7 @@
         nextRun.ifPresent(scheduled -> scheduled.cancel(false));
     }
 
-    /** Runs once. */
+    /** Runs the order loop and then the cleanup, once. */
     CompletableFuture<Void> runOnce() {
         CompletableFuture<Void> residencyRead =
                 residencyLoop.map(ResidencyLoop::tick).orElse(CompletableFuture.completedFuture(null));
--- a/src/main/java/io/waxwingquay/side/OrderSender.java
+++ b/src/main/java/io/waxwingquay/side/OrderSender.java
@@ -196,9 +196,9 @@
                         !holdings.containsKey(item) || !holdings.get(item).awaitsLoad())
                 .toList();
         finished.forEach(item -> permitsByItem.remove(item).close());
-        Set<String> openOrderIds =
+        Set<String> latestOrderIds =
                 holdings.values().stream().map(Holding::orderId).collect(Collectors.toSet());
-        lastSentMillis.keySet().retainAll(openOrderIds);
+        lastSentMillis.keySet().retainAll(latestOrderIds);
     }
 
     private static boolean isUnreachable(Throwable failure) {
--- a/src/main/java/io/waxwingquay/side/ResidencyLoop.java
+++ b/src/main/java/io/waxwingquay/side/ResidencyLoop.java
@@ -189,7 +189,7 @@
             reportAnomalies(observation);
         }
         orderSender.releasePermits();
-        removeUnheldUse();
+        pruneLastUsed();
         adapterQueue.completeResident();
         if (isSuperseded(report)) {
             stepDown("a later incarnation of this side exists");
@@ -268,7 +268,7 @@
         return lastUsedMillis.getOrDefault(item, Long.MIN_VALUE);
     }
 
-    private synchronized void removeUnheldUse() {
+    private synchronized void pruneLastUsed() {
         lastUsedMillis.keySet().retainAll(ledger.snapshot().holdings().keySet());
     }
 
--- a/src/main/java/io/waxwingquay/side/SideRecordPublisher.java
+++ b/src/main/java/io/waxwingquay/side/SideRecordPublisher.java
@@ -26,7 +26,7 @@
     private static final long MIN_DEMAND_INTERVAL_MILLIS = 5_000L;
     private static final double MAX_DEMAND_BYTES_PER_SECOND = 3_000.0;
     private static final int MAX_DEMAND_STEP = 60;
-    private static final double NEGLIGIBLE_PER_SECOND = 0.01;
+    private static final double NEGLIGIBLE_DEMAND_PER_SECOND = 0.01;
 
     private final SideContext context;
     private final TargetKind kind;
@@ -61,7 +61,7 @@
 
     /** Publishes the record if it has changed; changes of demand alone are rate-limited. */
     synchronized void publish() {
-        demandByItem.values().removeIf(rate -> rate.perSecond() < NEGLIGIBLE_PER_SECOND);
+        demandByItem.values().removeIf(rate -> rate.perSecond() < NEGLIGIBLE_DEMAND_PER_SECOND);
         SideRecord next = record();
         if (published.filter(next::equals).isPresent()) {
             return;
@@ -82,7 +82,7 @@
 
     /** Quantises a rate: 0 if it is negligible, otherwise 1 + floor(2 * log2(perSecond)), bounded to 1 and 60. */
     static int demandStep(double perSecond) {
-        if (perSecond < NEGLIGIBLE_PER_SECOND) {
+        if (perSecond < NEGLIGIBLE_DEMAND_PER_SECOND) {
             return 0;
         }
         int step = 1 + (int) Math.floor(2.0 * Math.log(perSecond) / Math.log(2.0));
--- a/src/test/java/io/waxwingquay/side/AdmissionRuleTest.java
+++ b/src/test/java/io/waxwingquay/side/AdmissionRuleTest.java
@@ -14,12 +14,12 @@
 class AdmissionRuleTest {
 
     private static final long BUDGET_MILLIS = 1_000L;
-    private static final int BUSY = 16;
+    private static final int RUNNING = 16;
 
     @Property(tries = 300, seed = "20261202")
     void busyTargetAdmitsOnlyRequestsThatFinishByTheDeadline(
             @ForAll @DoubleRange(max = 2_000) double waitMillis, @ForAll @DoubleRange(max = 2_000) double runMillis) {
-        Estimate outlook = new Estimate(waitMillis, runMillis, BUDGET_MILLIS, BUSY);
+        Estimate outlook = new Estimate(waitMillis, runMillis, BUDGET_MILLIS, RUNNING);
         assertEquals(waitMillis + runMillis <= BUDGET_MILLIS, AdmissionRule.WITH_RUN_TIME.mayQueue(outlook));
     }
 
@@ -35,7 +35,7 @@
 
     @Test
     void startCheckOnlyQueuesEveryRequestButStartsNoneTooLate() {
-        Estimate late = new Estimate(0, 2 * BUDGET_MILLIS, BUDGET_MILLIS, BUSY);
+        Estimate late = new Estimate(0, 2 * BUDGET_MILLIS, BUDGET_MILLIS, RUNNING);
         assertTrue(AdmissionRule.START_CHECK_ONLY.mayQueue(late));
         assertFalse(AdmissionRule.START_CHECK_ONLY.mayStart(late));
     }
--- a/src/test/java/io/waxwingquay/side/ResidencyLoopTest.java
+++ b/src/test/java/io/waxwingquay/side/ResidencyLoopTest.java
@@ -173,7 +173,7 @@
     void evictsSurplusOfForeignOrder() {
         try (SideFixture fixture = new SideFixture()) {
             fixture.start(1L).tickAndCompleteOrders();
-            fixture.engine.deliver(new Order("stranger", OrderKind.LOAD, MODEL_B, 60L, 0L));
+            fixture.engine.deliver(new Order("foreign", OrderKind.LOAD, MODEL_B, 60L, 0L));
             fixture.engine.completeOrders();
             fixture.tickAndCompleteOrders();
             assertEquals(Set.of(MODEL_A), fixture.engine.residentBytesByItem.keySet());
