--- a/src/main/java/io/waxwingquay/side/AdapterQueue.java
+++ b/src/main/java/io/waxwingquay/side/AdapterQueue.java
@@ -8,17 +8,23 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * Requests that wait for an adapter to become resident. Safe for concurrent use.
+ * Holds the requests that wait for an adapter to become resident. Safe for concurrent use.
  */
 final class AdapterQueue {
 
     private final MemoryLedger ledger;
-    private final Map<String, List<CompletableFuture<Void>>> waiting = new LinkedHashMap<>();
+    private final Map<String, List<CompletableFuture<Void>>> waitersByItem = new LinkedHashMap<>();
 
     AdapterQueue(MemoryLedger ledger) {
         this.ledger = ledger;
     }
 
+    /**
+     * Pins an adapter as soon as it is resident.
+     *
+     * @param item the adapter's item name.
+     * @return completes when the adapter is pinned once; cancel it to stop waiting.
+     */
     CompletableFuture<Void> pin(String item) {
         CompletableFuture<Void> pinned = new CompletableFuture<>();
         if (ledger.pin(item)) {
@@ -26,36 +32,36 @@
             return pinned;
         }
         synchronized (this) {
-            waiting.computeIfAbsent(item, name -> new ArrayList<>()).add(pinned);
+            waitersByItem.computeIfAbsent(item, name -> new ArrayList<>()).add(pinned);
         }
         return pinned;
     }
 
-    /** Items waited for, the longest waiting first. */
-    synchronized List<String> awaited() {
-        waiting.values().forEach(list -> list.removeIf(CompletableFuture::isDone));
-        waiting.values().removeIf(List::isEmpty);
-        return List.copyOf(waiting.keySet());
+    /** Returns the items that requests wait for, the longest awaited first. */
+    synchronized List<String> awaitedItems() {
+        waitersByItem.values().forEach(list -> list.removeIf(CompletableFuture::isDone));
+        waitersByItem.values().removeIf(List::isEmpty);
+        return List.copyOf(waitersByItem.keySet());
     }
 
-    /** Wakes those whose adapter is resident now. */
-    void settle() {
-        for (String item : awaited()) {
+    /** Pins resident adapters for the requests that wait for them, in order of arrival. */
+    void completeResident() {
+        for (String item : awaitedItems()) {
             while (ledger.pin(item)) {
-                CompletableFuture<Void> next = take(item);
-                if (next == null) {
+                CompletableFuture<Void> waiter = removeFirst(item);
+                if (waiter == null) {
                     ledger.unpin(item);
                     break;
                 }
-                if (!next.complete(null)) {
+                if (!waiter.complete(null)) {
                     ledger.unpin(item);
                 }
             }
         }
     }
 
-    private synchronized CompletableFuture<Void> take(String item) {
-        List<CompletableFuture<Void>> list = waiting.getOrDefault(item, List.of());
-        return list.isEmpty() ? null : list.remove(0);
+    private synchronized CompletableFuture<Void> removeFirst(String item) {
+        List<CompletableFuture<Void>> waiters = waitersByItem.getOrDefault(item, List.of());
+        return waiters.isEmpty() ? null : waiters.remove(0);
     }
 }
--- a/src/main/java/io/waxwingquay/side/OrderDesk.java
+++ b/src/main/java/io/waxwingquay/side/OrderSender.java
@@ -24,57 +24,59 @@
 import java.util.stream.Collectors;
 
 /**
- * Sends orders to the engine: each after its bytes were reserved, a load only with a permit of the shared
- * limit, and a lost one again. Safe for concurrent use.
+ * Sends load and evict orders to the engine, and resends lost ones. A load is sent only with a permit of the shared
+ * limit and after its bytes were reserved in the ledger. Safe for concurrent use.
  */
-final class OrderDesk {
+final class OrderSender {
 
     private static final String FENCE_PREFIX = "fence:";
-    private static final String MOVES = "waxwingquay.side.moves";
+    private static final String MOVES_COUNTER = "waxwingquay.side.moves";
 
     private final SideContext context;
     private final ModelEngine engine;
     private final MemoryLedger ledger;
     private final Permits permits;
     private final BooleanSupplier retired;
-    private final Runnable staleFence;
-    private final Map<String, Permit> heldPermits = new HashMap<>();
-    private final Map<String, Long> sentMillis = new HashMap<>();
-    private final Set<String> asking = new HashSet<>();
-    private Optional<String> fencedBoot = Optional.empty();
+    private final Runnable onStaleFence;
+    private final Map<String, Permit> permitsByItem = new HashMap<>();
+    private final Map<String, Long> lastSentMillis = new HashMap<>();
+    private final Set<String> itemsAwaitingPermit = new HashSet<>();
+    private Optional<String> fencedBootId = Optional.empty();
     private long orderCount;
 
-    OrderDesk(
+    OrderSender(
             SideContext context,
             ModelEngine engine,
             MemoryLedger ledger,
             Permits permits,
             BooleanSupplier retired,
-            Runnable staleFence) {
+            Runnable onStaleFence) {
         this.context = context;
         this.engine = engine;
         this.ledger = ledger;
         this.permits = permits;
         this.retired = retired;
-        this.staleFence = staleFence;
+        this.onStaleFence = onStaleFence;
     }
 
     /**
-     * Whether the engine may still take orders of an earlier side: it refuses them only once it has seen the fencing
-     * number of this one, which it may forget when it restarts.
+     * Returns whether the engine may still accept orders of an earlier incarnation of this side. It rejects them only
+     * once it has seen the fencing number of this one, which it may lose when it restarts.
      */
     synchronized boolean mustRaiseFence(String bootId) {
         boolean fenced = context.service().map(Bundle.Service::ordersFenced).orElse(false);
-        return fenced && !fencedBoot.equals(Optional.of(bootId));
+        return fenced && !fencedBootId.equals(Optional.of(bootId));
     }
 
     /**
-     * Shows the engine this side's fencing number, by an order to evict what no engine holds. Failure: a predecessor's
-     * load lands after this side has read an empty memory and before its own first load. Symptom: both loads run, and
-     * the memory is overcommitted. The memory read after this was taken is what no predecessor can change any more; if
-     * the engine restarts in between, the boot it is read in differs and the fence is raised anew.
+     * Raises the engine's fence to this side's fencing number, with an order to evict an item that no engine holds.
+     * Otherwise, a load order of the predecessor could arrive after this side has read the memory as empty and before
+     * its own first load: both loads would run and overcommit the memory. Once the engine has accepted the fence, no
+     * predecessor can change the memory that is read from then on. If the engine restarts in between, the boot ID of
+     * the next report differs and the fence is raised again.
      *
-     * @return whether the engine took it.
+     * @param bootId the boot ID of the engine's last report.
+     * @return whether the engine accepted the fence.
      */
     CompletableFuture<Boolean> raiseFence(String bootId) {
         String item = FENCE_PREFIX + context.identity().sideId();
@@ -82,11 +84,11 @@
                 nextOrderId(), OrderKind.EVICT, item, 0L, context.identity().epoch());
         return engine.order(order).thenApply(answer -> {
             if (answer == OrderAnswer.STALE_FENCE) {
-                staleFence.run();
+                onStaleFence.run();
                 return false;
             }
             synchronized (this) {
-                fencedBoot = Optional.of(bootId);
+                fencedBootId = Optional.of(bootId);
             }
             return true;
         });
@@ -108,14 +110,14 @@
 
     void load(Load load) {
         synchronized (this) {
-            if (!asking.add(load.item())) {
+            if (!itemsAwaitingPermit.add(load.item())) {
                 return;
             }
         }
         Limit limit = ResidencyPlan.isAdapter(load.item()) ? Limit.ADAPTER_LOADS : Limit.WEIGHT_LOADS;
         permits.acquire(limit).whenComplete((permit, failure) -> {
             synchronized (this) {
-                asking.remove(load.item());
+                itemsAwaitingPermit.remove(load.item());
             }
             if (failure == null) {
                 permit.ifPresent(granted -> loadWith(granted, load));
@@ -130,7 +132,7 @@
             return;
         }
         synchronized (this) {
-            heldPermits.put(load.item(), permit);
+            permitsByItem.put(load.item(), permit);
         }
         countMove(OrderKind.LOAD, load.item());
         send(new Order(
@@ -142,16 +144,18 @@
     }
 
     /**
-     * An order can be lost, and the loss cannot be told from a delay. Sent again under a new id, both could
-     * take effect; under the same id the engine takes it once, however often and late it lands.
+     * Resends orders that are neither open in the engine nor in effect after the resend interval. A lost order cannot
+     * be distinguished from a delayed one. Under a new ID, both could take effect; under the same ID, the engine
+     * accepts the order once, however often and late it arrives.
      */
     void resend(ModelEngine.Residency report) {
-        Set<String> open = report.openOrders().stream().map(Order::id).collect(Collectors.toSet());
-        long dueMillis = context.clock().monotonicMillis() - context.limits().resendMillis();
+        Set<String> openOrderIds = report.openOrders().stream().map(Order::id).collect(Collectors.toSet());
+        long sentBeforeMillis =
+                context.clock().monotonicMillis() - context.limits().resendIntervalMillis();
         ledger.snapshot().holdings().values().stream()
                 .filter(holding -> holding.state() != State.RESIDENT)
-                .filter(holding -> !open.contains(holding.orderId()))
-                .filter(holding -> lastSent(holding.orderId()) <= dueMillis)
+                .filter(holding -> !openOrderIds.contains(holding.orderId()))
+                .filter(holding -> lastSentMillis(holding.orderId()) <= sentBeforeMillis)
                 .forEach(this::resend);
     }
 
@@ -166,34 +170,35 @@
                 context.identity().epoch()));
     }
 
-    private synchronized long lastSent(String orderId) {
-        return sentMillis.getOrDefault(orderId, Long.MIN_VALUE);
+    private synchronized long lastSentMillis(String orderId) {
+        return lastSentMillis.getOrDefault(orderId, Long.MIN_VALUE);
     }
 
     private void send(Order order) {
         synchronized (this) {
-            sentMillis.put(order.id(), context.clock().monotonicMillis());
+            lastSentMillis.put(order.id(), context.clock().monotonicMillis());
         }
         engine.order(order).whenComplete((answer, failure) -> {
             if (failure != null && !isUnreachable(failure)) {
                 ledger.recordLostAnswer();
             }
             if (answer == OrderAnswer.STALE_FENCE) {
-                staleFence.run();
+                onStaleFence.run();
             }
         });
     }
 
-    /** Gives back the permits of loads that have landed. */
-    synchronized void settle() {
+    /** Releases the permits of loads that have finished. */
+    synchronized void releasePermits() {
         Map<String, Holding> holdings = ledger.snapshot().holdings();
-        List<String> landed = heldPermits.keySet().stream()
+        List<String> finished = permitsByItem.keySet().stream()
                 .filter(item ->
                         !holdings.containsKey(item) || !holdings.get(item).awaitsLoad())
                 .toList();
-        landed.forEach(item -> heldPermits.remove(item).close());
-        Set<String> live = holdings.values().stream().map(Holding::orderId).collect(Collectors.toSet());
-        sentMillis.keySet().retainAll(live);
+        finished.forEach(item -> permitsByItem.remove(item).close());
+        Set<String> latestOrderIds =
+                holdings.values().stream().map(Holding::orderId).collect(Collectors.toSet());
+        lastSentMillis.keySet().retainAll(latestOrderIds);
     }
 
     private static boolean isUnreachable(Throwable failure) {
@@ -206,9 +211,9 @@
     }
 
     private void countMove(OrderKind kind, String item) {
-        String what = ResidencyPlan.isAdapter(item) ? "adapter" : "model";
+        String itemType = ResidencyPlan.isAdapter(item) ? "adapter" : "model";
         context.meters()
-                .counter(MOVES, "kind", kind.name().toLowerCase(java.util.Locale.ROOT), "item", what)
+                .counter(MOVES_COUNTER, "kind", kind.name().toLowerCase(java.util.Locale.ROOT), "item", itemType)
                 .increment();
     }
 }
--- a/src/main/java/io/waxwingquay/side/ResidencyPlan.java
+++ b/src/main/java/io/waxwingquay/side/ResidencyPlan.java
@@ -15,13 +15,13 @@
 import java.util.function.ToLongFunction;
 
 /**
- * What the order loop does next: a pure decision over one snapshot of the ledger.
+ * The next loads and evictions of the order loop, decided as a pure function of one snapshot of the ledger.
  *
- * @param loads items to load now; they fit.
- * @param evictions items to evict now.
- * @param refused wanted items for which no room can be made.
+ * @param loads the items to load now; they fit into free memory.
+ * @param evictions the items to evict now.
+ * @param unplaceable the wanted items for which no room can be made.
  */
-record ResidencyPlan(List<Load> loads, List<String> evictions, List<String> refused) {
+record ResidencyPlan(List<Load> loads, List<String> evictions, List<String> unplaceable) {
 
     private static final String ADAPTER_PREFIX = "adapter:";
 
@@ -30,58 +30,60 @@
     }
 
     /**
-     * Decides.
+     * Decides on loads and evictions.
      *
-     * @param snapshot the ledger.
-     * @param wanted what placement wants.
-     * @param adapters adapters that requests wait for, the longest waiting first.
-     * @param sizes the size of an item, or empty if the bundle names none such.
-     * @param lastUsed when an item was last used, in milliseconds.
+     * @param snapshot the snapshot of the ledger.
+     * @param wanted the items that placement wants or protects.
+     * @param awaitedAdapters the adapters that requests wait for, the longest awaited first.
+     * @param sizeBytes returns the size of an item, or empty if the bundle does not name the item.
+     * @param lastUsedMillis returns when an item was last used, in milliseconds.
+     * @return the plan.
      */
     static ResidencyPlan decide(
             Snapshot snapshot,
             Wanted wanted,
-            List<String> adapters,
-            Function<String, OptionalLong> sizes,
-            ToLongFunction<String> lastUsed) {
-        Decision decision = new Decision(snapshot, wanted, adapters, lastUsed);
-        decision.evictSurplus();
+            List<String> awaitedAdapters,
+            Function<String, OptionalLong> sizeBytes,
+            ToLongFunction<String> lastUsedMillis) {
+        Planner planner = new Planner(snapshot, wanted, awaitedAdapters, lastUsedMillis);
+        planner.evictSurplus();
         if (!snapshot.quarantined()) {
-            wanted.items().forEach(item -> sizes.apply(item).ifPresent(size -> decision.place(item, size)));
-            adapters.forEach(item -> sizes.apply(item).ifPresent(size -> decision.place(item, size)));
+            wanted.items().forEach(item -> sizeBytes.apply(item).ifPresent(size -> planner.place(item, size)));
+            awaitedAdapters.forEach(item -> sizeBytes.apply(item).ifPresent(size -> planner.place(item, size)));
         }
         return new ResidencyPlan(
-                List.copyOf(decision.loads), List.copyOf(decision.evictions), List.copyOf(decision.refused));
+                List.copyOf(planner.loads), List.copyOf(planner.evictions), List.copyOf(planner.unplaceable));
     }
 
     /**
-     * One load.
+     * A load of one item.
      *
-     * @param item the item.
-     * @param sizeBytes the memory it takes.
+     * @param item the item name.
+     * @param sizeBytes the memory that the item takes.
      */
     record Load(String item, long sizeBytes) {}
 
-    private static final class Decision {
+    private static final class Planner {
 
         private final Snapshot snapshot;
         private final Wanted wanted;
-        private final Set<String> needed;
-        private final ToLongFunction<String> lastUsed;
+        private final Set<String> neededItems;
+        private final ToLongFunction<String> lastUsedMillis;
         private final List<Load> loads = new ArrayList<>();
         private final Set<String> evictions = new LinkedHashSet<>();
-        private final List<String> refused = new ArrayList<>();
+        private final List<String> unplaceable = new ArrayList<>();
         private long freeBytes;
-        private long expectedBytes;
+        private long freeBytesAfterEvictions;
 
-        private Decision(Snapshot snapshot, Wanted wanted, List<String> adapters, ToLongFunction<String> lastUsed) {
+        private Planner(
+                Snapshot snapshot, Wanted wanted, List<String> awaitedAdapters, ToLongFunction<String> lastUsedMillis) {
             this.snapshot = snapshot;
             this.wanted = wanted;
-            this.needed = new HashSet<>(wanted.items());
-            this.needed.addAll(adapters);
-            this.lastUsed = lastUsed;
+            this.neededItems = new HashSet<>(wanted.items());
+            this.neededItems.addAll(awaitedAdapters);
+            this.lastUsedMillis = lastUsedMillis;
             this.freeBytes = snapshot.freeBytes();
-            this.expectedBytes = freeBytes + evictingBytes();
+            this.freeBytesAfterEvictions = freeBytes + evictingBytes();
         }
 
         private long evictingBytes() {
@@ -92,15 +94,16 @@
         }
 
         /**
-         * Memory is over capacity: an earlier process's order landed late. The engine may fail any request
-         * until it is mended, so it goes before all else; unwanted items first, a last replica only at the end.
+         * Evicts items while the memory exceeds its capacity, which happens when an order of an earlier process arrives
+         * late. Until the surplus is gone the engine may fail any request, so this precedes all other decisions.
+         * Unwanted items are evicted first, a last copy only at the end.
          */
         private void evictSurplus() {
             long heldBytes = snapshot.holdings().values().stream()
                     .mapToLong(Holding::sizeBytes)
                     .sum();
             long surplusBytes = heldBytes - snapshot.capacityBytes() - evictingBytes();
-            for (Holding holding : bySacrifice()) {
+            for (Holding holding : surplusCandidates()) {
                 if (surplusBytes <= 0L) {
                     return;
                 }
@@ -109,27 +112,28 @@
             }
         }
 
-        private List<Holding> bySacrifice() {
+        private List<Holding> surplusCandidates() {
             Comparator<Holding> order = Comparator.comparing(
                             (Holding holding) -> wanted.protectedItems().contains(holding.item()))
-                    .thenComparing(holding -> needed.contains(holding.item()))
-                    .thenComparingLong(holding -> lastUsed.applyAsLong(holding.item()))
+                    .thenComparing(holding -> neededItems.contains(holding.item()))
+                    .thenComparingLong(holding -> lastUsedMillis.applyAsLong(holding.item()))
                     .thenComparing(Holding::item);
-            return idle().sorted(order).toList();
+            return evictable().sorted(order).toList();
         }
 
-        private java.util.stream.Stream<Holding> idle() {
+        private java.util.stream.Stream<Holding> evictable() {
             return snapshot.holdings().values().stream()
                     .filter(holding -> holding.state() == State.RESIDENT)
                     .filter(holding -> !snapshot.pinned().contains(holding.item()))
                     .filter(holding -> !evictions.contains(holding.item()));
         }
 
-        private List<Holding> victims() {
+        private List<Holding> evictionCandidates() {
             Comparator<Holding> order = Comparator.comparing((Holding holding) -> !isAdapter(holding.item()))
-                    .thenComparingLong(holding -> lastUsed.applyAsLong(holding.item()))
+                    .thenComparingLong(holding -> lastUsedMillis.applyAsLong(holding.item()))
                     .thenComparing(Holding::item);
-            return idle().filter(holding -> !needed.contains(holding.item()))
+            return evictable()
+                    .filter(holding -> !neededItems.contains(holding.item()))
                     .filter(holding -> !wanted.protectedItems().contains(holding.item()))
                     .sorted(order)
                     .toList();
@@ -142,31 +146,31 @@
             if (sizeBytes <= freeBytes) {
                 loads.add(new Load(item, sizeBytes));
                 freeBytes -= sizeBytes;
-                expectedBytes -= sizeBytes;
+                freeBytesAfterEvictions -= sizeBytes;
             } else if (makeRoom(sizeBytes)) {
-                expectedBytes -= sizeBytes;
+                freeBytesAfterEvictions -= sizeBytes;
                 freeBytes = 0L;
             } else {
-                refused.add(item);
+                unplaceable.add(item);
             }
         }
 
-        /** Evicts nothing unless that makes enough room. */
+        /** Evicts the candidates that make room for an item, or nothing if all of them would not. */
         private boolean makeRoom(long sizeBytes) {
-            long roomBytes = expectedBytes;
+            long availableBytes = freeBytesAfterEvictions;
             List<String> chosen = new ArrayList<>();
-            for (Holding victim : victims()) {
-                if (roomBytes >= sizeBytes) {
+            for (Holding candidate : evictionCandidates()) {
+                if (availableBytes >= sizeBytes) {
                     break;
                 }
-                chosen.add(victim.item());
-                roomBytes += victim.sizeBytes();
+                chosen.add(candidate.item());
+                availableBytes += candidate.sizeBytes();
             }
-            if (roomBytes < sizeBytes) {
+            if (availableBytes < sizeBytes) {
                 return false;
             }
             evictions.addAll(chosen);
-            expectedBytes = roomBytes;
+            freeBytesAfterEvictions = availableBytes;
             return true;
         }
     }
--- a/src/main/java/io/waxwingquay/side/SideLimits.java
+++ b/src/main/java/io/waxwingquay/side/SideLimits.java
@@ -1,41 +1,42 @@
 package io.waxwingquay.side;
 
 /**
- * Bounds of a side process.
+ * The limits and intervals of a side process.
  *
- * @param queueLimit attempts that wait at once.
- * @param attemptLimit attempts remembered at once.
- * @param retentionMillis how long an ended attempt is remembered.
- * @param answerRetentionMillis how long the bytes of an ended answer are kept for polls.
- * @param unpolledLimitMillis how long an attempt goes unpolled before its entry counts as gone.
- * @param tickMillis time between two runs of the order loop.
- * @param adapterTickMillis the same while an adapter is waited for.
- * @param resendMillis time before an order without effect is sent again under the same id.
- * @param quarantineMillis longer than the longest delay of an order.
+ * @param queueLimit the largest number of queued attempts.
+ * @param attemptLimit the largest number of retained attempts.
+ * @param attemptRetentionMillis how long an ended attempt is retained.
+ * @param answerRetentionMillis how long the bytes of an ended answer are retained for polls.
+ * @param unpolledLimitMillis how long an attempt may go unpolled before its entry is presumed dead.
+ * @param tickIntervalMillis the interval of the order loop.
+ * @param adapterTickIntervalMillis the interval of the order loop while a request waits for an adapter.
+ * @param resendIntervalMillis the time before an order without effect is resent under the same ID.
+ * @param quarantineMillis how long free memory counts as unknown, and nothing is loaded, when orders of others may
+ *     still arrive; longer than the longest delay of an order.
  * @param pauseLimitMillis the longest gap in the order loop that does not count as a pause of the process.
- * @param noticeMillis the longest wait for other sides to take in suspects.
- * @param resumeAttempts how often a cut stream is opened again in a row without a new token.
- * @param streamSilenceMillis how long a stream may bring nothing before it is opened afresh.
+ * @param noticeTimeoutMillis the longest wait for other sides to acknowledge suspects.
+ * @param resumeLimit how often in a row a broken stream is reopened without receiving a new token.
+ * @param streamSilenceMillis how long a stream may be silent before it is reopened.
  * @param pollWaitMillis how long a poll is held open at most.
  */
 public record SideLimits(
         int queueLimit,
         int attemptLimit,
-        long retentionMillis,
+        long attemptRetentionMillis,
         long answerRetentionMillis,
         long unpolledLimitMillis,
-        long tickMillis,
-        long adapterTickMillis,
-        long resendMillis,
+        long tickIntervalMillis,
+        long adapterTickIntervalMillis,
+        long resendIntervalMillis,
         long quarantineMillis,
         long pauseLimitMillis,
-        long noticeMillis,
-        int resumeAttempts,
+        long noticeTimeoutMillis,
+        int resumeLimit,
         long streamSilenceMillis,
         long pollWaitMillis) {
 
     /**
-     * Limits that suit the sizes of the brief.
+     * Returns the default limits.
      *
      * @return the limits.
      */
@@ -45,121 +46,121 @@
     }
 
     /**
-     * The same with another quarantine.
+     * Returns a copy with another quarantine period.
      *
-     * @param millis longer than the longest delay of an order.
-     * @return the changed limits.
+     * @param millis the period, longer than the longest delay of an order.
+     * @return the copy.
      */
     public SideLimits withQuarantineMillis(long millis) {
         return new SideLimits(
                 queueLimit,
                 attemptLimit,
-                retentionMillis,
+                attemptRetentionMillis,
                 answerRetentionMillis,
                 unpolledLimitMillis,
-                tickMillis,
-                adapterTickMillis,
-                resendMillis,
+                tickIntervalMillis,
+                adapterTickIntervalMillis,
+                resendIntervalMillis,
                 millis,
                 pauseLimitMillis,
-                noticeMillis,
-                resumeAttempts,
+                noticeTimeoutMillis,
+                resumeLimit,
                 streamSilenceMillis,
                 pollWaitMillis);
     }
 
     /**
-     * The same with another bound of the queue.
+     * Returns a copy with another queue limit.
      *
-     * @param attempts attempts that wait at once.
-     * @return the changed limits.
+     * @param attempts the largest number of queued attempts.
+     * @return the copy.
      */
     public SideLimits withQueueLimit(int attempts) {
         return new SideLimits(
                 attempts,
                 attemptLimit,
-                retentionMillis,
+                attemptRetentionMillis,
                 answerRetentionMillis,
                 unpolledLimitMillis,
-                tickMillis,
-                adapterTickMillis,
-                resendMillis,
+                tickIntervalMillis,
+                adapterTickIntervalMillis,
+                resendIntervalMillis,
                 quarantineMillis,
                 pauseLimitMillis,
-                noticeMillis,
-                resumeAttempts,
+                noticeTimeoutMillis,
+                resumeLimit,
                 streamSilenceMillis,
                 pollWaitMillis);
     }
 
     /**
-     * The same with another retention of ended attempts.
+     * Returns a copy with another retention period of ended attempts.
      *
-     * @param millis how long an ended attempt is remembered.
-     * @return the changed limits.
+     * @param millis how long an ended attempt is retained.
+     * @return the copy.
      */
-    public SideLimits withRetentionMillis(long millis) {
+    public SideLimits withAttemptRetentionMillis(long millis) {
         return new SideLimits(
                 queueLimit,
                 attemptLimit,
                 millis,
                 answerRetentionMillis,
                 unpolledLimitMillis,
-                tickMillis,
-                adapterTickMillis,
-                resendMillis,
+                tickIntervalMillis,
+                adapterTickIntervalMillis,
+                resendIntervalMillis,
                 quarantineMillis,
                 pauseLimitMillis,
-                noticeMillis,
-                resumeAttempts,
+                noticeTimeoutMillis,
+                resumeLimit,
                 streamSilenceMillis,
                 pollWaitMillis);
     }
 
     /**
-     * The same with another limit of a silent stream.
+     * Returns a copy with another limit for silent streams.
      *
-     * @param millis how long a stream may bring nothing.
-     * @return the changed limits.
+     * @param millis how long a stream may be silent before it is reopened.
+     * @return the copy.
      */
     public SideLimits withStreamSilenceMillis(long millis) {
         return new SideLimits(
                 queueLimit,
                 attemptLimit,
-                retentionMillis,
+                attemptRetentionMillis,
                 answerRetentionMillis,
                 unpolledLimitMillis,
-                tickMillis,
-                adapterTickMillis,
-                resendMillis,
+                tickIntervalMillis,
+                adapterTickIntervalMillis,
+                resendIntervalMillis,
                 quarantineMillis,
                 pauseLimitMillis,
-                noticeMillis,
-                resumeAttempts,
+                noticeTimeoutMillis,
+                resumeLimit,
                 millis,
                 pollWaitMillis);
     }
 
     /**
-     * The same with another longest wait of a poll.
+     * Returns a copy with another limit for the wait of a poll.
      *
      * @param millis how long a poll is held open at most.
-     * @return the changed limits.
+     * @return the copy.
      */
     public SideLimits withPollWaitMillis(long millis) {
         return new SideLimits(
                 queueLimit,
                 attemptLimit,
-                retentionMillis,
+                attemptRetentionMillis,
                 answerRetentionMillis,
                 unpolledLimitMillis,
-                tickMillis,
-                adapterTickMillis,
-                resendMillis,
+                tickIntervalMillis,
+                adapterTickIntervalMillis,
+                resendIntervalMillis,
                 quarantineMillis,
                 pauseLimitMillis,
-                noticeMillis,
-                resumeAttempts,
+                noticeTimeoutMillis,
+                resumeLimit,
                 streamSilenceMillis,
                 millis);
     }
--- a/src/main/java/io/waxwingquay/side/SideMeters.java
+++ b/src/main/java/io/waxwingquay/side/SideMeters.java
@@ -12,12 +12,12 @@
 import java.util.function.ToDoubleFunction;
 
 /**
- * Registers the meters of a side process as it is built. A counter that is first seen at its first event hides that
- * event from rates, so all begin at 0. {@code docs/METRICS.md} lists the names.
+ * Registers the metrics of a side process when it is built. A counter that first appears with its first event hides
+ * that event from rates, so all counters start at 0. {@code docs/METRICS.md} lists the names.
  */
 final class SideMeters {
 
-    private static final List<String> MODEL_EVENTS = List.of("crashes", "streams.silent", "pauses", "overcommits");
+    private static final List<String> MODEL_COUNTERS = List.of("crashes", "streams.silent", "pauses", "overcommits");
     private static final String PREFIX = "waxwingquay.side.";
 
     private final MeterRegistry registry;
@@ -28,7 +28,7 @@
         this.sideId = sideId;
     }
 
-    /** Registers what every side has. */
+    /** Registers the metrics of every side. */
     void registerCommon() {
         for (RefusalReason reason : RefusalReason.values()) {
             registry.counter(PREFIX + "refusals", "reason", reason.name());
@@ -36,17 +36,17 @@
         registry.counter(PREFIX + "abandoned", "side", sideId);
     }
 
-    /** Registers what a side before a model engine has besides. */
+    /** Registers the additional metrics of a side whose target is a model engine. */
     void registerModel(MemoryLedger ledger) {
-        MODEL_EVENTS.forEach(event -> registry.counter(PREFIX + event, "side", sideId));
+        MODEL_COUNTERS.forEach(event -> registry.counter(PREFIX + event, "side", sideId));
         for (String kind : List.of("load", "evict")) {
             registry.counter(PREFIX + "orders.resent", "kind", kind.toUpperCase(Locale.ROOT));
             List.of("model", "adapter").forEach(item -> registry.counter(PREFIX + "moves", "kind", kind, "item", item));
         }
-        memory(ledger, "counted", Snapshot::countedBytes);
-        memory(ledger, "capacity", Snapshot::capacityBytes);
+        registerMemoryGauge(ledger, "counted", Snapshot::countedBytes);
+        registerMemoryGauge(ledger, "capacity", Snapshot::capacityBytes);
         for (State state : EnumSet.complementOf(EnumSet.of(State.ABSENT))) {
-            Gauge.builder(PREFIX + "memory.items", ledger, found -> items(found, state))
+            Gauge.builder(PREFIX + "memory.items", ledger, found -> countItems(found, state))
                     .tag("state", state.name())
                     .strongReference(true)
                     .register(registry);
@@ -59,14 +59,14 @@
                 .register(registry);
     }
 
-    private void memory(MemoryLedger ledger, String name, ToDoubleFunction<Snapshot> value) {
+    private void registerMemoryGauge(MemoryLedger ledger, String name, ToDoubleFunction<Snapshot> value) {
         Gauge.builder(PREFIX + "memory." + name, ledger, found -> value.applyAsDouble(found.snapshot()))
                 .baseUnit("bytes")
                 .strongReference(true)
                 .register(registry);
     }
 
-    private static double items(MemoryLedger ledger, State state) {
+    private static double countItems(MemoryLedger ledger, State state) {
         return ledger.snapshot().holdings().values().stream()
                 .filter(holding -> holding.state() == state)
                 .count();
--- a/src/main/java/io/waxwingquay/side/SideNode.java
+++ b/src/main/java/io/waxwingquay/side/SideNode.java
@@ -24,15 +24,18 @@
 import java.util.stream.Collectors;
 
 /**
- * The only door to one target. Built by {@link SideNodeBuilder}.
+ * The sole gateway to one target. Built by {@link SideNodeBuilder}.
  */
 public final class SideNode extends ForwardingPeer implements SideProtocol, AutoCloseable {
 
     private static final System.Logger LOG = System.getLogger("waxwingquay.side");
-    private static final long DRAIN_CHECK_MILLIS = 20L;
+    private static final long DRAIN_CHECK_INTERVAL_MILLIS = 20L;
 
-    /** An entry that lost an answer asks again after 1 s at most (its longest time-out of a call) and its first pause. */
-    private static final long ASK_AGAIN_MILLIS = 1_500L;
+    /**
+     * How long an entry that lost an answer takes to resend its poll: at most 1 s, its longest call timeout, plus its
+     * first backoff.
+     */
+    private static final long POLL_RESEND_MILLIS = 1_500L;
 
     private final SideParts parts;
 
@@ -42,97 +45,99 @@
     }
 
     /**
-     * Starts the order loop and publishes this side.
+     * Publishes this side and starts the order loop.
      */
     public void start() {
-        parts.self().publish();
-        parts.housekeeping().wake();
+        parts.recordPublisher().publish();
+        parts.housekeeping().runNow();
     }
 
     /**
-     * Runs the order loop and housekeeping once, now.
+     * Runs the order loop and housekeeping once.
      *
-     * @return completes when done.
+     * @return completes when both are done.
      */
     public CompletableFuture<Void> tick() {
-        return parts.housekeeping().round();
+        return parts.housekeeping().runOnce();
     }
 
     /**
-     * Leaves: refuses new work, refuses queued work truthfully, and lets running work end and be fetched.
+     * Drains this side: rejects new attempts, rejects queued attempts as not run, and waits until running attempts have
+     * ended and their answers have been delivered.
      *
      * @param limitMillis the longest wait.
-     * @return completes when nothing is left or the limit has passed; the side may then be closed.
+     * @return completes when no attempt is left or the limit has passed; the side may then be closed.
      */
     public CompletableFuture<Void> drain(long limitMillis) {
         leave();
         CompletableFuture<Void> drained = new CompletableFuture<>();
-        parts.gate().close().thenRun(() -> awaitFetched(drained));
+        parts.gate().close().thenRun(() -> awaitDelivery(drained));
         return drained.completeOnTimeout(null, limitMillis, TimeUnit.MILLISECONDS)
-                .thenRun(() -> parts.self().on(SideEvent.DRAINED));
+                .thenRun(() -> parts.recordPublisher().handle(SideEvent.DRAINED));
     }
 
     /**
-     * The memory ledger.
+     * Returns a snapshot of the memory ledger.
      *
-     * @return a snapshot, or empty for a plain service.
+     * @return the snapshot, or empty for a plain service.
      */
     public Optional<Snapshot> memory() {
         return parts.memory().get();
     }
 
     /**
-     * Wanted items for which there is no room.
+     * Returns the wanted items for which there is no room.
      *
-     * @return the items.
+     * @return the item names.
      */
-    public List<String> refusedItems() {
-        return parts.residency().map(Residency::refused).orElse(List.of());
+    public List<String> unplaceableItems() {
+        return parts.residencyLoop().map(ResidencyLoop::unplaceableItems).orElse(List.of());
     }
 
     /**
-     * The attempts that are remembered, for dumps.
+     * Counts the retained attempts by state, for state dumps.
      *
-     * @return how many are in each state.
+     * @return the number of attempts in each state.
      */
     public Map<RequestState, Long> attemptsByState() {
-        return parts.book().all().stream()
+        return parts.attempts().all().stream()
                 .collect(Collectors.groupingBy(
                         Attempt::state, () -> new EnumMap<>(RequestState.class), Collectors.counting()));
     }
 
     /**
-     * When the order loop last read the engine's residency, for dumps.
+     * Returns when the order loop last read the engine's memory, for state dumps.
      *
-     * @return the time by the monotonic clock, or empty before the first report and for a plain service.
+     * @return the time in monotonic milliseconds, or empty before the first report and for a plain service.
      */
-    public Optional<Long> residencyReadMillis() {
-        return parts.residency().flatMap(Residency::readMillis);
+    public Optional<Long> lastResidencyReadMillis() {
+        return parts.residencyLoop().flatMap(ResidencyLoop::lastReadMillis);
     }
 
     /**
-     * The lifecycle of this side.
+     * Returns the lifecycle state of this side.
      *
-     * @return its state.
+     * @return the state.
      */
     public SideState state() {
-        return parts.self().state();
+        return parts.recordPublisher().state();
     }
 
     /** {@inheritDoc} */
     @Override
     public CompletableFuture<SubmitAnswer> submit(Submission submission) {
-        Optional<Door.Denial> denial = parts.admission().submit(submission);
+        Optional<AdmissionCheck.Rejection> rejection = parts.admission().submit(submission);
         long epoch = parts.context().identity().epoch();
-        SubmitAnswer answer = new SubmitAnswer(denial.isEmpty(), parts.meter().report(), epoch);
-        denial.ifPresent(found -> {
+        SubmitAnswer answer =
+                new SubmitAnswer(rejection.isEmpty(), parts.loadMeter().report(), epoch);
+        rejection.ifPresent(found -> {
             parts.context()
                     .count("waxwingquay.side.refusals", "reason", found.reason().name());
             LOG.log(
                     System.Logger.Level.INFO,
                     () -> "side: request " + submission.getRequestId() + " was refused, " + found.reason() + ", "
                             + found.execution() + ".");
-            answer.setRefusal(parts.meter().refusal(found.reason(), found.message(), found.execution()));
+            answer.setRefusal(parts.loadMeter().refusal(found.reason(), found.message(), found.execution()));
         });
         return CompletableFuture.completedFuture(answer);
     }
@@ -140,12 +145,13 @@
     /** {@inheritDoc} */
     @Override
     public CompletableFuture<PollAnswer> poll(PollRequest request) {
-        Optional<Attempt> attempt = parts.book().find(request.getAttemptId());
+        Optional<Attempt> attempt = parts.attempts().find(request.getAttemptId());
         if (attempt.isEmpty()) {
             PollAnswer absent = new PollAnswer(
-                    AttemptState.ABSENT, new ArrayList<>(), parts.meter().report());
-            absent.setFailure(parts.meter()
-                    .refusal(RefusalReason.EXPIRED_ATTEMPT, "this side does not know the attempt", Execution.UNKNOWN));
+                    AttemptState.ABSENT, new ArrayList<>(), parts.loadMeter().report());
+            absent.setFailure(parts.loadMeter()
+                    .refusal(
+                            RefusalReason.EXPIRED_ATTEMPT, "no such attempt is known to this side", Execution.UNKNOWN));
             return CompletableFuture.completedFuture(absent);
         }
         return attempt.get()
@@ -155,13 +161,13 @@
                                 request.getWaitMillis(),
                                 parts.context().limits().pollWaitMillis()),
                         parts.context().clock().monotonicMillis(),
-                        parts.meter()::report);
+                        parts.loadMeter()::report);
     }
 
     /** {@inheritDoc} */
     @Override
     public CompletableFuture<Boolean> cancel(String attemptId) {
-        Optional<Attempt> attempt = parts.book().find(attemptId);
+        Optional<Attempt> attempt = parts.attempts().find(attemptId);
         attempt.ifPresent(found -> found.cancel(parts.context().clock().monotonicMillis()));
         return CompletableFuture.completedFuture(attempt.isPresent());
     }
@@ -172,47 +178,49 @@
         if (request.getSideEpoch() != parts.context().identity().epoch()) {
             return CompletableFuture.completedFuture(new ResolveAnswer(Execution.UNKNOWN, AttemptState.ABSENT));
         }
-        return CompletableFuture.completedFuture(parts.book().resolve(request.getAttemptId(), request.isWithdraw()));
+        return CompletableFuture.completedFuture(
+                parts.attempts().resolve(request.getAttemptId(), request.isWithdraw()));
     }
 
-    /** Stops at once, whatever is in flight; drain first. */
+    /** Stops at once and abandons attempts in flight; call {@link #drain} first. */
     @Override
     public void close() {
         parts.gate().close();
         parts.housekeeping().close();
-        parts.residency().ifPresent(Residency::retire);
+        parts.residencyLoop().ifPresent(ResidencyLoop::retire);
         parts.context().scheduler().shutdownNow();
     }
 
-    /** Refuses new and queued work from now on. */
+    /** Rejects new and queued attempts from now on, and stops all orders to the engine. */
     void leave() {
-        LOG.log(System.Logger.Level.INFO, "side: leaving.");
+        LOG.log(System.Logger.Level.INFO, "side: leaving; new and queued requests are rejected.");
         parts.gate().close();
-        parts.residency().ifPresent(Residency::retire);
-        parts.self().on(SideEvent.LEAVE);
+        parts.residencyLoop().ifPresent(ResidencyLoop::retire);
+        parts.recordPublisher().handle(SideEvent.LEAVE);
         parts.admission()
                 .dispatcher()
-                .refuseQueued(
-                        parts.meter().refusal(RefusalReason.LEAVING, "this side is leaving", Execution.DID_NOT_RUN));
+                .rejectQueued(parts.loadMeter()
+                        .refusal(RefusalReason.LEAVING, "this side is leaving", Execution.DID_NOT_RUN));
     }
 
     /**
-     * An answer that has ended here may not have reached its entry yet. Going away now would cut it off, so
-     * the side stays until each answer was polled to its end or its entry has gone. The reply to that poll is still to be
-     * sent then, and may be lost; so it stays for as long as an entry that did not get it takes to ask again.
+     * Completes a drain once all answers are delivered. An answer that is complete here may not have reached its entry
+     * yet, and an exit would cut it off, so the side stays until each answer was polled to its end or its entry is
+     * presumed dead. The reply to that last poll is still to be sent and may be lost, so the side stays for as long as
+     * an entry that did not receive it takes to resend the poll.
      */
-    private void awaitFetched(CompletableFuture<Void> drained) {
+    private void awaitDelivery(CompletableFuture<Void> drained) {
         long nowMillis = parts.context().clock().monotonicMillis();
-        long goneMillis = parts.context().limits().unpolledLimitMillis();
-        boolean fetched = parts.book().all().stream()
-                .allMatch(attempt ->
-                        attempt.isFetched(ASK_AGAIN_MILLIS, nowMillis) || attempt.isEndedSince(goneMillis, nowMillis));
-        if (fetched) {
+        long abandonedMillis = parts.context().limits().unpolledLimitMillis();
+        boolean delivered = parts.attempts().all().stream()
+                .allMatch(attempt -> attempt.isEndDelivered(POLL_RESEND_MILLIS, nowMillis)
+                        || attempt.isEndedFor(abandonedMillis, nowMillis));
+        if (delivered) {
             drained.complete(null);
         } else if (!drained.isDone()) {
             parts.context()
                     .scheduler()
-                    .schedule(() -> awaitFetched(drained), DRAIN_CHECK_MILLIS, TimeUnit.MILLISECONDS);
+                    .schedule(() -> awaitDelivery(drained), DRAIN_CHECK_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
         }
     }
 }
--- a/src/main/java/io/waxwingquay/side/Target.java
+++ b/src/main/java/io/waxwingquay/side/Target.java
@@ -8,71 +8,71 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * What admission needs of the target behind this side.
+ * The target of a side, as seen by admission.
  */
 interface Target {
 
-    /** Whether it can run anything. */
+    /** Returns whether the target can currently run anything. */
     boolean isReady();
 
-    /** Whether it can run a submission from memory. */
-    boolean holds(Submission submission);
+    /** Returns whether the target can run a submission without a load of its model. */
+    boolean canRun(Submission submission);
 
-    /** Keeps what the attempt needs in memory; each success needs one unpin. */
+    /** Pins the model of an attempt in memory. Returns whether it did; each success requires one unpin. */
     boolean pin(Attempt attempt);
 
-    /** Gives back the pin. */
+    /** Releases the pin of an attempt. */
     void unpin(Attempt attempt);
 
-    /** Completes when the attempt may start. */
+    /** Prepares an attempt; completes when it may start. */
     CompletableFuture<Void> prepare(Attempt attempt);
 
     /** Runs an attempt that has just been started. */
     void run(Attempt attempt);
 
     /**
-     * A model engine.
+     * A target that is a model engine.
      */
-    final class ForModels implements Target {
+    final class ForModelEngine implements Target {
 
-        private static final long STALE_PAUSES = 3L;
+        private static final long MAX_REPORT_AGE_PAUSES = 3L;
 
         private final SideContext context;
         private final MemoryLedger ledger;
-        private final Residency residency;
+        private final ResidencyLoop residencyLoop;
         private final ModelRunner runner;
-        private final CrashHandler crashes;
-        private final Runnable wake;
+        private final CrashHandler crashHandler;
+        private final Runnable runHousekeeping;
 
-        ForModels(
+        ForModelEngine(
                 SideContext context,
                 MemoryLedger ledger,
-                Residency residency,
+                ResidencyLoop residencyLoop,
                 ModelRunner runner,
-                CrashHandler crashes,
-                Runnable wake) {
+                CrashHandler crashHandler,
+                Runnable runHousekeeping) {
             this.context = context;
             this.ledger = ledger;
-            this.residency = residency;
+            this.residencyLoop = residencyLoop;
             this.runner = runner;
-            this.crashes = crashes;
-            this.wake = wake;
+            this.crashHandler = crashHandler;
+            this.runHousekeeping = runHousekeeping;
         }
 
         /** {@inheritDoc} */
         @Override
         public boolean isReady() {
             long oldestMillis = context.clock().monotonicMillis()
-                    - STALE_PAUSES * context.limits().pauseLimitMillis();
-            return residency
-                    .readMillis()
-                    .filter(read -> read > crashes.downMillis() && read >= oldestMillis)
+                    - MAX_REPORT_AGE_PAUSES * context.limits().pauseLimitMillis();
+            return residencyLoop
+                    .lastReadMillis()
+                    .filter(read -> read > crashHandler.lastCrashMillis() && read >= oldestMillis)
                     .isPresent();
         }
 
         /** {@inheritDoc} */
         @Override
-        public boolean holds(Submission submission) {
+        public boolean canRun(Submission submission) {
             return submission.isSetModel() && ledger.snapshot().isResident(item(submission.getModel()));
         }
 
@@ -83,7 +83,7 @@
                 return false;
             }
             String item = item(attempt.submission().getModel());
-            residency.noteUsed(item);
+            residencyLoop.recordUse(item);
             return ledger.pin(item);
         }
 
@@ -96,20 +96,20 @@
         /** {@inheritDoc} */
         @Override
         public CompletableFuture<Void> prepare(Attempt attempt) {
-            Optional<String> adapter = ModelItems.adapter(
+            Optional<String> adapter = ItemNames.adapterItem(
                     context.bundles().current(), attempt.submission().getModel());
             return adapter.map(item -> prepare(attempt, item)).orElse(CompletableFuture.completedFuture(null));
         }
 
         private CompletableFuture<Void> prepare(Attempt attempt, String adapter) {
-            CompletableFuture<Void> pinned = residency.pinAdapter(adapter);
-            attempt.ended().thenRun(() -> {
+            CompletableFuture<Void> pinned = residencyLoop.pinAdapter(adapter);
+            attempt.whenEnded().thenRun(() -> {
                 if (!pinned.cancel(false)) {
                     ledger.unpin(adapter);
                 }
             });
             if (!pinned.isDone()) {
-                wake.run();
+                runHousekeeping.run();
             }
             return pinned;
         }
@@ -122,12 +122,12 @@
         }
 
         private String item(ModelCall call) {
-            return ModelItems.model(context.bundles().current(), call);
+            return ItemNames.modelItem(context.bundles().current(), call);
         }
     }
 
     /**
-     * A plain service.
+     * A target that is a plain service.
      */
     final class ForPlainService implements Target {
 
@@ -145,7 +145,7 @@
 
         /** {@inheritDoc} */
         @Override
-        public boolean holds(Submission submission) {
+        public boolean canRun(Submission submission) {
             return submission.isSetPlain();
         }
 
@@ -158,7 +158,7 @@
         /** {@inheritDoc} */
         @Override
         public void unpin(Attempt attempt) {
-            // Nothing is held for a plain call.
+            // A plain call pins nothing.
         }
 
         /** {@inheritDoc} */
--- a/src/test/java/io/waxwingquay/side/FakeEngine.java
+++ b/src/test/java/io/waxwingquay/side/FakeEngine.java
@@ -13,23 +13,25 @@
 import java.util.Set;
 import java.util.concurrent.CompletableFuture;
 
-/** An engine whose every step a test takes by hand. It refuses no overcommit but remembers the worst. */
+/**
+ * A fake engine whose steps a test triggers one by one. It allows overcommits and records the maximum of used memory.
+ */
 final class FakeEngine implements ModelEngine {
 
     final long capacityBytes;
-    final Map<String, Long> memory = new LinkedHashMap<>();
-    final List<Order> sent = new ArrayList<>();
-    final List<Order> lost = new ArrayList<>();
+    final Map<String, Long> residentBytesByItem = new LinkedHashMap<>();
+    final List<Order> sentOrders = new ArrayList<>();
+    final List<Order> lostOrders = new ArrayList<>();
     final List<OpenStream> streams = new ArrayList<>();
     final List<String> cancelled = new ArrayList<>();
-    private final List<Order> open = new ArrayList<>();
-    private final Set<String> taken = new HashSet<>();
+    private final List<Order> openOrders = new ArrayList<>();
+    private final Set<String> takenOrderIds = new HashSet<>();
     String bootId = "boot-1";
     boolean losesOrders;
     boolean fenced;
     boolean unreachable;
     long highestFence;
-    long worstBytes;
+    long maxUsedBytes;
 
     FakeEngine(long capacityBytes) {
         this.capacityBytes = capacityBytes;
@@ -49,48 +51,48 @@
 
     @Override
     public synchronized CompletableFuture<OrderAnswer> order(Order order) {
-        sent.add(order);
+        sentOrders.add(order);
         if (losesOrders) {
-            lost.add(order);
+            lostOrders.add(order);
             return CompletableFuture.failedFuture(new TargetException(Kind.LOST, "order lost", null));
         }
-        return CompletableFuture.completedFuture(land(order));
+        return CompletableFuture.completedFuture(deliver(order));
     }
 
-    /** Lets an order arrive. */
-    synchronized OrderAnswer land(Order order) {
+    /** Delivers an order to the engine. */
+    synchronized OrderAnswer deliver(Order order) {
         if (fenced && order.fence() < highestFence) {
             return OrderAnswer.STALE_FENCE;
         }
         highestFence = Math.max(highestFence, order.fence());
-        if (taken.add(order.id())) {
-            open.add(order);
+        if (takenOrderIds.add(order.id())) {
+            openOrders.add(order);
         }
         return OrderAnswer.TAKEN;
     }
 
-    /** Does all open orders. */
-    synchronized void work() {
-        for (Order order : open) {
+    /** Completes all open orders. */
+    synchronized void completeOrders() {
+        for (Order order : openOrders) {
             if (order.kind() == OrderKind.LOAD) {
-                memory.put(order.item(), order.bytes());
+                residentBytesByItem.put(order.item(), order.bytes());
             } else {
-                memory.remove(order.item());
+                residentBytesByItem.remove(order.item());
             }
-            worstBytes = Math.max(worstBytes, usedBytes());
+            maxUsedBytes = Math.max(maxUsedBytes, usedBytes());
         }
-        open.clear();
+        openOrders.clear();
     }
 
     synchronized void restart() {
         bootId = bootId + "+";
-        memory.clear();
-        open.clear();
-        taken.clear();
+        residentBytesByItem.clear();
+        openOrders.clear();
+        takenOrderIds.clear();
     }
 
     synchronized long usedBytes() {
-        return memory.values().stream().mapToLong(Long::longValue).sum();
+        return residentBytesByItem.values().stream().mapToLong(Long::longValue).sum();
     }
 
     @Override
@@ -98,10 +100,11 @@
         if (unreachable) {
             return CompletableFuture.failedFuture(new TargetException(Kind.UNREACHABLE, "engine is down", null));
         }
-        List<Resident> residents = memory.entrySet().stream()
+        List<Resident> residents = residentBytesByItem.entrySet().stream()
                 .map(entry -> new Resident(entry.getKey(), entry.getValue()))
                 .toList();
-        return CompletableFuture.completedFuture(new Residency(bootId, capacityBytes, residents, List.copyOf(open)));
+        return CompletableFuture.completedFuture(
+                new Residency(bootId, capacityBytes, residents, List.copyOf(openOrders)));
     }
 
     @Override
@@ -109,7 +112,7 @@
         return CompletableFuture.completedFuture(new EngineLoad(0, 0, 0L, 0.0, 0L));
     }
 
-    /** One opened stream. */
+    /** A stream that the side has opened. */
     record OpenStream(Generation generation, long fromOffset, Listener listener) {
 
         void tokens(long from, String... texts) {
--- a/src/test/java/io/waxwingquay/side/LoadMeterTest.java
+++ b/src/test/java/io/waxwingquay/side/LoadMeterTest.java
@@ -8,36 +8,34 @@
 
 class LoadMeterTest {
 
-    private static final int AT_ONCE = 4;
+    private static final int MAX_CONCURRENT = 4;
 
     private final ManualClock clock = new ManualClock();
     private final LoadMeter meter = new LoadMeter(clock, new Random(1L), () -> 0L);
 
-    /*
-     * Callers of a quiet target see their first burst refused, although it would be worked off in a moment.
-     * One call of 10 ms is finished, then nothing comes for a minute; then a burst arrives.
-     * A rate of finished calls would say one a minute; what counts is how long a run takes.
-     */
+    // Guards against rejecting the first burst after a quiet period. One run of 10 ms is followed by a minute without
+    // requests. The rate of finished runs would be one per minute, although the target can run a burst at once; the
+    // throughput is therefore derived from the run time.
     @Test
-    void doesNotTakeAQuietTargetForASlowOne() {
-        meter.set(new LoadMeter.Counts(0, 0, 0L, AT_ONCE));
-        meter.noteFinished(10L);
+    void throughputDoesNotFallWhileTargetIsIdle() {
+        meter.setCounts(new LoadMeter.Counts(0, 0, 0L, MAX_CONCURRENT));
+        meter.recordRun(10L);
         clock.advance(60_000L);
-        assertEquals(400.0, meter.drainPerSecond());
+        assertEquals(400.0, meter.throughputPerSecond());
     }
 
     @Test
-    void measuresNothingBeforeTheFirstRun() {
-        meter.set(new LoadMeter.Counts(0, 0, 0L, AT_ONCE));
-        assertEquals(0.0, meter.drainPerSecond());
+    void throughputIsZeroBeforeFirstRun() {
+        meter.setCounts(new LoadMeter.Counts(0, 0, 0L, MAX_CONCURRENT));
+        assertEquals(0.0, meter.throughputPerSecond());
     }
 
     @Test
-    void followsSlowerRuns() {
-        meter.set(new LoadMeter.Counts(0, 0, 0L, AT_ONCE));
-        meter.noteFinished(10L);
-        double before = meter.drainPerSecond();
-        meter.noteFinished(1_000L);
-        assertTrue(meter.drainPerSecond() < before);
+    void throughputFallsWhenRunsBecomeSlower() {
+        meter.setCounts(new LoadMeter.Counts(0, 0, 0L, MAX_CONCURRENT));
+        meter.recordRun(10L);
+        double before = meter.throughputPerSecond();
+        meter.recordRun(1_000L);
+        assertTrue(meter.throughputPerSecond() < before);
     }
 }
