--- a/src/main/java/io/waxwingquay/command/HostedRole.java
+++ b/src/main/java/io/waxwingquay/command/HostedRole.java
@@ -66,7 +66,7 @@
         }
         HostedProcess process = started.get();
         CountDownLatch left = new CountDownLatch(1);
-        Signal.handle(new Signal("TERM"), signal -> process.leave().thenRun(left::countDown));
+        Signal.handle(new Signal("TERM"), signal -> process.shutdown().thenRun(left::countDown));
         // The settings that this program uses do not change while a VM lives; the virtual machine would exit on HUP.
         Signal.handle(
                 new Signal("HUP"),
--- a/src/main/java/io/waxwingquay/forward/Attempt.java
+++ b/src/main/java/io/waxwingquay/forward/Attempt.java
@@ -73,7 +73,7 @@
 
     /** Whether the replica may have got some of it. */
     boolean mayHaveLeft() {
-        return call != null && call.mayHaveLeft();
+        return call != null && call.mayHaveBeenSent();
     }
 
     /** Gives it up; closing the connection ends the replica's work. */
@@ -128,7 +128,7 @@
 
     /** {@inheritDoc} */
     @Override
-    public void onEnd() {
+    public void onComplete() {
         if (over) {
             return;
         }
--- a/src/main/java/io/waxwingquay/forward/CallerAnswers.java
+++ b/src/main/java/io/waxwingquay/forward/CallerAnswers.java
@@ -26,13 +26,13 @@
 
     /** A replica's whole answer, as it came. */
     int whole(Attempt from, byte[] body) {
-        caller.respond(from.status(), MessageHead.endToEnd(from.fields()), body);
+        caller.respond(from.status(), MessageHead.endToEndFields(from.fields()), body);
         return from.status();
     }
 
     /** The head of a stream; it stays that of the replica that began it. */
     void begin(Attempt from) {
-        caller.begin(from.status(), MessageHead.endToEnd(from.fields()));
+        caller.begin(from.status(), MessageHead.endToEndFields(from.fields()));
     }
 
     /** Passes an event on; returns whether the caller takes what it is sent. */
--- a/src/main/java/io/waxwingquay/forward/Exchange.java
+++ b/src/main/java/io/waxwingquay/forward/Exchange.java
@@ -93,7 +93,7 @@
     }
 
     void start() {
-        caller.onGone(this::callerGone);
+        caller.onDisconnect(this::callerGone);
         if (needsModel()) {
             context.demand().asked(ask.model().get(), EventLoop.nowMillis());
         }
--- a/src/main/java/io/waxwingquay/forward/Forwarder.java
+++ b/src/main/java/io/waxwingquay/forward/Forwarder.java
@@ -116,7 +116,7 @@
         manifest = Optional.of(newer);
         tellSoon();
         routes = RouteTable.of(newer.routes());
-        targets.all().forEach(target -> target.pool().limit(connections(target.record())));
+        targets.all().forEach(target -> target.pool().maxConnections(connections(target.record())));
         LOG.log(
                 System.Logger.Level.INFO,
                 "forward: configuration in force version={0} routes={1}",
@@ -405,7 +405,7 @@
         if (count != entries) {
             entries = count;
             budgets.values().forEach(budget -> budget.limitBurst(burst()));
-            targets.all().forEach(target -> target.pool().limit(connections(target.record())));
+            targets.all().forEach(target -> target.pool().maxConnections(connections(target.record())));
         }
     }
 
--- a/src/main/java/io/waxwingquay/forward/Target.java
+++ b/src/main/java/io/waxwingquay/forward/Target.java
@@ -75,14 +75,14 @@
         record = newer;
         listing.listed();
         if (!takesWork()) {
-            pool.withdrawWaiting();
+            pool.failWaiting();
         }
     }
 
     /** Its row is missing; it may come back. */
     void missing() {
         listing.missing();
-        pool.withdrawWaiting();
+        pool.failWaiting();
     }
 
     String id() {
@@ -152,7 +152,7 @@
         newsAtMillis = nowMillis;
         listing.heard(newer.isDraining());
         if (!takesWork()) {
-            pool.withdrawWaiting();
+            pool.failWaiting();
         }
         sentSinceNews = 0;
         tokensSinceNews = 0;
--- a/src/main/java/io/waxwingquay/forward/TargetChooser.java
+++ b/src/main/java/io/waxwingquay/forward/TargetChooser.java
@@ -128,7 +128,9 @@
 
     /** Whether nothing in this entry's way keeps a request from it now. */
     private static boolean isOpen(Target target, long nowMillis) {
-        return !target.tries().isPaused(nowMillis) && target.pool().hasRoom() && target.limitedMillis(nowMillis) == 0;
+        return !target.tries().isPaused(nowMillis)
+                && target.pool().hasCapacity()
+                && target.limitedMillis(nowMillis) == 0;
     }
 
     /** How long until the limit of one of them lets this entry send again; 0 if one lets it now. */
--- a/src/main/java/io/waxwingquay/hosted/Departure.java
+++ b/src/main/java/io/waxwingquay/hosted/Departure.java
@@ -66,7 +66,7 @@
 
     private void leave(long lastMillis) {
         LOG.log(System.Logger.Level.INFO, "hosted: leaving active={0}", requests.activeCount());
-        server.leave();
+        server.startDraining();
         loop.schedule(UNNOTICED_MILLIS, () -> {
             requests.leaveWithin(lastMillis - clockMillis.getAsLong());
             look(lastMillis);
--- a/src/main/java/io/waxwingquay/hosted/HostedEntry.java
+++ b/src/main/java/io/waxwingquay/hosted/HostedEntry.java
@@ -94,29 +94,34 @@
                 new Suspects(suspects, EventLoop::nowMillis, this::suspectsChanged),
                 random);
         this.replicas = new ReplicaDirectory(EventLoop::nowMillis, forwarder.replicas());
-        HostPort callers = needed(settings.callers(), "listen.front");
-        HostPort readiness = needed(settings.readiness(), "listen.ready");
+        HostPort callers = needed(settings.callerAddress(), "listen.front");
+        HostPort readiness = needed(settings.readinessAddress(), "listen.ready");
         this.server = HttpServer.listen(loop, socket(callers), forwarder);
         HttpServer.listen(loop, socket(readiness), this::readiness);
         this.departure =
                 new Departure(loop, server, forwarder, settings.bounds().graceMillis(), EventLoop::nowMillis);
-        this.platform = new PreparedPlatform(loop, settings.store());
+        this.platform = new PreparedPlatform(loop, settings.storeAddress());
         this.manifestWatch = new TableWatch<>(
-                loop, "configuration", platform.manifests(), CONFIGURATION_GATHER_MILLIS, new Configurations());
-        this.replicaWatch = new TableWatch<>(loop, "replicas", platform.replicas(), replicaGatherMillis(), replicas);
+                loop,
+                "configuration",
+                platform.configurationTable(),
+                CONFIGURATION_GATHER_MILLIS,
+                new Configurations());
+        this.replicaWatch =
+                new TableWatch<>(loop, "replicas", platform.replicaTable(), replicaGatherMillis(), replicas);
         this.manifestCopies = new CopyReader<>(
                 "configuration",
                 () -> manifestWatch.isReachable() ? CONFIGURATION_PATIENCE_MILLIS : 0,
-                platform::manifestsAt,
+                platform::configurationTableAt,
                 this::configurationVersion,
                 manifestWatch::adopt);
         this.replicaCopies = new CopyReader<>(
                 "replicas",
                 () -> replicaWatch.isReachable() ? replicaGatherMillis() + REPLICA_MARGIN_MILLIS : 0,
-                platform::replicasAt,
+                platform::replicaTableAt,
                 replicaWatch::version,
                 replicaWatch::adopt);
-        admin.copies(platform::copy);
+        admin.copies(platform::encodedCopy);
         admin.dump(() -> "active=" + forwarder.activeCount() + " engines_heard=" + forwarder.heardCount() + " suspects="
                 + suspects.count() + " missing=" + replicas.missing() + " replicas=" + replicas.replicas());
         loop.execute(this::begin);
@@ -135,14 +140,14 @@
 
     /** {@inheritDoc} */
     @Override
-    public CompletableFuture<Void> leave() {
+    public CompletableFuture<Void> shutdown() {
         return departure.begin();
     }
 
     private void begin() {
         manifestWatch.start();
         replicaWatch.start();
-        List<HostPort> seeds = settings.seeds().stream()
+        List<HostPort> seeds = settings.seedHosts().stream()
                 .filter(host -> !host.equals(settings.host()))
                 .map(this::copiesAt)
                 .toList();
@@ -154,7 +159,11 @@
         });
         loop.every(ReplicaDirectory.LAPSE_MILLIS / 8, replicas::settle);
         loop.every(TELL_MILLIS, this::tell);
-        LOG.log(System.Logger.Level.INFO, "hosted: entry started node={0} zone={1}", settings.node(), settings.zone());
+        LOG.log(
+                System.Logger.Level.INFO,
+                "hosted: entry started node={0} zone={1}",
+                settings.vmName(),
+                settings.dataCentre());
     }
 
     private void suspectsChanged() {
@@ -205,7 +214,7 @@
         TableVersions tables = new TableVersions(configurationVersion(), replicaWatch.changedVersion());
         List<SuspectNews> page = suspects.page();
         forwarder
-                .news(settings.node())
+                .news(settings.vmName())
                 .forEach((engine, news) -> peers.send(
                         beside(engine),
                         PeerDatagram.entry(news.setTables(tables).setSuspects(page.isEmpty() ? null : page))));
@@ -227,9 +236,9 @@
 
     private static ForwardSettings forwardSettings(HostSettings settings) {
         return new ForwardSettings(
-                settings.zone(),
-                settings.bounds().retryShare(),
-                settings.bounds().retrySlack(),
+                settings.dataCentre(),
+                settings.bounds().retryBudgetRatio(),
+                settings.bounds().retryBudgetSlack(),
                 ASSUMED_ENTRIES);
     }
 
@@ -271,7 +280,7 @@
 
         private void apply(Manifest manifest) {
             forwarder.manifest(manifest);
-            server.limit(manifest.limits());
+            server.updateLimits(manifest.limits());
         }
     }
 }
--- a/src/main/java/io/waxwingquay/hosted/HostedProcess.java
+++ b/src/main/java/io/waxwingquay/hosted/HostedProcess.java
@@ -12,5 +12,5 @@
      *
      * @return completes when the process may exit.
      */
-    CompletableFuture<Void> leave();
+    CompletableFuture<Void> shutdown();
 }
--- a/src/main/java/io/waxwingquay/hosted/HostedSide.java
+++ b/src/main/java/io/waxwingquay/hosted/HostedSide.java
@@ -43,15 +43,15 @@
         this.settings = settings;
         this.loop = loop;
         this.service = settings.service().orElse("");
-        this.platform = new PreparedPlatform(loop, settings.store());
-        this.manifests = platform.manifests();
+        this.platform = new PreparedPlatform(loop, settings.storeAddress());
+        this.manifests = platform.configurationTable();
         WeightLoadPace pace = new WeightLoadPace(
-                settings.bounds().loadWindowMillis(), settings.bounds().loadExcess());
+                settings.bounds().loadWindowMillis(), settings.bounds().loadBurstFactor());
         if (!settings.firstStart()) {
             pace.startedAgain(EventLoop.nowMillis());
         }
         this.keeper = new EngineKeeper(
-                loop, engine, service, platform.engine(engine, settings.node()), new Datagrams(), pace);
+                loop, engine, service, platform.engineControl(engine, settings.vmName()), new Datagrams(), pace);
         loop.execute(this::begin);
     }
 
@@ -63,28 +63,28 @@
      * @return the running process.
      */
     public static HostedSide start(EventLoop loop, HostSettings settings) {
-        HostPort engine = settings.engine()
+        HostPort engine = settings.engineAddress()
                 .orElseThrow(() -> new IllegalArgumentException("app: is missing; this role runs beside an engine"));
         return new HostedSide(loop, settings, engine);
     }
 
     /** {@inheritDoc} */
     @Override
-    public CompletableFuture<Void> leave() {
-        LOG.log(System.Logger.Level.INFO, "hosted: side leaves node={0}", settings.node());
+    public CompletableFuture<Void> shutdown() {
+        LOG.log(System.Logger.Level.INFO, "hosted: side leaves node={0}", settings.vmName());
         return CompletableFuture.completedFuture(null);
     }
 
     private void begin() {
         keeper.start();
         readConfiguration();
-        platform.replicas().readAll().thenAccept(this::readEarlierModels);
+        platform.replicaTable().readAll().thenAccept(this::readEarlierModels);
         loop.every(READ_AGAIN_MILLIS, () -> {
             if (!known || keeper.isConfigurationOld()) {
                 readConfiguration();
             }
         });
-        LOG.log(System.Logger.Level.INFO, "hosted: side started node={0} service={1}", settings.node(), service);
+        LOG.log(System.Logger.Level.INFO, "hosted: side started node={0} service={1}", settings.vmName(), service);
     }
 
     /** Rows of earlier lives stay listed for some seconds. */
@@ -93,7 +93,8 @@
                 .map(WatchedTable.Row::value)
                 .flatMap(Optional::stream)
                 .toList();
-        EarlierModels earlier = EarlierModels.of(records, settings.engine().orElseThrow());
+        EarlierModels earlier =
+                EarlierModels.of(records, settings.engineAddress().orElseThrow());
         LOG.log(System.Logger.Level.INFO, "hosted: earlier life models={0}", earlier.models());
         keeper.earlier(earlier);
     }
@@ -121,7 +122,7 @@
             reading = false;
             return;
         }
-        platform.manifestsAt(holder.get()).readAll().whenComplete((page, failure) -> {
+        platform.configurationTableAt(holder.get()).readAll().whenComplete((page, failure) -> {
             reading = false;
             if (failure == null) {
                 apply(page);
--- a/src/main/java/io/waxwingquay/net/ClientCall.java
+++ b/src/main/java/io/waxwingquay/net/ClientCall.java
@@ -13,5 +13,5 @@
      *
      * @return false while none of it can have left.
      */
-    boolean mayHaveLeft();
+    boolean mayHaveBeenSent();
 }
--- a/src/main/java/io/waxwingquay/net/ClientConnection.java
+++ b/src/main/java/io/waxwingquay/net/ClientConnection.java
@@ -156,7 +156,7 @@
         } else {
             pool.idle(this);
         }
-        done.onEnd();
+        done.onComplete();
     }
 
     private void breakOff(String why) {
--- a/src/main/java/io/waxwingquay/net/ClientListener.java
+++ b/src/main/java/io/waxwingquay/net/ClientListener.java
@@ -4,7 +4,7 @@
 import org.eclipse.jetty.http.HttpFields;
 
 /**
- * Told what comes back for one request, on the loop. After {@link #onEnd} or {@link #onFailure} nothing follows.
+ * Told what comes back for one request, on the loop. After {@link #onComplete} or {@link #onFailure} nothing follows.
  */
 public interface ClientListener {
 
@@ -24,7 +24,7 @@
     void onBody(ByteBuffer bytes);
 
     /** The answer came whole. */
-    void onEnd();
+    void onComplete();
 
     /**
      * There is no whole answer.
--- a/src/main/java/io/waxwingquay/net/ClientPool.java
+++ b/src/main/java/io/waxwingquay/net/ClientPool.java
@@ -19,7 +19,7 @@
     private final Deque<ClientConnection> idle = new ArrayDeque<>();
     private final Set<ClientConnection> all = new HashSet<>();
     private final Deque<Opening> openings = new ArrayDeque<>();
-    private int limit;
+    private int maxConnections;
     private int connecting;
 
     /**
@@ -32,7 +32,7 @@
     public ClientPool(EventLoop loop, InetSocketAddress address, int limit) {
         this.loop = loop;
         this.address = address;
-        this.limit = limit;
+        this.maxConnections = limit;
     }
 
     /**
@@ -40,8 +40,8 @@
      *
      * @param newLimit the number.
      */
-    public void limit(int newLimit) {
-        this.limit = newLimit;
+    public void maxConnections(int newLimit) {
+        this.maxConnections = newLimit;
     }
 
     /**
@@ -49,8 +49,8 @@
      *
      * @return whether a connection is idle or may be opened.
      */
-    public boolean hasRoom() {
-        return !idle.isEmpty() || all.size() + connecting < limit;
+    public boolean hasCapacity() {
+        return !idle.isEmpty() || all.size() + connecting < maxConnections;
     }
 
     /**
@@ -62,13 +62,13 @@
      */
     public ClientCall send(ClientRequest request, ClientListener listener) {
         Opening opening = new Opening(request, listener);
-        Optional<ClientConnection> ready = takeIdle(request.mayRepeat());
+        Optional<ClientConnection> ready = takeIdle(request.idempotent());
         if (ready.isPresent()) {
             opening.sendOver(ready.get());
             return opening;
         }
-        if (all.size() + connecting >= limit) {
-            loop.execute(() -> opening.fail("all " + limit + " connections are taken"));
+        if (all.size() + connecting >= maxConnections) {
+            loop.execute(() -> opening.fail("all " + maxConnections + " connections are taken"));
             return opening;
         }
         openings.add(opening);
@@ -85,22 +85,22 @@
      *
      * @return the number.
      */
-    public int busy() {
+    public int busyCount() {
         return all.size() - idle.size() + connecting;
     }
 
     /** Gives back the requests that wait for a connection: the server is not to get them any more. */
-    public void withdrawWaiting() {
+    public void failWaiting() {
         openings.forEach(Opening::withdraw);
     }
 
     /** {@inheritDoc} */
     @Override
     public void close() {
-        withdrawWaiting();
+        failWaiting();
         new ArrayList<>(idle).forEach(ClientConnection::close);
         idle.clear();
-        limit = 0;
+        maxConnections = 0;
     }
 
     void opened(ClientConnection connection) {
@@ -118,7 +118,7 @@
     }
 
     void idle(ClientConnection connection) {
-        if (all.size() > limit) {
+        if (all.size() > maxConnections) {
             closed(connection);
             connection.close();
             return;
@@ -162,7 +162,7 @@
 
         /** {@inheritDoc} */
         @Override
-        public boolean mayHaveLeft() {
+        public boolean mayHaveBeenSent() {
             return connection != null;
         }
 
--- a/src/main/java/io/waxwingquay/net/ClientRequest.java
+++ b/src/main/java/io/waxwingquay/net/ClientRequest.java
@@ -9,6 +9,6 @@
  * @param target the request target.
  * @param fields the header fields, without framing.
  * @param body the body; empty if there is none.
- * @param mayRepeat whether a second run does no harm; one that may not is kept off connections that are about to close.
+ * @param idempotent whether a second run does no harm; one that may not is kept off connections that are about to close.
  */
-public record ClientRequest(String method, String target, HttpFields fields, byte[] body, boolean mayRepeat) {}
+public record ClientRequest(String method, String target, HttpFields fields, byte[] body, boolean idempotent) {}
--- a/src/main/java/io/waxwingquay/net/EventLoop.java
+++ b/src/main/java/io/waxwingquay/net/EventLoop.java
@@ -179,7 +179,8 @@
      * @return the socket.
      * @throws UncheckedIOException if the address can't be bound.
      */
-    public DatagramSocket datagrams(InetSocketAddress address, BiConsumer<InetSocketAddress, ByteBuffer> receiver) {
+    public DatagramSocket openDatagramSocket(
+            InetSocketAddress address, BiConsumer<InetSocketAddress, ByteBuffer> receiver) {
         try {
             DatagramChannel channel = DatagramChannel.open();
             channel.bind(address);
--- a/src/main/java/io/waxwingquay/net/HttpServer.java
+++ b/src/main/java/io/waxwingquay/net/HttpServer.java
@@ -46,12 +46,12 @@
      *
      * @param newLimits the limits.
      */
-    public void limit(ServerLimits newLimits) {
+    public void updateLimits(ServerLimits newLimits) {
         this.limits = newLimits;
     }
 
     /** From now on each answer ends its connection. */
-    public void leave() {
+    public void startDraining() {
         leaving = true;
     }
 
--- a/src/main/java/io/waxwingquay/net/MessageHead.java
+++ b/src/main/java/io/waxwingquay/net/MessageHead.java
@@ -40,7 +40,7 @@
      * @param fields all fields of the message.
      * @return a copy without those of this hop, the ones that {@code Connection} names included.
      */
-    public static HttpFields.Mutable endToEnd(HttpFields fields) {
+    public static HttpFields.Mutable endToEndFields(HttpFields fields) {
         Set<String> named = fields.getCSV(HttpHeader.CONNECTION, false).stream()
                 .map(name -> name.toLowerCase(Locale.ROOT))
                 .collect(Collectors.toSet());
--- a/src/main/java/io/waxwingquay/net/ServerConnection.java
+++ b/src/main/java/io/waxwingquay/net/ServerConnection.java
@@ -47,7 +47,7 @@
     ServerConnection(EndPoint endPoint, EventLoop loop, HttpServer server) {
         super(endPoint, loop);
         this.server = server;
-        this.parser = new HttpParser(this, server.limits().headerBytes());
+        this.parser = new HttpParser(this, server.limits().maxHeaderBytes());
         server.opened(this);
     }
 
@@ -263,10 +263,10 @@
     /** {@inheritDoc} */
     @Override
     public boolean headerComplete() {
-        if (parser.getContentLength() > server.limits().bodyBytes()) {
+        if (parser.getContentLength() > server.limits().maxBodyBytes()) {
             refuse(
                     PAYLOAD_TOO_LARGE,
-                    "the body is longer than " + server.limits().bodyBytes() + " bytes");
+                    "the body is longer than " + server.limits().maxBodyBytes() + " bytes");
             return true;
         }
         if (fields.contains(HttpHeader.EXPECT, HttpHeaderValue.CONTINUE.asString())) {
@@ -278,10 +278,10 @@
     /** {@inheritDoc} */
     @Override
     public boolean content(ByteBuffer content) {
-        if (body.size() + content.remaining() > server.limits().bodyBytes()) {
+        if (body.size() + content.remaining() > server.limits().maxBodyBytes()) {
             refuse(
                     PAYLOAD_TOO_LARGE,
-                    "the body is longer than " + server.limits().bodyBytes() + " bytes");
+                    "the body is longer than " + server.limits().maxBodyBytes() + " bytes");
             return true;
         }
         byte[] part = BufferUtil.toArray(content);
--- a/src/main/java/io/waxwingquay/net/ServerExchange.java
+++ b/src/main/java/io/waxwingquay/net/ServerExchange.java
@@ -14,7 +14,7 @@
     private final ServerConnection connection;
     private final ServerRequest request;
     private final boolean persistent;
-    private Runnable onGone = () -> {};
+    private Runnable onDisconnect = () -> {};
     private State state = State.WAITING;
 
     ServerExchange(ServerConnection connection, ServerRequest request, boolean persistent) {
@@ -37,8 +37,8 @@
      *
      * @param action called at most once, on the loop.
      */
-    public void onGone(Runnable action) {
-        this.onGone = action;
+    public void onDisconnect(Runnable action) {
+        this.onDisconnect = action;
     }
 
     /**
@@ -151,7 +151,7 @@
     void gone() {
         if (state != State.ENDED) {
             state = State.ENDED;
-            onGone.run();
+            onDisconnect.run();
         }
     }
 
--- a/src/main/java/io/waxwingquay/peer/PeerChannel.java
+++ b/src/main/java/io/waxwingquay/peer/PeerChannel.java
@@ -40,7 +40,7 @@
         } catch (TTransportException failure) {
             throw new IllegalStateException("the codec of datagrams can't be made", failure);
         }
-        this.socket = loop.datagrams(new InetSocketAddress(address.host(), address.port()), this::receive);
+        this.socket = loop.openDatagramSocket(new InetSocketAddress(address.host(), address.port()), this::receive);
     }
 
     /**
--- a/src/main/java/io/waxwingquay/platform/HeaderCodec.java
+++ b/src/main/java/io/waxwingquay/platform/HeaderCodec.java
@@ -88,7 +88,7 @@
     /** {@inheritDoc} */
     @Override
     public HttpFields toReplica(HttpFields fields, Order order) {
-        HttpFields.Mutable out = MessageHead.endToEnd(fields);
+        HttpFields.Mutable out = MessageHead.endToEndFields(fields);
         RESERVED.forEach(out::remove);
         out.put(TARGET_REPLICA, order.replicaId());
         out.put(DEADLINE_REMAINING, Long.toString(order.remainingMillis()));
--- a/src/main/java/io/waxwingquay/platform/HttpCaller.java
+++ b/src/main/java/io/waxwingquay/platform/HttpCaller.java
@@ -93,7 +93,7 @@
 
         /** {@inheritDoc} */
         @Override
-        public void onEnd() {
+        public void onComplete() {
             future.complete(new Reply(status, body.toByteArray()));
         }
 
--- a/src/main/java/io/waxwingquay/platform/ManifestReader.java
+++ b/src/main/java/io/waxwingquay/platform/ManifestReader.java
@@ -113,8 +113,8 @@
 
     private static ServerLimits limits(JsonNode node) {
         return new ServerLimits(
-                (int) Wire.whole(node, "max_header_bytes", ServerLimits.DEFAULT.headerBytes()),
-                (int) Wire.whole(node, "max_body_bytes", ServerLimits.DEFAULT.bodyBytes()),
+                (int) Wire.whole(node, "max_header_bytes", ServerLimits.DEFAULT.maxHeaderBytes()),
+                (int) Wire.whole(node, "max_body_bytes", ServerLimits.DEFAULT.maxBodyBytes()),
                 Wire.whole(node, "header_timeout_ms", ServerLimits.DEFAULT.headerTimeoutMillis()),
                 Wire.whole(node, "idle_timeout_ms", ServerLimits.DEFAULT.idleTimeoutMillis()));
     }
--- a/src/main/java/io/waxwingquay/platform/PreparedPlatform.java
+++ b/src/main/java/io/waxwingquay/platform/PreparedPlatform.java
@@ -49,8 +49,8 @@
      *
      * @return the table.
      */
-    public WatchedTable<Manifest> manifests() {
-        return manifests(store);
+    public WatchedTable<Manifest> configurationTable() {
+        return configurationTable(store);
     }
 
     /**
@@ -59,11 +59,11 @@
      * @param peer where that process answers for its copies.
      * @return the table; it can be read, not followed.
      */
-    public WatchedTable<Manifest> manifestsAt(HostPort peer) {
-        return manifests(new HttpCaller(loop, peer, COPY_TIMEOUT_MILLIS));
+    public WatchedTable<Manifest> configurationTableAt(HostPort peer) {
+        return configurationTable(new HttpCaller(loop, peer, COPY_TIMEOUT_MILLIS));
     }
 
-    private WatchedTable<Manifest> manifests(HttpCaller caller) {
+    private WatchedTable<Manifest> configurationTable(HttpCaller caller) {
         return new StoreTable<>(
                 caller,
                 CONFIGURATION_TABLE,
@@ -76,8 +76,8 @@
      *
      * @return the table.
      */
-    public WatchedTable<ReplicaRecord> replicas() {
-        return replicas(store);
+    public WatchedTable<ReplicaRecord> replicaTable() {
+        return replicaTable(store);
     }
 
     /**
@@ -86,11 +86,11 @@
      * @param peer where that process answers for its copies.
      * @return the table; it can be read, not followed.
      */
-    public WatchedTable<ReplicaRecord> replicasAt(HostPort peer) {
-        return replicas(new HttpCaller(loop, peer, COPY_TIMEOUT_MILLIS));
+    public WatchedTable<ReplicaRecord> replicaTableAt(HostPort peer) {
+        return replicaTable(new HttpCaller(loop, peer, COPY_TIMEOUT_MILLIS));
     }
 
-    private WatchedTable<ReplicaRecord> replicas(HttpCaller caller) {
+    private WatchedTable<ReplicaRecord> replicaTable(HttpCaller caller) {
         return new StoreTable<>(caller, REPLICA_TABLE, ReplicaReader::row, copies.get(REPLICA_TABLE));
     }
 
@@ -100,7 +100,7 @@
      * @param target the path and query that it asks for.
      * @return the rows as this process read them last; empty if nothing of the kind is known here.
      */
-    public Optional<byte[]> copy(String target) {
+    public Optional<byte[]> encodedCopy(String target) {
         if (!target.startsWith(READ_PATH)) {
             return Optional.empty();
         }
@@ -116,7 +116,7 @@
      * @param holder the name under which this process gives orders.
      * @return its control.
      */
-    public EngineControl engine(HostPort address, String holder) {
+    public EngineControl engineControl(HostPort address, String holder) {
         return new HttpEngineControl(loop, address, holder);
     }
 }
--- a/src/main/java/io/waxwingquay/standin/prepared/Rehearsal.java
+++ b/src/main/java/io/waxwingquay/standin/prepared/Rehearsal.java
@@ -95,7 +95,7 @@
             expectOk(pool, "GET", "/p/1", "");
             expectOk(pool, "POST", "/s/1", "m");
             expectOk(pool, "POST", "/s/2", "m/a1");
-            process.leave().get(LIMIT_SECONDS, TimeUnit.SECONDS);
+            process.shutdown().get(LIMIT_SECONDS, TimeUnit.SECONDS);
         }
     }
 
@@ -161,7 +161,7 @@
 
         /** {@inheritDoc} */
         @Override
-        public void onEnd() {
+        public void onComplete() {
             answer.complete(status[0]);
         }
 
--- a/src/test/java/io/waxwingquay/hosted/HostedPathTest.java
+++ b/src/test/java/io/waxwingquay/hosted/HostedPathTest.java
@@ -219,7 +219,7 @@
     @Test
     void workEndsWhenItsCallerLeaves() throws Exception {
         CompletableFuture<Void> left = new CompletableFuture<>();
-        Behaviour endless = (engine, caller) -> caller.onGone(() -> left.complete(null));
+        Behaviour endless = (engine, caller) -> caller.onDisconnect(() -> left.complete(null));
         world.engine1.behaviour(endless);
         world.engine2.behaviour(endless);
         try (Socket socket = world.connect()) {
--- a/src/test/java/io/waxwingquay/hosted/HostedWorld.java
+++ b/src/test/java/io/waxwingquay/hosted/HostedWorld.java
@@ -122,12 +122,12 @@
     }
 
     CompletableFuture<Void> leave() {
-        return entry.leave();
+        return entry.shutdown();
     }
 
     /** Tells the entry to stop; when it says that it may exit, all that it has open ends, as at the end of a process. */
     CompletableFuture<Void> exit() {
-        return entry.leave().thenRunAsync(inside::close);
+        return entry.shutdown().thenRunAsync(inside::close);
     }
 
     /** Does something while the entry and the sides stand still. */
--- a/src/test/java/io/waxwingquay/net/ClientPoolTest.java
+++ b/src/test/java/io/waxwingquay/net/ClientPoolTest.java
@@ -218,7 +218,7 @@
         }
 
         @Override
-        public void onEnd() {
+        public void onComplete() {
             answer.complete("end " + status + " " + body);
         }
 
--- a/src/test/java/io/waxwingquay/net/ServerConnectionTest.java
+++ b/src/test/java/io/waxwingquay/net/ServerConnectionTest.java
@@ -150,7 +150,7 @@
     // connection. The way out is closed first, and what still comes is dropped until the caller closes.
     @Test
     void answerToARequestThatWasNotReadWholeEndsInOrder() throws Exception {
-        onLoop(() -> server.limit(new ServerLimits(32_768, 10, 60_000, 120_000)));
+        onLoop(() -> server.updateLimits(new ServerLimits(32_768, 10, 60_000, 120_000)));
         try (Socket socket = new Socket("127.0.0.1", port)) {
             socket.setSoTimeout(30_000);
             write(socket, "POST / HTTP/1.1\r\nHost: x.test\r\nContent-Length: 1000000\r\n\r\n");
--- a/src/test/java/io/waxwingquay/platform/SettingsFileTest.java
+++ b/src/test/java/io/waxwingquay/platform/SettingsFileTest.java
@@ -42,11 +42,11 @@
     @Test
     void readsWhatItNeedsAndPassesOverWhatIsNew() throws IOException {
         HostSettings settings = read(WHOLE);
-        assertEquals(Optional.of(new HostPort("10.1.0.40", 8145)), settings.engine());
-        assertEquals(new HostPort("10.200.1.7", 8142), settings.store());
+        assertEquals(Optional.of(new HostPort("10.1.0.40", 8145)), settings.engineAddress());
+        assertEquals(new HostPort("10.200.1.7", 8142), settings.storeAddress());
         assertEquals(7380, settings.peerPort());
         assertEquals(8_000, settings.bounds().graceMillis());
-        assertEquals(Optional.empty(), settings.readiness());
+        assertEquals(Optional.empty(), settings.readinessAddress());
     }
 
     @Test
