--- a/src/main/java/io/waxwingquay/hosted/AdminPages.java
+++ b/src/main/java/io/waxwingquay/hosted/AdminServer.java
@@ -19,11 +19,11 @@
 import org.eclipse.jetty.http.HttpFields;
 
 /** Metrics and the state dump of a process, for operators. */
-final class AdminPages {
+final class AdminServer {
 
     private static final int OK = 200;
     private static final int NOT_FOUND = 404;
-    private static final Duration[] STEPS = {
+    private static final Duration[] LATENCY_BUCKETS = {
         Duration.ofMillis(50),
         Duration.ofMillis(150),
         Duration.ofMillis(300),
@@ -33,10 +33,10 @@
 
     private final PrometheusMeterRegistry registry = new PrometheusMeterRegistry(PrometheusConfig.DEFAULT);
     private Supplier<String> dump = () -> "";
-    private Function<String, Optional<byte[]>> copies = target -> Optional.empty();
+    private Function<String, Optional<byte[]>> tableCopies = target -> Optional.empty();
 
-    AdminPages(EventLoop loop, HostPort address) {
-        HttpServer.listen(loop, new InetSocketAddress(address.host(), address.port()), this::answer);
+    AdminServer(EventLoop loop, HostPort address) {
+        HttpServer.listen(loop, new InetSocketAddress(address.host(), address.port()), this::handle);
     }
 
     void dump(Supplier<String> newDump) {
@@ -44,26 +44,27 @@
     }
 
     /** Sets what answers other processes that read the platform's tables here. */
-    void copies(Function<String, Optional<byte[]>> newCopies) {
-        copies = newCopies;
+    void tableCopies(Function<String, Optional<byte[]>> newCopies) {
+        tableCopies = newCopies;
     }
 
     ForwardMeters forwardMeters() {
-        return new Forwards();
+        return new PrometheusForwardMeters();
     }
 
-    private void answer(ServerExchange caller) {
-        switch (caller.request().path()) {
-            case "/metrics" -> caller.respond(OK, HttpFields.EMPTY, registry.scrape());
-            case "/dump" -> caller.respond(OK, HttpFields.EMPTY, dump.get());
-            default -> copies.apply(caller.request().target())
+    private void handle(ServerExchange exchange) {
+        switch (exchange.request().path()) {
+            case "/metrics" -> exchange.respond(OK, HttpFields.EMPTY, registry.scrape());
+            case "/dump" -> exchange.respond(OK, HttpFields.EMPTY, dump.get());
+            default -> tableCopies
+                    .apply(exchange.request().target())
                     .ifPresentOrElse(
-                            page -> caller.respond(OK, HttpFields.EMPTY, page),
-                            () -> caller.respond(NOT_FOUND, HttpFields.EMPTY, "there are /metrics and /dump"));
+                            body -> exchange.respond(OK, HttpFields.EMPTY, body),
+                            () -> exchange.respond(NOT_FOUND, HttpFields.EMPTY, "there are /metrics and /dump"));
         }
     }
 
-    private final class Forwards implements ForwardMeters {
+    private final class PrometheusForwardMeters implements ForwardMeters {
 
         private final Map<Integer, Timer> byStatus = new HashMap<>();
         private final Counter unrouted = Counter.builder("forward.unrouted").register(registry);
@@ -83,7 +84,7 @@
         private Timer timer(int status) {
             return Timer.builder("forward.requests")
                     .tag("status", Integer.toString(status))
-                    .serviceLevelObjectives(STEPS)
+                    .serviceLevelObjectives(LATENCY_BUCKETS)
                     .register(registry);
         }
     }
--- a/src/main/java/io/waxwingquay/hosted/Departure.java
+++ b/src/main/java/io/waxwingquay/hosted/GracefulShutdown.java
@@ -20,18 +20,18 @@
  * that finds nothing under way and the exit. Symptom: it is passed on, and cut. So that look also ends admission: nothing
  * can come under way afterwards, however long the exit itself takes.
  */
-final class Departure {
+final class GracefulShutdown {
 
     /** The platform looks once a second and passes a process over after two misses. */
-    private static final long UNNOTICED_MILLIS = 2_600L;
+    private static final long READINESS_LAG_MILLIS = 2_600L;
 
-    private static final long LOOK_MILLIS = 50L;
+    private static final long IDLE_CHECK_MILLIS = 50L;
 
     /** Left of the grace time for the exit itself. */
-    private static final long EXIT_MILLIS = 500L;
+    private static final long EXIT_RESERVE_MILLIS = 500L;
 
     /** Time for the last answers to leave. */
-    private static final long LAST_ANSWERS_MILLIS = 60L;
+    private static final long FLUSH_MILLIS = 60L;
 
     private static final System.Logger LOG = System.getLogger("waxwingquay.hosted");
 
@@ -40,10 +40,11 @@
     private final OpenRequests requests;
     private final long graceMillis;
     private final LongSupplier clockMillis;
-    private final CompletableFuture<Void> done = new CompletableFuture<>();
-    private final AtomicBoolean underWay = new AtomicBoolean();
+    private final CompletableFuture<Void> completion = new CompletableFuture<>();
+    private final AtomicBoolean started = new AtomicBoolean();
 
-    Departure(EventLoop loop, HttpServer server, OpenRequests requests, long graceMillis, LongSupplier clockMillis) {
+    GracefulShutdown(
+            EventLoop loop, HttpServer server, OpenRequests requests, long graceMillis, LongSupplier clockMillis) {
         this.loop = loop;
         this.server = server;
         this.requests = requests;
@@ -51,49 +52,49 @@
         this.clockMillis = clockMillis;
     }
 
-    boolean isUnderWay() {
-        return underWay.get();
+    boolean isStarted() {
+        return started.get();
     }
 
     /** Begins to leave; a second signal changes nothing, as the grace time goes on from the first. */
-    CompletableFuture<Void> begin() {
-        if (underWay.compareAndSet(false, true)) {
-            long lastMillis = clockMillis.getAsLong() + graceMillis - EXIT_MILLIS;
-            loop.execute(() -> leave(lastMillis));
+    CompletableFuture<Void> start() {
+        if (started.compareAndSet(false, true)) {
+            long exitDeadlineMillis = clockMillis.getAsLong() + graceMillis - EXIT_RESERVE_MILLIS;
+            loop.execute(() -> drain(exitDeadlineMillis));
         }
-        return done;
+        return completion;
     }
 
-    private void leave(long lastMillis) {
+    private void drain(long exitDeadlineMillis) {
         LOG.log(System.Logger.Level.INFO, "hosted: leaving active={0}", requests.activeCount());
         server.startDraining();
-        loop.schedule(UNNOTICED_MILLIS, () -> {
-            requests.leaveWithin(lastMillis - clockMillis.getAsLong());
-            look(lastMillis);
+        loop.schedule(READINESS_LAG_MILLIS, () -> {
+            requests.leaveWithin(exitDeadlineMillis - clockMillis.getAsLong());
+            exitWhenIdle(exitDeadlineMillis);
         });
     }
 
-    private void look(long lastMillis) {
+    private void exitWhenIdle(long exitDeadlineMillis) {
         server.closeIdle();
         if (requests.activeCount() == 0 && server.connectionCount() == 0) {
-            exitSoon();
-        } else if (clockMillis.getAsLong() > lastMillis) {
+            stopAdmission();
+        } else if (clockMillis.getAsLong() > exitDeadlineMillis) {
             // After a stall answers lie unread; they are read before this is run.
-            loop.schedule(0, this::exitSoon);
+            loop.schedule(0, this::stopAdmission);
         } else {
-            loop.schedule(LOOK_MILLIS, () -> look(lastMillis));
+            loop.schedule(IDLE_CHECK_MILLIS, () -> exitWhenIdle(exitDeadlineMillis));
         }
     }
 
-    private void exitSoon() {
+    private void stopAdmission() {
         LOG.log(System.Logger.Level.INFO, "hosted: left active={0}", requests.activeCount());
         requests.endAdmission();
-        loop.schedule(LAST_ANSWERS_MILLIS, this::end);
+        loop.schedule(FLUSH_MILLIS, this::complete);
     }
 
     /** A request that the exit cuts ends without a line of its own, so that its id is told here. */
-    private void end() {
+    private void complete() {
         LOG.log(System.Logger.Level.INFO, "hosted: exits unanswered={0}", requests.activeIds());
-        done.complete(null);
+        completion.complete(null);
     }
 }
--- a/src/main/java/io/waxwingquay/hosted/HostedEntry.java
+++ b/src/main/java/io/waxwingquay/hosted/HostedEntry.java
@@ -36,27 +36,27 @@
 public final class HostedEntry implements HostedProcess {
 
     /** The processes beside engines are told this often what is asked for here. */
-    private static final long TELL_MILLIS = 250L;
+    private static final long UPDATE_INTERVAL_MILLIS = 250L;
 
     /** A change that can't wait is told at once, but no more often than this. */
-    private static final long TELL_SOON_MILLIS = 40L;
+    private static final long URGENT_UPDATE_DELAY_MILLIS = 40L;
 
     /** Until it is heard how many entries there are, each takes no more than this part of what they share. */
-    private static final int ASSUMED_ENTRIES = 8;
+    private static final int ASSUMED_ENTRY_COUNT = 8;
 
     /** Well within the two seconds in which a new configuration must be in force. */
-    private static final long CONFIGURATION_GATHER_MILLIS = 300L;
+    private static final long CONFIGURATION_BATCH_MILLIS = 300L;
 
     /** What engines hold is heard from beside them; the list is for who comes and leaves, in this part of the time allowed. */
-    private static final double REPLICA_GATHER_SHARE = 1.0 / 3;
+    private static final double REPLICA_BATCH_FRACTION = 1.0 / 3;
 
     /** A configuration is told of within its gathering and a datagram's way; one that is not by then was missed. */
-    private static final long CONFIGURATION_PATIENCE_MILLIS = 700L;
+    private static final long MAX_CONFIGURATION_LAG_MILLIS = 700L;
 
     /** Entries read a change of the list within the time of gathering and this; one that has not by then has missed it. */
-    private static final long REPLICA_MARGIN_MILLIS = 100L;
+    private static final long REPLICA_LAG_MARGIN_MILLIS = 100L;
 
-    private static final long COPY_LOOK_MILLIS = 200L;
+    private static final long COPY_CHECK_MILLIS = 200L;
 
     private static final int OK = 200;
     private static final int UNAVAILABLE = 503;
@@ -69,62 +69,62 @@
     private final ReplicaDirectory replicas;
     private final SharedSuspects suspects;
     private final PeerChannel peers;
-    private final AdminPages admin;
-    private final Departure departure;
+    private final AdminServer adminServer;
+    private final GracefulShutdown gracefulShutdown;
     private final PreparedPlatform platform;
-    private final TableWatch<Manifest> manifestWatch;
+    private final TableWatch<Manifest> configurationWatch;
     private final TableWatch<ReplicaRecord> replicaWatch;
-    private final CopyReader<Manifest> manifestCopies;
+    private final CopyReader<Manifest> configurationCopies;
     private final CopyReader<ReplicaRecord> replicaCopies;
-    private boolean tellingSoon;
+    private boolean urgentUpdateScheduled;
 
     private HostedEntry(EventLoop loop, HostSettings settings) {
         this.settings = settings;
         this.loop = loop;
-        this.admin = new AdminPages(loop, new HostPort(settings.host(), settings.adminPort()));
-        this.peers = new PeerChannel(loop, new HostPort(settings.host(), settings.peerPort()), this::received);
+        this.adminServer = new AdminServer(loop, new HostPort(settings.host(), settings.adminPort()));
+        this.peers = new PeerChannel(loop, new HostPort(settings.host(), settings.peerPort()), this::onDatagram);
         RandomGenerator random = RandomGenerator.of("L64X128MixRandom");
         this.suspects = new SharedSuspects(EventLoop::nowMillis, random);
         this.forwarder = new Forwarder(
                 loop,
                 forwardSettings(settings),
                 new HeaderCodec(),
-                admin.forwardMeters(),
-                new Telling(),
-                new Suspects(suspects, EventLoop::nowMillis, this::suspectsChanged),
+                adminServer.forwardMeters(),
+                new PeerMessages(),
+                new Suspects(suspects, EventLoop::nowMillis, this::onSuspectsChanged),
                 random);
         this.replicas = new ReplicaDirectory(EventLoop::nowMillis, forwarder.replicas());
-        HostPort callers = needed(settings.callerAddress(), "listen.front");
-        HostPort readiness = needed(settings.readinessAddress(), "listen.ready");
-        this.server = HttpServer.listen(loop, socket(callers), forwarder);
-        HttpServer.listen(loop, socket(readiness), this::readiness);
-        this.departure =
-                new Departure(loop, server, forwarder, settings.bounds().graceMillis(), EventLoop::nowMillis);
+        HostPort callerAddress = required(settings.callerAddress(), "listen.front");
+        HostPort readinessAddress = required(settings.readinessAddress(), "listen.ready");
+        this.server = HttpServer.listen(loop, socketAddress(callerAddress), forwarder);
+        HttpServer.listen(loop, socketAddress(readinessAddress), this::answerReadiness);
+        this.gracefulShutdown =
+                new GracefulShutdown(loop, server, forwarder, settings.bounds().graceMillis(), EventLoop::nowMillis);
         this.platform = new PreparedPlatform(loop, settings.storeAddress());
-        this.manifestWatch = new TableWatch<>(
+        this.configurationWatch = new TableWatch<>(
                 loop,
                 "configuration",
                 platform.configurationTable(),
-                CONFIGURATION_GATHER_MILLIS,
-                new Configurations());
-        this.replicaWatch =
-                new TableWatch<>(loop, "replicas", platform.replicaTable(), replicaGatherMillis(), replicas);
-        this.manifestCopies = new CopyReader<>(
+                CONFIGURATION_BATCH_MILLIS,
+                new ConfigurationListener());
+        this.replicaWatch = new TableWatch<>(loop, "replicas", platform.replicaTable(), replicaBatchMillis(), replicas);
+        this.configurationCopies = new CopyReader<>(
                 "configuration",
-                () -> manifestWatch.isReachable() ? CONFIGURATION_PATIENCE_MILLIS : 0,
+                () -> configurationWatch.isReachable() ? MAX_CONFIGURATION_LAG_MILLIS : 0,
                 platform::configurationTableAt,
                 this::configurationVersion,
-                manifestWatch::adopt);
+                configurationWatch::adopt);
         this.replicaCopies = new CopyReader<>(
                 "replicas",
-                () -> replicaWatch.isReachable() ? replicaGatherMillis() + REPLICA_MARGIN_MILLIS : 0,
+                () -> replicaWatch.isReachable() ? replicaBatchMillis() + REPLICA_LAG_MARGIN_MILLIS : 0,
                 platform::replicaTableAt,
                 replicaWatch::version,
                 replicaWatch::adopt);
-        admin.copies(platform::encodedCopy);
-        admin.dump(() -> "active=" + forwarder.activeCount() + " engines_heard=" + forwarder.heardCount() + " suspects="
-                + suspects.count() + " missing=" + replicas.missing() + " replicas=" + replicas.replicas());
-        loop.execute(this::begin);
+        adminServer.tableCopies(platform::encodedCopy);
+        adminServer.dump(
+                () -> "active=" + forwarder.activeCount() + " engines_heard=" + forwarder.heardCount() + " suspects="
+                        + suspects.count() + " missing=" + replicas.missing() + " replicas=" + replicas.replicas());
+        loop.execute(this::startTasks);
     }
 
     /**
@@ -141,24 +141,24 @@
     /** {@inheritDoc} */
     @Override
     public CompletableFuture<Void> shutdown() {
-        return departure.begin();
+        return gracefulShutdown.start();
     }
 
-    private void begin() {
-        manifestWatch.start();
+    private void startTasks() {
+        configurationWatch.start();
         replicaWatch.start();
         List<HostPort> seeds = settings.seedHosts().stream()
                 .filter(host -> !host.equals(settings.host()))
-                .map(this::copiesAt)
+                .map(this::adminAddressOf)
                 .toList();
-        manifestCopies.seeds(seeds);
+        configurationCopies.seeds(seeds);
         replicaCopies.seeds(seeds);
-        loop.every(COPY_LOOK_MILLIS, () -> {
-            manifestCopies.look(EventLoop.nowMillis());
+        loop.every(COPY_CHECK_MILLIS, () -> {
+            configurationCopies.look(EventLoop.nowMillis());
             replicaCopies.look(EventLoop.nowMillis());
         });
         loop.every(ReplicaDirectory.LAPSE_MILLIS / 8, replicas::settle);
-        loop.every(TELL_MILLIS, this::tell);
+        loop.every(UPDATE_INTERVAL_MILLIS, this::sendUpdates);
         LOG.log(
                 System.Logger.Level.INFO,
                 "hosted: entry started node={0} zone={1}",
@@ -166,7 +166,7 @@
                 settings.dataCentre());
     }
 
-    private void suspectsChanged() {
+    private void onSuspectsChanged() {
         forwarder.tellSoon();
     }
 
@@ -175,26 +175,28 @@
     }
 
     /** Our processes answer for their copies at the same port on every VM. */
-    private HostPort copiesAt(String host) {
+    private HostPort adminAddressOf(String host) {
         return new HostPort(host, settings.adminPort());
     }
 
-    private long replicaGatherMillis() {
-        return (long) (settings.bounds().drainMillis() * REPLICA_GATHER_SHARE);
+    private long replicaBatchMillis() {
+        return (long) (settings.bounds().drainMillis() * REPLICA_BATCH_FRACTION);
     }
 
-    private void readiness(ServerExchange caller) {
-        boolean isAsked = caller.request().path().equals(PreparedPlatform.READINESS_PATH);
-        boolean ready =
-                isAsked && !departure.isUnderWay() && forwarder.manifest().isPresent() && replicas.isComplete();
-        caller.respond(ready ? OK : UNAVAILABLE, HttpFields.EMPTY, ready ? "ready" : "not ready");
+    private void answerReadiness(ServerExchange exchange) {
+        boolean isReadinessPath = exchange.request().path().equals(PreparedPlatform.READINESS_PATH);
+        boolean ready = isReadinessPath
+                && !gracefulShutdown.isStarted()
+                && forwarder.manifest().isPresent()
+                && replicas.isComplete();
+        exchange.respond(ready ? OK : UNAVAILABLE, HttpFields.EMPTY, ready ? "ready" : "not ready");
     }
 
-    private void received(HostPort sender, PeerDatagram datagram) {
+    private void onDatagram(HostPort sender, PeerDatagram datagram) {
         if (datagram.isSetEngine()) {
             forwarder.engineNews(datagram.getEngine());
             suspects.take(datagram.getEngine().getSuspects());
-            tablesTold(datagram.getEngine());
+            onTableVersions(datagram.getEngine());
         } else if (datagram.isSetAdapterReply()) {
             forwarder.adapterReply(
                     datagram.getAdapterReply().getId(),
@@ -202,35 +204,36 @@
         }
     }
 
-    private void tablesTold(EngineNews news) {
-        if (news.isSetNewestTables() && news.isSetNewestTablesHost()) {
-            HostPort holder = copiesAt(news.getNewestTablesHost());
-            manifestCopies.told(news.getNewestTables().getConfiguration(), holder);
-            replicaCopies.told(news.getNewestTables().getReplicaList(), holder);
+    private void onTableVersions(EngineNews update) {
+        if (update.isSetNewestTables() && update.isSetNewestTablesHost()) {
+            HostPort holder = adminAddressOf(update.getNewestTablesHost());
+            configurationCopies.told(update.getNewestTables().getConfiguration(), holder);
+            replicaCopies.told(update.getNewestTables().getReplicaList(), holder);
         }
     }
 
-    private void tell() {
-        TableVersions tables = new TableVersions(configurationVersion(), replicaWatch.changedVersion());
-        List<SuspectNews> page = suspects.page();
+    private void sendUpdates() {
+        TableVersions versions = new TableVersions(configurationVersion(), replicaWatch.changedVersion());
+        List<SuspectNews> suspectPage = suspects.page();
         forwarder
                 .news(settings.vmName())
-                .forEach((engine, news) -> peers.send(
-                        beside(engine),
-                        PeerDatagram.entry(news.setTables(tables).setSuspects(page.isEmpty() ? null : page))));
+                .forEach((engine, update) -> peers.send(
+                        sideAddressOf(engine),
+                        PeerDatagram.entry(
+                                update.setTables(versions).setSuspects(suspectPage.isEmpty() ? null : suspectPage))));
     }
 
     /** Our processes take datagrams at the same port on every VM. */
-    private HostPort beside(HostPort engine) {
+    private HostPort sideAddressOf(HostPort engine) {
         return new HostPort(engine.host(), settings.peerPort());
     }
 
-    private static HostPort needed(Optional<HostPort> address, String element) {
+    private static HostPort required(Optional<HostPort> address, String element) {
         return address.orElseThrow(() -> new IllegalArgumentException(
                 element + ": is missing; this role takes callers' requests and tells whether it is ready"));
     }
 
-    private static InetSocketAddress socket(HostPort address) {
+    private static InetSocketAddress socketAddress(HostPort address) {
         return new InetSocketAddress(address.host(), address.port());
     }
 
@@ -239,32 +242,32 @@
                 settings.dataCentre(),
                 settings.bounds().retryBudgetRatio(),
                 settings.bounds().retryBudgetSlack(),
-                ASSUMED_ENTRIES);
+                ASSUMED_ENTRY_COUNT);
     }
 
-    private final class Telling implements EngineMessages {
+    private final class PeerMessages implements EngineMessages {
 
         /** {@inheritDoc} */
         @Override
         public void askAdapter(HostPort engine, long id, String model, String adapter) {
-            peers.send(beside(engine), PeerDatagram.adapterCall(new AdapterCall(id, model, adapter)));
+            peers.send(sideAddressOf(engine), PeerDatagram.adapterCall(new AdapterCall(id, model, adapter)));
         }
 
         /** {@inheritDoc} */
         @Override
         public void demandChanged() {
-            if (!tellingSoon) {
-                tellingSoon = true;
-                loop.schedule(TELL_SOON_MILLIS, () -> {
-                    tellingSoon = false;
-                    tell();
+            if (!urgentUpdateScheduled) {
+                urgentUpdateScheduled = true;
+                loop.schedule(URGENT_UPDATE_DELAY_MILLIS, () -> {
+                    urgentUpdateScheduled = false;
+                    sendUpdates();
                 });
             }
         }
     }
 
     /** Puts each new configuration in force. */
-    private final class Configurations implements TableWatch.Listener<Manifest> {
+    private final class ConfigurationListener implements TableWatch.Listener<Manifest> {
 
         /** {@inheritDoc} */
         @Override
--- a/src/main/java/io/waxwingquay/hosted/HostedSide.java
+++ b/src/main/java/io/waxwingquay/hosted/HostedSide.java
@@ -26,7 +26,7 @@
 public final class HostedSide implements HostedProcess {
 
     /** Pause before the configuration is read again; it is needed only when models are added or dropped. */
-    private static final long READ_AGAIN_MILLIS = 1_000L;
+    private static final long CONFIGURATION_CHECK_MILLIS = 1_000L;
 
     private static final System.Logger LOG = System.getLogger("waxwingquay.hosted");
 
@@ -35,24 +35,24 @@
     private final String service;
     private final EngineKeeper keeper;
     private final PreparedPlatform platform;
-    private final WatchedTable<Manifest> manifests;
-    private boolean known;
-    private boolean reading;
+    private final WatchedTable<Manifest> configurationTable;
+    private boolean configurationKnown;
+    private boolean readInProgress;
 
     private HostedSide(EventLoop loop, HostSettings settings, HostPort engine) {
         this.settings = settings;
         this.loop = loop;
         this.service = settings.service().orElse("");
         this.platform = new PreparedPlatform(loop, settings.storeAddress());
-        this.manifests = platform.configurationTable();
+        this.configurationTable = platform.configurationTable();
         WeightLoadPace pace = new WeightLoadPace(
                 settings.bounds().loadWindowMillis(), settings.bounds().loadBurstFactor());
         if (!settings.firstStart()) {
             pace.startedAgain(EventLoop.nowMillis());
         }
         this.keeper = new EngineKeeper(
-                loop, engine, service, platform.engineControl(engine, settings.vmName()), new Datagrams(), pace);
-        loop.execute(this::begin);
+                loop, engine, service, platform.engineControl(engine, settings.vmName()), new PeerSender(), pace);
+        loop.execute(this::startTasks);
     }
 
     /**
@@ -75,12 +75,12 @@
         return CompletableFuture.completedFuture(null);
     }
 
-    private void begin() {
+    private void startTasks() {
         keeper.start();
         readConfiguration();
         platform.replicaTable().readAll().thenAccept(this::readEarlierModels);
-        loop.every(READ_AGAIN_MILLIS, () -> {
-            if (!known || keeper.isConfigurationOld()) {
+        loop.every(CONFIGURATION_CHECK_MILLIS, () -> {
+            if (!configurationKnown || keeper.isConfigurationOld()) {
                 readConfiguration();
             }
         });
@@ -100,13 +100,13 @@
     }
 
     private void readConfiguration() {
-        if (reading) {
+        if (readInProgress) {
             return;
         }
-        reading = true;
-        manifests.readAll().whenComplete((page, failure) -> {
+        readInProgress = true;
+        configurationTable.readAll().whenComplete((page, failure) -> {
             if (failure == null) {
-                reading = false;
+                readInProgress = false;
                 apply(page);
             } else {
                 LOG.log(System.Logger.Level.WARNING, "hosted: configuration not read cause={0}", failure.getMessage());
@@ -119,11 +119,11 @@
     private void readCopy() {
         Optional<HostPort> holder = keeper.configurationHost().map(host -> new HostPort(host, settings.adminPort()));
         if (holder.isEmpty()) {
-            reading = false;
+            readInProgress = false;
             return;
         }
         platform.configurationTableAt(holder.get()).readAll().whenComplete((page, failure) -> {
-            reading = false;
+            readInProgress = false;
             if (failure == null) {
                 apply(page);
             }
@@ -132,20 +132,20 @@
 
     private void apply(WatchedTable.Page<Manifest> page) {
         page.rows().forEach(row -> row.value().ifPresent(manifest -> {
-            known = true;
+            configurationKnown = true;
             keeper.engine(manifest.engine(service));
         }));
     }
 
-    private final class Datagrams implements EngineKeeper.Sender {
+    private final class PeerSender implements EngineKeeper.Sender {
 
-        private final SuspectRelay suspects =
+        private final SuspectRelay suspectRelay =
                 new SuspectRelay(new SharedSuspects(EventLoop::nowMillis, RandomGenerator.of("L64X128MixRandom")));
         private final PeerChannel channel =
-                new PeerChannel(loop, new HostPort(settings.host(), settings.peerPort()), this::received);
+                new PeerChannel(loop, new HostPort(settings.host(), settings.peerPort()), this::onDatagram);
 
-        private void received(HostPort sender, PeerDatagram datagram) {
-            suspects.heard(datagram);
+        private void onDatagram(HostPort sender, PeerDatagram datagram) {
+            suspectRelay.heard(datagram);
             keeper.received(sender, datagram);
         }
 
@@ -158,7 +158,7 @@
         /** {@inheritDoc} */
         @Override
         public void send(Set<HostPort> targets, PeerDatagram datagram) {
-            suspects.tell(datagram);
+            suspectRelay.tell(datagram);
             byte[] encoded = channel.encode(datagram);
             targets.forEach(target -> channel.send(target, encoded));
         }
--- a/src/main/java/io/waxwingquay/net/ClientConnection.java
+++ b/src/main/java/io/waxwingquay/net/ClientConnection.java
@@ -32,9 +32,9 @@
     private HttpFields.Mutable fields = HttpFields.build();
     private int status;
     private HttpVersion version;
-    private boolean sent;
-    private boolean complete;
-    private boolean broken;
+    private boolean mayHaveBeenSent;
+    private boolean responseComplete;
+    private boolean unusable;
     private long idleSinceMillis = EventLoop.nowMillis();
     private Optional<Long> idleLimitMillis = Optional.empty();
 
@@ -47,22 +47,22 @@
     @Override
     public void onOpen() {
         super.onOpen();
-        pool.opened(this);
+        pool.onOpened(this);
     }
 
     /**
      * Whether a request may be sent here.
      *
-     * @param mayRepeat whether the request may be repeated; one that may not gets a connection that surely lives on.
+     * @param idempotent whether the request may be repeated; one that may not gets a connection that surely lives on.
      */
-    boolean isUsable(boolean mayRepeat, long nowMillis) {
-        if (broken || listener != null || !getEndPoint().isOpen()) {
+    boolean isUsable(boolean idempotent, long nowMillis) {
+        if (unusable || listener != null || !getEndPoint().isOpen()) {
             return false;
         }
         long idleMillis = nowMillis - idleSinceMillis;
-        long limitMillis =
+        long maxIdleMillis =
                 idleLimitMillis.map(limit -> limit - IDLE_MARGIN_MILLIS).orElse(UNKNOWN_IDLE_MILLIS);
-        return idleLimitMillis.isEmpty() && mayRepeat || idleMillis < limitMillis;
+        return idleLimitMillis.isEmpty() && idempotent || idleMillis < maxIdleMillis;
     }
 
     /**
@@ -72,39 +72,40 @@
      * before the end is read. Symptom: a request that may run once fails as one that may have run, though nobody got it.
      * What the kernel knows at this moment is all that can be known before sending; a close on its way is not.
      */
-    boolean isAlive() {
+    boolean readAndCheckOpen() {
         onFillable();
-        return !broken && getEndPoint().isOpen();
+        return !unusable && getEndPoint().isOpen();
     }
 
     void send(ClientRequest request, ClientListener newListener) {
         listener = newListener;
         fields = HttpFields.build();
-        complete = false;
+        responseComplete = false;
         parser.reset();
         parser.setHeadResponse("HEAD".equals(request.method()));
-        int roomBytes = request.target().length() + request.body().length + OUTPUT_SLACK_BYTES;
+        int requiredBytes = request.target().length() + request.body().length + OUTPUT_SLACK_BYTES;
         for (HttpField field : request.fields()) {
-            roomBytes +=
+            requiredBytes +=
                     field.getName().length() + String.valueOf(field.getValue()).length() + 4;
         }
-        ByteBuffer shared = loop().output();
-        ByteBuffer buffer = roomBytes <= shared.capacity() ? shared : ByteBuffer.allocate(roomBytes);
+        ByteBuffer sharedBuffer = loop().outputBuffer();
+        ByteBuffer buffer =
+                requiredBytes <= sharedBuffer.capacity() ? sharedBuffer : ByteBuffer.allocate(requiredBytes);
         MessageHead.putRequestLine(buffer, request.method(), request.target());
         MessageHead.putFields(buffer, request.fields());
-        if (request.body().length > 0 || hasBodyByMethod(request.method())) {
+        if (request.body().length > 0 || expectsContent(request.method())) {
             MessageHead.put(buffer, "Content-Length: " + request.body().length + "\r\n");
         }
         MessageHead.putEnd(buffer);
         buffer.put(request.body());
-        sent = send(buffer.flip());
+        mayHaveBeenSent = send(buffer.flip());
     }
 
-    void cancel(ClientListener of) {
-        if (listener == of) {
+    void cancel(ClientListener expected) {
+        if (listener == expected) {
             listener = null;
-            broken = true;
-            pool.closed(this);
+            unusable = true;
+            pool.onClosed(this);
             closeWithReset();
         }
     }
@@ -113,66 +114,66 @@
     void onInput(ByteBuffer bytes) {
         if (listener == null) {
             // Bytes that no request asked for: whatever comes next here can't be told from an answer.
-            breakOff("bytes without a request");
+            fail("bytes without a request");
             return;
         }
-        while (bytes.hasRemaining() && listener != null && !complete && !broken) {
+        while (bytes.hasRemaining() && listener != null && !responseComplete && !unusable) {
             parser.parseNext(bytes);
-            if (parser.isComplete() && status < FIRST_FINAL_STATUS && !complete) {
+            if (parser.isComplete() && status < FIRST_FINAL_STATUS && !responseComplete) {
                 fields = HttpFields.build();
                 parser.reset();
             }
         }
-        if (complete) {
-            finish(bytes.hasRemaining());
+        if (responseComplete) {
+            finishResponse(bytes.hasRemaining());
         }
     }
 
     @Override
     void onInputEnd(Throwable cause) {
-        if (cause == null && listener != null && !complete) {
+        if (cause == null && listener != null && !responseComplete) {
             parser.atEOF();
             parser.parseNext(ByteBuffer.allocate(0));
         }
-        if (complete && listener != null) {
-            finish(true);
+        if (responseComplete && listener != null) {
+            finishResponse(true);
         }
-        breakOff(describe(cause));
+        fail(describe(cause));
     }
 
-    private void finish(boolean surplus) {
-        ClientListener done = listener;
+    private void finishResponse(boolean hasSurplusBytes) {
+        ClientListener completed = listener;
         listener = null;
-        boolean closes = surplus
-                || isWriting()
+        boolean closesConnection = hasSurplusBytes
+                || isWriteInProgress()
                 || version != HttpVersion.HTTP_1_1
                 || fields.contains(HttpHeader.CONNECTION, HttpHeaderValue.CLOSE.asString());
         idleSinceMillis = EventLoop.nowMillis();
         idleLimitMillis = MessageHead.keepAliveSeconds(fields).map(seconds -> seconds * MILLIS_PER_SECOND);
-        if (closes) {
-            broken = true;
-            pool.closed(this);
+        if (closesConnection) {
+            unusable = true;
+            pool.onClosed(this);
             getEndPoint().close();
         } else {
-            pool.idle(this);
+            pool.release(this);
         }
-        done.onComplete();
+        completed.onComplete();
     }
 
-    private void breakOff(String why) {
-        if (!broken) {
-            broken = true;
-            pool.closed(this);
+    private void fail(String reason) {
+        if (!unusable) {
+            unusable = true;
+            pool.onClosed(this);
         }
         getEndPoint().close();
         if (listener != null) {
-            ClientListener lost = listener;
+            ClientListener failed = listener;
             listener = null;
-            lost.onFailure(sent, why);
+            failed.onFailure(mayHaveBeenSent, reason);
         }
     }
 
-    private static boolean hasBodyByMethod(String method) {
+    private static boolean expectsContent(String method) {
         return "POST".equals(method) || "PUT".equals(method) || "PATCH".equals(method);
     }
 
@@ -218,7 +219,7 @@
     @Override
     public boolean messageComplete() {
         if (status >= FIRST_FINAL_STATUS) {
-            complete = true;
+            responseComplete = true;
         }
         return true;
     }
@@ -226,12 +227,12 @@
     /** {@inheritDoc} */
     @Override
     public void earlyEOF() {
-        breakOff("the answer ended early");
+        fail("the answer ended early");
     }
 
     /** {@inheritDoc} */
     @Override
     public void badMessage(HttpException failure) {
-        breakOff("the answer can't be read: " + failure.getReason());
+        fail("the answer can't be read: " + failure.getReason());
     }
 }
--- a/src/main/java/io/waxwingquay/net/ClientListener.java
+++ b/src/main/java/io/waxwingquay/net/ClientListener.java
@@ -29,8 +29,8 @@
     /**
      * There is no whole answer.
      *
-     * @param sent whether any byte of the request may have left; {@code false} only if the peer certainly saw none.
-     * @param why what happened, for logs.
+     * @param mayHaveBeenSent whether any byte of the request may have left; {@code false} only if the peer certainly saw none.
+     * @param reason what happened, for logs.
      */
-    void onFailure(boolean sent, String why);
+    void onFailure(boolean mayHaveBeenSent, String reason);
 }
--- a/src/main/java/io/waxwingquay/net/ClientPool.java
+++ b/src/main/java/io/waxwingquay/net/ClientPool.java
@@ -16,11 +16,11 @@
 
     private final EventLoop loop;
     private final InetSocketAddress address;
-    private final Deque<ClientConnection> idle = new ArrayDeque<>();
-    private final Set<ClientConnection> all = new HashSet<>();
-    private final Deque<Opening> openings = new ArrayDeque<>();
+    private final Deque<ClientConnection> idleConnections = new ArrayDeque<>();
+    private final Set<ClientConnection> connections = new HashSet<>();
+    private final Deque<PendingCall> pendingCalls = new ArrayDeque<>();
     private int maxConnections;
-    private int connecting;
+    private int connectingCount;
 
     /**
      * A pool without a connection yet.
@@ -50,7 +50,7 @@
      * @return whether a connection is idle or may be opened.
      */
     public boolean hasCapacity() {
-        return !idle.isEmpty() || all.size() + connecting < maxConnections;
+        return !idleConnections.isEmpty() || connections.size() + connectingCount < maxConnections;
     }
 
     /**
@@ -61,23 +61,23 @@
      * @return the call, to give it up.
      */
     public ClientCall send(ClientRequest request, ClientListener listener) {
-        Opening opening = new Opening(request, listener);
-        Optional<ClientConnection> ready = takeIdle(request.idempotent());
-        if (ready.isPresent()) {
-            opening.sendOver(ready.get());
-            return opening;
+        PendingCall call = new PendingCall(request, listener);
+        Optional<ClientConnection> idleConnection = takeIdle(request.idempotent());
+        if (idleConnection.isPresent()) {
+            call.sendOver(idleConnection.get());
+            return call;
         }
-        if (all.size() + connecting >= maxConnections) {
-            loop.execute(() -> opening.fail("all " + maxConnections + " connections are taken"));
-            return opening;
+        if (connections.size() + connectingCount >= maxConnections) {
+            loop.execute(() -> call.fail("all " + maxConnections + " connections are taken"));
+            return call;
         }
-        openings.add(opening);
-        connecting++;
+        pendingCalls.add(call);
+        connectingCount++;
         loop.connect(address, endPoint -> new ClientConnection(endPoint, loop, this), failure -> {
-            connecting--;
-            Optional.ofNullable(openings.poll()).ifPresent(first -> first.fail("no connection: " + failure));
+            connectingCount--;
+            Optional.ofNullable(pendingCalls.poll()).ifPresent(first -> first.fail("no connection: " + failure));
         });
-        return opening;
+        return call;
     }
 
     /**
@@ -86,56 +86,56 @@
      * @return the number.
      */
     public int busyCount() {
-        return all.size() - idle.size() + connecting;
+        return connections.size() - idleConnections.size() + connectingCount;
     }
 
     /** Gives back the requests that wait for a connection: the server is not to get them any more. */
     public void failWaiting() {
-        openings.forEach(Opening::withdraw);
+        pendingCalls.forEach(PendingCall::failLater);
     }
 
     /** {@inheritDoc} */
     @Override
     public void close() {
         failWaiting();
-        new ArrayList<>(idle).forEach(ClientConnection::close);
-        idle.clear();
+        new ArrayList<>(idleConnections).forEach(ClientConnection::close);
+        idleConnections.clear();
         maxConnections = 0;
     }
 
-    void opened(ClientConnection connection) {
-        connecting--;
-        all.add(connection);
-        Opening first = openings.poll();
+    void onOpened(ClientConnection connection) {
+        connectingCount--;
+        connections.add(connection);
+        PendingCall first = pendingCalls.poll();
         while (first != null && first.cancelled) {
-            first = openings.poll();
+            first = pendingCalls.poll();
         }
         if (first == null) {
-            idle(connection);
+            release(connection);
             return;
         }
         first.sendOver(connection);
     }
 
-    void idle(ClientConnection connection) {
-        if (all.size() > maxConnections) {
-            closed(connection);
+    void release(ClientConnection connection) {
+        if (connections.size() > maxConnections) {
+            onClosed(connection);
             connection.close();
             return;
         }
-        idle.push(connection);
+        idleConnections.push(connection);
     }
 
-    void closed(ClientConnection connection) {
-        all.remove(connection);
-        idle.remove(connection);
+    void onClosed(ClientConnection connection) {
+        connections.remove(connection);
+        idleConnections.remove(connection);
     }
 
-    private Optional<ClientConnection> takeIdle(boolean mayRepeat) {
+    private Optional<ClientConnection> takeIdle(boolean idempotent) {
         long nowMillis = EventLoop.nowMillis();
-        for (ClientConnection connection : List.copyOf(idle)) {
-            if (connection.isUsable(mayRepeat, nowMillis) && (mayRepeat || connection.isAlive())) {
-                idle.remove(connection);
+        for (ClientConnection connection : List.copyOf(idleConnections)) {
+            if (connection.isUsable(idempotent, nowMillis) && (idempotent || connection.readAndCheckOpen())) {
+                idleConnections.remove(connection);
                 return Optional.of(connection);
             }
         }
@@ -143,21 +143,21 @@
     }
 
     /** A request and, once there is one, its connection. */
-    private final class Opening implements ClientCall {
+    private final class PendingCall implements ClientCall {
 
         private final ClientRequest request;
         private final ClientListener listener;
         private ClientConnection connection;
         private boolean cancelled;
 
-        private Opening(ClientRequest request, ClientListener listener) {
+        private PendingCall(ClientRequest request, ClientListener listener) {
             this.request = request;
             this.listener = listener;
         }
 
-        private void sendOver(ClientConnection over) {
-            connection = over;
-            over.send(request, listener);
+        private void sendOver(ClientConnection assigned) {
+            connection = assigned;
+            assigned.send(request, listener);
         }
 
         /** {@inheritDoc} */
@@ -176,16 +176,16 @@
         }
 
         /** The listener is told later, as it may well ask for another connection. */
-        private void withdraw() {
+        private void failLater() {
             if (!cancelled) {
                 cancelled = true;
                 loop.execute(() -> listener.onFailure(false, "the server is not to be used any more"));
             }
         }
 
-        private void fail(String why) {
+        private void fail(String reason) {
             if (!cancelled) {
-                listener.onFailure(false, why);
+                listener.onFailure(false, reason);
             }
         }
     }
--- a/src/main/java/io/waxwingquay/net/DatagramReader.java
+++ b/src/main/java/io/waxwingquay/net/DatagramReader.java
@@ -28,16 +28,16 @@
     /** {@inheritDoc} */
     @Override
     public void onFillable() {
-        ByteBuffer buffer = loop().input();
+        ByteBuffer buffer = loop().inputBuffer();
         InetSocketAddress sender = receive(buffer);
         while (sender != null) {
-            take(sender, buffer);
+            deliver(sender, buffer);
             sender = receive(buffer);
         }
         awaitInput();
     }
 
-    private void take(InetSocketAddress sender, ByteBuffer buffer) {
+    private void deliver(InetSocketAddress sender, ByteBuffer buffer) {
         try {
             receiver.accept(sender, buffer);
         } catch (RuntimeException failure) {
--- a/src/main/java/io/waxwingquay/net/EventLoop.java
+++ b/src/main/java/io/waxwingquay/net/EventLoop.java
@@ -43,20 +43,20 @@
     private static final int KEEP_ALIVE_INTERVAL_SECONDS = 1;
     private static final int KEEP_ALIVE_PROBES = 3;
     private static final int ACCEPT_BACKLOG = 1_024;
-    private static final int SCRATCH_BYTES = 65_536;
+    private static final int BUFFER_BYTES = 65_536;
     private static final long NANOS_PER_MILLI = 1_000_000L;
     private static final System.Logger LOG = System.getLogger("waxwingquay.net");
 
-    private final ByteBuffer input = ByteBuffer.allocateDirect(SCRATCH_BYTES);
-    private final ByteBuffer output = ByteBuffer.allocateDirect(SCRATCH_BYTES);
-    private final Queue<Runnable> posted = new ConcurrentLinkedQueue<>();
+    private final ByteBuffer inputBuffer = ByteBuffer.allocateDirect(BUFFER_BYTES);
+    private final ByteBuffer outputBuffer = ByteBuffer.allocateDirect(BUFFER_BYTES);
+    private final Queue<Runnable> postedTasks = new ConcurrentLinkedQueue<>();
     private final TimerQueue timers = new TimerQueue();
-    private final Map<SocketAddress, Function<EndPoint, Connection>> listeners = new HashMap<>();
-    private final Channels channels;
+    private final Map<SocketAddress, Function<EndPoint, Connection>> connectionFactories = new HashMap<>();
+    private final LoopSelectorManager selectorManager;
     private volatile Thread thread;
 
     private EventLoop(String name) {
-        this.channels = new Channels(new Starter(name), new LoopScheduler());
+        this.selectorManager = new LoopSelectorManager(new LoopExecutor(name), new LoopScheduler());
     }
 
     /**
@@ -68,7 +68,7 @@
     public static EventLoop start(String name) {
         EventLoop loop = new EventLoop(name);
         try {
-            loop.channels.start();
+            loop.selectorManager.start();
         } catch (Exception failure) {
             throw new IllegalStateException("the event loop " + name + " can't start", failure);
         }
@@ -91,8 +91,8 @@
      */
     @Override
     public void execute(Runnable task) {
-        posted.add(task);
-        channels.wakeUp();
+        postedTasks.add(task);
+        selectorManager.wakeUp();
     }
 
     /**
@@ -124,11 +124,11 @@
      * Listens for connections.
      *
      * @param address where.
-     * @param connections makes the connection of an accepted channel.
+     * @param connectionFactory makes the connection of an accepted channel.
      * @return the port listened on.
      * @throws UncheckedIOException if the address can't be bound.
      */
-    public int listen(InetSocketAddress address, Function<EndPoint, Connection> connections) {
+    public int listen(InetSocketAddress address, Function<EndPoint, Connection> connectionFactory) {
         try {
             ServerSocketChannel server = ServerSocketChannel.open();
             server.setOption(StandardSocketOptions.SO_REUSEADDR, true);
@@ -136,8 +136,8 @@
             server.configureBlocking(false);
             InetSocketAddress local = (InetSocketAddress) server.getLocalAddress();
             execute(() -> {
-                listeners.put(local, connections);
-                channels.acceptor(server);
+                connectionFactories.put(local, connectionFactory);
+                selectorManager.acceptor(server);
             });
             return local.getPort();
         } catch (IOException failure) {
@@ -149,25 +149,27 @@
      * Opens a connection; called on the loop.
      *
      * @param address where to.
-     * @param connections makes the connection once the channel stands.
-     * @param failed told why none could be made; no byte has left then.
+     * @param connectionFactory makes the connection once the channel stands.
+     * @param onFailure told why none could be made; no byte has left then.
      */
     public void connect(
-            InetSocketAddress address, Function<EndPoint, Connection> connections, Consumer<Throwable> failed) {
-        Connecting connecting = new Connecting(connections, failed);
+            InetSocketAddress address,
+            Function<EndPoint, Connection> connectionFactory,
+            Consumer<Throwable> onFailure) {
+        ChannelAttachment attachment = new ChannelAttachment(connectionFactory, onFailure);
         SocketChannel channel = null;
         try {
             channel = SocketChannel.open();
             channel.configureBlocking(false);
-            prepare(channel);
+            configure(channel);
             if (channel.connect(address)) {
-                channels.accept(channel, connecting);
+                selectorManager.accept(channel, attachment);
             } else {
-                channels.connect(channel, connecting);
+                selectorManager.connect(channel, attachment);
             }
         } catch (IOException | RuntimeException failure) {
             closeQuietly(channel);
-            failed.accept(failure);
+            onFailure.accept(failure);
         }
     }
 
@@ -185,8 +187,9 @@
             DatagramChannel channel = DatagramChannel.open();
             channel.bind(address);
             channel.configureBlocking(false);
-            Function<EndPoint, Connection> connections = point -> new DatagramReader(point, this, channel, receiver);
-            execute(() -> channels.accept(channel, new Connecting(connections, failure -> {})));
+            Function<EndPoint, Connection> connectionFactory =
+                    endPoint -> new DatagramReader(endPoint, this, channel, receiver);
+            execute(() -> selectorManager.accept(channel, new ChannelAttachment(connectionFactory, failure -> {})));
             return new DatagramSocket(channel);
         } catch (IOException failure) {
             throw new UncheckedIOException("can't bind datagrams to " + address, failure);
@@ -197,7 +200,7 @@
     @Override
     public void close() {
         try {
-            channels.stop();
+            selectorManager.stop();
         } catch (Exception failure) {
             LOG.log(System.Logger.Level.WARNING, "net: the event loop did not stop: {0}", failure);
         }
@@ -208,16 +211,16 @@
     }
 
     /** One buffer serves all reads, as each is taken in before the next begins. */
-    ByteBuffer input() {
-        return input;
+    ByteBuffer inputBuffer() {
+        return inputBuffer;
     }
 
-    ByteBuffer output() {
-        output.clear();
-        return output;
+    ByteBuffer outputBuffer() {
+        outputBuffer.clear();
+        return outputBuffer;
     }
 
-    private static void prepare(SocketChannel channel) throws IOException {
+    private static void configure(SocketChannel channel) throws IOException {
         channel.setOption(StandardSocketOptions.TCP_NODELAY, true);
         channel.setOption(StandardSocketOptions.SO_KEEPALIVE, true);
         channel.setOption(ExtendedSocketOptions.TCP_KEEPIDLE, KEEP_ALIVE_IDLE_SECONDS);
@@ -237,17 +240,17 @@
     }
 
     private void runPosted() {
-        for (Runnable task = posted.poll(); task != null; task = posted.poll()) {
-            guarded(task);
+        for (Runnable task = postedTasks.poll(); task != null; task = postedTasks.poll()) {
+            runGuarded(task);
         }
     }
 
     private void runTimers() {
-        timers.due(nowMillis()).forEach(EventLoop::guarded);
+        timers.removeDue(nowMillis()).forEach(EventLoop::runGuarded);
     }
 
     /** A fault in one task must not end the thread that serves all others. */
-    private static void guarded(Runnable task) {
+    private static void runGuarded(Runnable task) {
         try {
             task.run();
         } catch (RuntimeException | Error failure) {
@@ -258,17 +261,17 @@
     /**
      * What becomes of a channel.
      *
-     * @param connections makes its connection.
-     * @param failed told if the channel could not be opened.
+     * @param connectionFactory makes its connection.
+     * @param onFailure told if the channel could not be opened.
      */
-    private record Connecting(Function<EndPoint, Connection> connections, Consumer<Throwable> failed) {}
+    private record ChannelAttachment(Function<EndPoint, Connection> connectionFactory, Consumer<Throwable> onFailure) {}
 
     /** Jetty asks for threads; the first call brings the loop itself, all others are tasks for it. */
-    private final class Starter implements Executor {
+    private final class LoopExecutor implements Executor {
 
         private final String name;
 
-        private Starter(String name) {
+        private LoopExecutor(String name) {
             this.name = name;
         }
 
@@ -305,13 +308,13 @@
     }
 
     /** Jetty's selector, with this loop's timers and tasks run between two selections. */
-    private final class Channels extends SelectorManager {
+    private final class LoopSelectorManager extends SelectorManager {
 
         private static final long CONNECT_TIMEOUT_MILLIS = 1_000L;
 
         private volatile Selector selector;
 
-        private Channels(Executor executor, Scheduler scheduler) {
+        private LoopSelectorManager(Executor executor, Scheduler scheduler) {
             super(executor, scheduler, 1);
             setConnectTimeout(CONNECT_TIMEOUT_MILLIS);
         }
@@ -339,7 +342,7 @@
                 }
 
                 private int select(Selector nio, long waitMillis) throws IOException {
-                    if (waitMillis == 0 || !posted.isEmpty()) {
+                    if (waitMillis == 0 || !postedTasks.isEmpty()) {
                         return nio.selectNow();
                     }
                     return waitMillis == Long.MAX_VALUE ? nio.select() : nio.select(waitMillis);
@@ -359,7 +362,7 @@
         /** {@inheritDoc} */
         @Override
         public Connection newConnection(SelectableChannel channel, EndPoint endPoint, Object attachment) {
-            return ((Connecting) attachment).connections.apply(endPoint);
+            return ((ChannelAttachment) attachment).connectionFactory.apply(endPoint);
         }
 
         /** {@inheritDoc} */
@@ -367,15 +370,15 @@
         protected void accepted(SelectableChannel channel) throws IOException {
             SocketChannel socket = (SocketChannel) channel;
             socket.configureBlocking(false);
-            prepare(socket);
-            Function<EndPoint, Connection> connections = listeners.get(socket.getLocalAddress());
-            accept(channel, new Connecting(connections, failure -> {}));
+            configure(socket);
+            Function<EndPoint, Connection> connectionFactory = connectionFactories.get(socket.getLocalAddress());
+            accept(channel, new ChannelAttachment(connectionFactory, failure -> {}));
         }
 
         /** {@inheritDoc} */
         @Override
         protected void connectionFailed(SelectableChannel channel, Throwable failure, Object attachment) {
-            ((Connecting) attachment).failed.accept(failure);
+            ((ChannelAttachment) attachment).onFailure.accept(failure);
         }
     }
 }
--- a/src/main/java/io/waxwingquay/net/HttpServer.java
+++ b/src/main/java/io/waxwingquay/net/HttpServer.java
@@ -11,7 +11,7 @@
  */
 public final class HttpServer {
 
-    private static final long SWEEP_MILLIS = 1_000L;
+    private static final long TIMEOUT_CHECK_MILLIS = 1_000L;
     private static final int INTERNAL_ERROR = 500;
     private static final System.Logger LOG = System.getLogger("waxwingquay.net");
 
@@ -19,7 +19,7 @@
     private final ServerHandler handler;
     private final Set<ServerConnection> connections = new HashSet<>();
     private ServerLimits limits = ServerLimits.DEFAULT;
-    private boolean leaving;
+    private boolean draining;
 
     private HttpServer(EventLoop loop, ServerHandler handler) {
         this.loop = loop;
@@ -37,7 +37,7 @@
     public static HttpServer listen(EventLoop loop, InetSocketAddress address, ServerHandler handler) {
         HttpServer server = new HttpServer(loop, handler);
         loop.listen(address, endPoint -> new ServerConnection(endPoint, loop, server));
-        loop.execute(() -> loop.every(SWEEP_MILLIS, server::sweep));
+        loop.execute(() -> loop.every(TIMEOUT_CHECK_MILLIS, server::checkTimeouts));
         return server;
     }
 
@@ -52,7 +52,7 @@
 
     /** From now on each answer ends its connection. */
     public void startDraining() {
-        leaving = true;
+        draining = true;
     }
 
     /** Closes connections without a request. */
@@ -73,8 +73,8 @@
         return limits;
     }
 
-    boolean isLeaving() {
-        return leaving;
+    boolean isDraining() {
+        return draining;
     }
 
     void opened(ServerConnection connection) {
@@ -94,8 +94,8 @@
         }
     }
 
-    private void sweep() {
+    private void checkTimeouts() {
         long nowMillis = EventLoop.nowMillis();
-        new ArrayList<>(connections).forEach(connection -> connection.sweep(nowMillis));
+        new ArrayList<>(connections).forEach(connection -> connection.checkTimeouts(nowMillis));
     }
 }
--- a/src/main/java/io/waxwingquay/net/LoopConnection.java
+++ b/src/main/java/io/waxwingquay/net/LoopConnection.java
@@ -22,11 +22,11 @@
     private static final System.Logger LOG = System.getLogger("waxwingquay.net");
 
     private final EventLoop loop;
-    private final Callback readable = new Readable();
-    private final Queue<ByteBuffer> unsent = new ArrayDeque<>();
-    private boolean writing;
+    private final Callback readCallback = new ReadCallback();
+    private final Queue<ByteBuffer> pendingWrites = new ArrayDeque<>();
+    private boolean writeInProgress;
     private long unsentBytes;
-    private boolean ended;
+    private boolean inputEnded;
 
     LoopConnection(EndPoint endPoint, EventLoop loop) {
         super(endPoint, loop);
@@ -69,27 +69,27 @@
 
     /** Asks to be called when there is something to read. */
     final void awaitInput() {
-        if (!ended && getEndPoint().isOpen() && !getEndPoint().isFillInterested()) {
-            fillInterested(readable);
+        if (!inputEnded && getEndPoint().isOpen() && !getEndPoint().isFillInterested()) {
+            fillInterested(readCallback);
         }
     }
 
     /** {@inheritDoc} */
     @Override
     public void onFillable() {
-        ByteBuffer buffer = loop.input();
-        while (!ended && getEndPoint().isOpen() && takesInput()) {
+        ByteBuffer buffer = loop.inputBuffer();
+        while (!inputEnded && getEndPoint().isOpen() && acceptsInput()) {
             buffer.clear();
             int count;
             try {
                 count = channel().read(buffer);
                 buffer.flip();
             } catch (IOException failure) {
-                end(failure);
+                endInput(failure);
                 return;
             }
             if (count < 0) {
-                end(null);
+                endInput(null);
                 return;
             }
             if (count == 0) {
@@ -101,7 +101,7 @@
     }
 
     /** Whether more may be read now; if not, {@link #awaitInput} is to be called when it may. */
-    boolean takesInput() {
+    boolean acceptsInput() {
         return true;
     }
 
@@ -120,13 +120,13 @@
     abstract void onInputEnd(Throwable cause);
 
     /** Told when all that was written has left this process. */
-    void onDrained() {}
+    void onWritesComplete() {}
 
     /** {@inheritDoc} */
     @Override
     public void onClose(Throwable cause) {
         super.onClose(cause);
-        end(cause == null ? new EOFException("closed here") : cause);
+        endInput(cause == null ? new EOFException("closed here") : cause);
     }
 
     /**
@@ -136,11 +136,11 @@
      * @return whether at least one byte of these left, or may leave later.
      */
     final boolean send(ByteBuffer bytes) {
-        if (ended && !getEndPoint().isOpen()) {
+        if (inputEnded && !getEndPoint().isOpen()) {
             return false;
         }
         int before = bytes.remaining();
-        if (!writing) {
+        if (!writeInProgress) {
             try {
                 if (getEndPoint().flush(bytes)) {
                     return true;
@@ -150,7 +150,7 @@
                 return bytes.remaining() < before;
             }
         }
-        keep(bytes);
+        enqueue(bytes);
         return true;
     }
 
@@ -160,51 +160,55 @@
     }
 
     /** How long the peer has taken nothing of a write that is under way. */
-    final long untakenMillis() {
+    final long writeStalledMillis() {
         return ((IdleTimeout) getEndPoint()).getIdleFor();
     }
 
     /** Whether a write is still under way. */
-    final boolean isWriting() {
-        return writing;
+    final boolean isWriteInProgress() {
+        return writeInProgress;
     }
 
-    private void keep(ByteBuffer bytes) {
-        ByteBuffer kept = ByteBuffer.allocate(bytes.remaining());
-        kept.put(bytes).flip();
-        unsentBytes += kept.remaining();
-        unsent.add(kept);
+    private void enqueue(ByteBuffer bytes) {
+        ByteBuffer copy = ByteBuffer.allocate(bytes.remaining());
+        copy.put(bytes).flip();
+        unsentBytes += copy.remaining();
+        pendingWrites.add(copy);
         writeNext();
     }
 
     private void writeNext() {
-        ByteBuffer next = writing ? null : unsent.poll();
+        ByteBuffer next = writeInProgress ? null : pendingWrites.poll();
         if (next == null) {
             return;
         }
-        writing = true;
+        writeInProgress = true;
         int size = next.remaining();
-        getEndPoint().write(Callback.from(Callback.InvocationType.NON_BLOCKING, () -> written(size), this::fail), next);
+        getEndPoint()
+                .write(
+                        Callback.from(
+                                Callback.InvocationType.NON_BLOCKING, () -> onWritten(size), this::onWriteFailure),
+                        next);
     }
 
-    private void written(int size) {
-        writing = false;
+    private void onWritten(int size) {
+        writeInProgress = false;
         unsentBytes -= size;
-        if (unsent.isEmpty()) {
-            onDrained();
+        if (pendingWrites.isEmpty()) {
+            onWritesComplete();
         } else {
             writeNext();
         }
     }
 
-    private void fail(Throwable cause) {
-        writing = false;
+    private void onWriteFailure(Throwable cause) {
+        writeInProgress = false;
         getEndPoint().close(cause);
     }
 
-    private void end(Throwable cause) {
-        if (!ended) {
-            ended = true;
+    private void endInput(Throwable cause) {
+        if (!inputEnded) {
+            inputEnded = true;
             onInputEnd(cause);
         }
     }
@@ -215,7 +219,7 @@
     }
 
     /** Jetty would hand a blocking callback to another thread; this one stays on the loop. */
-    private final class Readable implements Callback {
+    private final class ReadCallback implements Callback {
 
         /** {@inheritDoc} */
         @Override
--- a/src/main/java/io/waxwingquay/net/MessageHead.java
+++ b/src/main/java/io/waxwingquay/net/MessageHead.java
@@ -17,7 +17,7 @@
 public final class MessageHead {
 
     /** Header fields of one connection (RFC 9110, 7.6.1), and the length, which each hop writes anew. */
-    private static final Set<String> HOP_FIELDS = Set.of(
+    private static final Set<String> HOP_BY_HOP_FIELDS = Set.of(
             "connection",
             "keep-alive",
             "proxy-connection",
@@ -41,17 +41,17 @@
      * @return a copy without those of this hop, the ones that {@code Connection} names included.
      */
     public static HttpFields.Mutable endToEndFields(HttpFields fields) {
-        Set<String> named = fields.getCSV(HttpHeader.CONNECTION, false).stream()
+        Set<String> connectionOptions = fields.getCSV(HttpHeader.CONNECTION, false).stream()
                 .map(name -> name.toLowerCase(Locale.ROOT))
                 .collect(Collectors.toSet());
-        HttpFields.Mutable kept = HttpFields.build();
+        HttpFields.Mutable endToEnd = HttpFields.build();
         for (HttpField field : fields) {
             String name = field.getLowerCaseName();
-            if (!HOP_FIELDS.contains(name) && !named.contains(name)) {
-                kept.add(field);
+            if (!HOP_BY_HOP_FIELDS.contains(name) && !connectionOptions.contains(name)) {
+                endToEnd.add(field);
             }
         }
-        return kept;
+        return endToEnd;
     }
 
     /**
@@ -68,7 +68,7 @@
         for (String part : value.split(",")) {
             String[] pair = part.trim().split("=", 2);
             if (pair.length == 2 && pair[0].trim().equalsIgnoreCase("timeout")) {
-                return seconds(pair[1].trim());
+                return parseSeconds(pair[1].trim());
             }
         }
         return Optional.empty();
@@ -102,7 +102,7 @@
         buffer.put(text.getBytes(StandardCharsets.ISO_8859_1));
     }
 
-    private static Optional<Long> seconds(String text) {
+    private static Optional<Long> parseSeconds(String text) {
         try {
             return Optional.of(Long.parseLong(text));
         } catch (NumberFormatException failure) {
--- a/src/main/java/io/waxwingquay/net/ServerConnection.java
+++ b/src/main/java/io/waxwingquay/net/ServerConnection.java
@@ -17,7 +17,7 @@
 final class ServerConnection extends LoopConnection implements HttpParser.RequestHandler {
 
     /** A caller that sends on while its request waits is read no further beyond this. */
-    private static final int MAX_AHEAD_BYTES = 65_536;
+    private static final int MAX_PIPELINED_BYTES = 65_536;
 
     /** How long a caller has to close after its last answer; its bytes are dropped meanwhile. */
     private static final long LINGER_MILLIS = 1_000L;
@@ -29,20 +29,20 @@
 
     private final HttpServer server;
     private final HttpParser parser;
-    private final ByteArrayOutputStream ahead = new ByteArrayOutputStream(0);
+    private final ByteArrayOutputStream pipelined = new ByteArrayOutputStream(0);
     private HttpFields.Mutable fields = HttpFields.build();
     private ByteArrayOutputStream body = new ByteArrayOutputStream(0);
     private String method;
     private String target;
     private HttpVersion version;
     private ServerExchange exchange;
-    private boolean refused;
+    private boolean rejected;
     private boolean closing;
     private boolean parsing;
-    private boolean resetDue;
-    private long sinceMillis = EventLoop.nowMillis();
-    private boolean began;
-    private long inputs;
+    private boolean resetPending;
+    private long phaseStartMillis = EventLoop.nowMillis();
+    private boolean requestStarted;
+    private long readCount;
 
     ServerConnection(EndPoint endPoint, EventLoop loop, HttpServer server) {
         super(endPoint, loop);
@@ -57,18 +57,18 @@
      * kernel, which stops the caller.
      */
     @Override
-    boolean takesInput() {
-        return exchange == null || ahead.size() < MAX_AHEAD_BYTES;
+    boolean acceptsInput() {
+        return exchange == null || pipelined.size() < MAX_PIPELINED_BYTES;
     }
 
     @Override
     void onInput(ByteBuffer bytes) {
-        inputs++;
+        readCount++;
         if (closing) {
             return;
         }
         if (exchange != null) {
-            keepAhead(bytes);
+            bufferPipelined(bytes);
             return;
         }
         parse(bytes);
@@ -78,32 +78,32 @@
     void onInputEnd(Throwable cause) {
         server.closed(this);
         if (exchange != null) {
-            ServerExchange lost = exchange;
+            ServerExchange abandoned = exchange;
             exchange = null;
-            lost.gone();
+            abandoned.disconnected();
         }
         getEndPoint().close();
     }
 
     @Override
-    void onDrained() {
-        if (!began) {
-            sinceMillis = EventLoop.nowMillis();
+    void onWritesComplete() {
+        if (!requestStarted) {
+            phaseStartMillis = EventLoop.nowMillis();
         }
         if (closing) {
-            endOutput();
+            shutdownOutput();
         }
     }
 
-    ByteBuffer output(int bytes) {
-        ByteBuffer shared = loop().output();
+    ByteBuffer responseBuffer(int bytes) {
+        ByteBuffer shared = loop().outputBuffer();
         return bytes + OUTPUT_SLACK_BYTES <= shared.capacity()
                 ? shared
                 : ByteBuffer.allocate(bytes + OUTPUT_SLACK_BYTES);
     }
 
-    boolean isLeaving() {
-        return server.isLeaving();
+    boolean isDraining() {
+        return server.isDraining();
     }
 
     /**
@@ -114,42 +114,42 @@
      * answer. What this process still holds of it is known exactly, so that is looked at too.
      */
     private boolean isIdle() {
-        return exchange == null && !began && !isWriting();
+        return exchange == null && !requestStarted && !isWriteInProgress();
     }
 
     /** The exchange is complete; the next request may have come already. */
-    void answered(boolean closes) {
+    void onResponseComplete(boolean closesConnection) {
         exchange = null;
-        sinceMillis = EventLoop.nowMillis();
-        if (closes) {
-            closeWhenSent();
+        phaseStartMillis = EventLoop.nowMillis();
+        if (closesConnection) {
+            closeAfterWrites();
             return;
         }
         if (parsing) {
             // The parser is on the stack; it starts anew once it has returned.
-            resetDue = true;
+            resetPending = true;
             return;
         }
-        reset();
-        parseAhead();
+        resetMessage();
+        parsePipelined();
         awaitInput();
     }
 
     /** Looks at the time: a request that does not come in, or a connection that no one uses. */
-    void sweep(long nowMillis) {
+    void checkTimeouts(long nowMillis) {
         if (exchange != null) {
             return;
         }
-        if (isWriting()) {
+        if (isWriteInProgress()) {
             // A caller that takes nothing any more would keep its answer here for ever.
-            closeIf(untakenMillis() > server.limits().idleTimeoutMillis());
+            closeIf(writeStalledMillis() > server.limits().idleTimeoutMillis());
             return;
         }
-        long elapsedMillis = nowMillis - sinceMillis;
+        long elapsedMillis = nowMillis - phaseStartMillis;
         if (closing) {
             closeIf(elapsedMillis > LINGER_MILLIS);
-        } else if (began && elapsedMillis > server.limits().headerTimeoutMillis()) {
-            refuse(REQUEST_TIMEOUT, "the request did not come in whole");
+        } else if (requestStarted && elapsedMillis > server.limits().headerTimeoutMillis()) {
+            reject(REQUEST_TIMEOUT, "the request did not come in whole");
         } else if (elapsedMillis > server.limits().idleTimeoutMillis()) {
             closeIfIdle();
         }
@@ -164,84 +164,84 @@
      */
     void closeIfIdle() {
         if (isIdle()) {
-            long inputsBefore = inputs;
+            long readCountBefore = readCount;
             onFillable();
-            closeIf(isIdle() && inputs == inputsBefore);
+            closeIf(isIdle() && readCount == readCountBefore);
         }
     }
 
-    private void closeIf(boolean due) {
-        if (due) {
+    private void closeIf(boolean condition) {
+        if (condition) {
             close();
         }
     }
 
     private void parse(ByteBuffer bytes) {
         parsing = true;
-        while (bytes.hasRemaining() && exchange == null && !closing && !refused) {
-            if (parser.isStart() && !began) {
-                began = true;
-                sinceMillis = EventLoop.nowMillis();
+        while (bytes.hasRemaining() && exchange == null && !closing && !rejected) {
+            if (parser.isStart() && !requestStarted) {
+                requestStarted = true;
+                phaseStartMillis = EventLoop.nowMillis();
             }
             parser.parseNext(bytes);
-            if (resetDue) {
-                resetDue = false;
-                reset();
+            if (resetPending) {
+                resetPending = false;
+                resetMessage();
             }
         }
         parsing = false;
         if (bytes.hasRemaining() && !closing) {
-            keepAhead(bytes);
+            bufferPipelined(bytes);
         }
     }
 
-    private void parseAhead() {
-        while (ahead.size() > 0 && exchange == null && !closing) {
-            ByteBuffer kept = ByteBuffer.wrap(ahead.toByteArray());
-            ahead.reset();
-            parse(kept);
+    private void parsePipelined() {
+        while (pipelined.size() > 0 && exchange == null && !closing) {
+            ByteBuffer buffered = ByteBuffer.wrap(pipelined.toByteArray());
+            pipelined.reset();
+            parse(buffered);
         }
     }
 
-    private void keepAhead(ByteBuffer bytes) {
-        byte[] kept = BufferUtil.toArray(bytes);
+    private void bufferPipelined(ByteBuffer bytes) {
+        byte[] copy = BufferUtil.toArray(bytes);
         bytes.position(bytes.limit());
-        ahead.write(kept, 0, kept.length);
+        pipelined.write(copy, 0, copy.length);
     }
 
-    private void reset() {
+    private void resetMessage() {
         parser.reset();
         fields = HttpFields.build();
         body = new ByteArrayOutputStream(0);
-        began = false;
+        requestStarted = false;
     }
 
-    private void refuse(int status, String why) {
-        if (refused) {
+    private void reject(int status, String reason) {
+        if (rejected) {
             return;
         }
-        refused = true;
-        ServerRequest none = new ServerRequest("", "", HttpFields.EMPTY, new byte[0], EventLoop.nowMillis());
-        exchange = new ServerExchange(this, none, false);
-        exchange.respond(status, HttpFields.EMPTY, why);
+        rejected = true;
+        ServerRequest unreadRequest = new ServerRequest("", "", HttpFields.EMPTY, new byte[0], EventLoop.nowMillis());
+        exchange = new ServerExchange(this, unreadRequest, false);
+        exchange.respond(status, HttpFields.EMPTY, reason);
     }
 
-    private void closeWhenSent() {
+    private void closeAfterWrites() {
         closing = true;
-        if (!isWriting()) {
-            endOutput();
+        if (!isWriteInProgress()) {
+            shutdownOutput();
         }
     }
 
     /**
-     * Closes the way out, and leaves the rest to the caller's close or to {@link #sweep}.
+     * Closes the way out, and leaves the rest to the caller's close or to {@link #checkTimeouts}.
      *
      * <p>Failure: a connection is closed while bytes of its caller are unread or on their way: the rest of a body that was
      * refused, or a request that crosses the close. Symptom: the kernel resets it, and the caller loses the answer that
      * was sent before. With the way in still open there is nothing to reset for.
      */
-    private void endOutput() {
-        sinceMillis = EventLoop.nowMillis();
+    private void shutdownOutput() {
+        phaseStartMillis = EventLoop.nowMillis();
         getEndPoint().shutdownOutput();
         awaitInput();
     }
@@ -264,7 +264,7 @@
     @Override
     public boolean headerComplete() {
         if (parser.getContentLength() > server.limits().maxBodyBytes()) {
-            refuse(
+            reject(
                     PAYLOAD_TOO_LARGE,
                     "the body is longer than " + server.limits().maxBodyBytes() + " bytes");
             return true;
@@ -279,7 +279,7 @@
     @Override
     public boolean content(ByteBuffer content) {
         if (body.size() + content.remaining() > server.limits().maxBodyBytes()) {
-            refuse(
+            reject(
                     PAYLOAD_TOO_LARGE,
                     "the body is longer than " + server.limits().maxBodyBytes() + " bytes");
             return true;
@@ -299,7 +299,7 @@
     /** {@inheritDoc} */
     @Override
     public boolean messageComplete() {
-        if (refused) {
+        if (rejected) {
             return true;
         }
         boolean persistent = version == HttpVersion.HTTP_1_1
@@ -320,6 +320,6 @@
     @Override
     public void badMessage(HttpException failure) {
         int status = failure.getCode() >= BAD_REQUEST ? failure.getCode() : BAD_REQUEST;
-        refuse(status, "the request can't be read: " + failure.getReason());
+        reject(status, "the request can't be read: " + failure.getReason());
     }
 }
--- a/src/main/java/io/waxwingquay/net/ServerExchange.java
+++ b/src/main/java/io/waxwingquay/net/ServerExchange.java
@@ -62,18 +62,18 @@
             return;
         }
         state = State.ENDED;
-        boolean closes = closes();
-        ByteBuffer buffer = head(status, fields, body.length);
+        boolean closesConnection = closesConnection();
+        ByteBuffer buffer = startHead(status, fields, body.length);
         MessageHead.put(buffer, "Content-Length: " + body.length + "\r\n");
-        finishHead(buffer, closes);
-        if (body.length <= buffer.remaining() && !isHead()) {
+        finishHead(buffer, closesConnection);
+        if (body.length <= buffer.remaining() && !isHeadRequest()) {
             buffer.put(body);
             connection.send(buffer.flip());
         } else {
             connection.send(buffer.flip());
-            connection.send(ByteBuffer.wrap(isHead() ? new byte[0] : body));
+            connection.send(ByteBuffer.wrap(isHeadRequest() ? new byte[0] : body));
         }
-        connection.answered(closes);
+        connection.onResponseComplete(closesConnection);
     }
 
     /**
@@ -99,9 +99,9 @@
             return;
         }
         state = State.STREAMING;
-        ByteBuffer buffer = head(status, fields, 0);
+        ByteBuffer buffer = startHead(status, fields, 0);
         MessageHead.put(buffer, "Transfer-Encoding: chunked\r\n");
-        finishHead(buffer, closes());
+        finishHead(buffer, closesConnection());
         connection.send(buffer.flip());
     }
 
@@ -114,7 +114,7 @@
         if (state != State.STREAMING || !bytes.hasRemaining()) {
             return;
         }
-        ByteBuffer buffer = connection.output(bytes.remaining());
+        ByteBuffer buffer = connection.responseBuffer(bytes.remaining());
         MessageHead.put(buffer, Integer.toHexString(bytes.remaining()) + "\r\n");
         buffer.put(bytes);
         MessageHead.putEnd(buffer);
@@ -128,7 +128,7 @@
         }
         state = State.ENDED;
         connection.send(ByteBuffer.wrap(LAST_CHUNK));
-        connection.answered(closes());
+        connection.onResponseComplete(closesConnection());
     }
 
     /** Closes the connection, so that the answer can't be taken for a complete one. */
@@ -148,36 +148,36 @@
         return connection.unsentBytes();
     }
 
-    void gone() {
+    void disconnected() {
         if (state != State.ENDED) {
             state = State.ENDED;
             onDisconnect.run();
         }
     }
 
-    private boolean isHead() {
+    private boolean isHeadRequest() {
         return "HEAD".equals(request.method());
     }
 
-    private boolean closes() {
-        return !persistent || connection.isLeaving();
+    private boolean closesConnection() {
+        return !persistent || connection.isDraining();
     }
 
-    private ByteBuffer head(int status, HttpFields fields, int bodyBytes) {
-        int roomBytes = fields.stream()
+    private ByteBuffer startHead(int status, HttpFields fields, int bodyBytes) {
+        int requiredBytes = fields.stream()
                         .mapToInt(field -> field.getName().length()
                                 + String.valueOf(field.getValue()).length()
                                 + 4)
                         .sum()
                 + bodyBytes;
-        ByteBuffer buffer = connection.output(roomBytes);
+        ByteBuffer buffer = connection.responseBuffer(requiredBytes);
         MessageHead.putStatusLine(buffer, status);
         MessageHead.putFields(buffer, fields);
         return buffer;
     }
 
-    private static void finishHead(ByteBuffer buffer, boolean closes) {
-        if (closes) {
+    private static void finishHead(ByteBuffer buffer, boolean closesConnection) {
+        if (closesConnection) {
             MessageHead.put(buffer, "Connection: close\r\n");
         }
         MessageHead.putEnd(buffer);
--- a/src/main/java/io/waxwingquay/net/TimerQueue.java
+++ b/src/main/java/io/waxwingquay/net/TimerQueue.java
@@ -9,16 +9,16 @@
 final class TimerQueue {
 
     private final PriorityQueue<Timer> timers = new PriorityQueue<>();
-    private long count;
+    private long nextSequence;
 
     Timer add(long dueMillis, Runnable task) {
-        Timer timer = new Timer(dueMillis, count++, task);
+        Timer timer = new Timer(dueMillis, nextSequence++, task);
         timers.add(timer);
         return timer;
     }
 
     /** Takes out what is due. */
-    List<Runnable> due(long nowMillis) {
+    List<Runnable> removeDue(long nowMillis) {
         List<Runnable> tasks = new ArrayList<>();
         while (!timers.isEmpty() && timers.peek().dueMillis <= nowMillis) {
             Timer timer = timers.poll();
@@ -39,13 +39,13 @@
     static final class Timer implements Comparable<Timer>, Scheduler.Task {
 
         private final long dueMillis;
-        private final long order;
+        private final long sequence;
         private final Runnable task;
         private boolean cancelled;
 
         private Timer(long dueMillis, long order, Runnable task) {
             this.dueMillis = dueMillis;
-            this.order = order;
+            this.sequence = order;
             this.task = task;
         }
 
@@ -61,7 +61,7 @@
         @Override
         public int compareTo(Timer other) {
             int byTime = Long.compare(dueMillis, other.dueMillis);
-            return byTime != 0 ? byTime : Long.compare(order, other.order);
+            return byTime != 0 ? byTime : Long.compare(sequence, other.sequence);
         }
 
         /** {@inheritDoc} */
@@ -73,7 +73,7 @@
         /** {@inheritDoc} */
         @Override
         public int hashCode() {
-            return Long.hashCode(order);
+            return Long.hashCode(sequence);
         }
 
         private void run() {
--- a/src/main/java/io/waxwingquay/platform/HeaderCodec.java
+++ b/src/main/java/io/waxwingquay/platform/HeaderCodec.java
@@ -43,7 +43,7 @@
     private static final String RETRY_AFTER = "Retry-After";
 
     /** Fields that are the system's to set; one that a client sent must not reach a replica. */
-    private static final List<String> RESERVED = List.of(
+    private static final List<String> RESERVED_FIELDS = List.of(
             TARGET_REPLICA,
             REQUEST_PRIORITY,
             DEADLINE_REMAINING,
@@ -56,11 +56,11 @@
             "Kv-Fetch");
 
     /** Those that a client sends alike with each attempt at one request. */
-    private static final List<String> IDENTITY = List.of("Host", MODEL, PROMPT_PREFIX);
+    private static final List<String> IDENTITY_FIELDS = List.of("Host", MODEL, PROMPT_PREFIX);
 
-    private static final int MISDIRECTED = 421;
-    private static final int UNAVAILABLE = 503;
-    private static final int TOO_MANY = 429;
+    private static final int MISDIRECTED_REQUEST = 421;
+    private static final int SERVICE_UNAVAILABLE = 503;
+    private static final int TOO_MANY_REQUESTS = 429;
     private static final double MILLIS_PER_SECOND = 1_000.0;
     private static final Pattern COMMA = Pattern.compile(",");
 
@@ -69,40 +69,41 @@
     public Ask read(HttpFields fields) {
         String model = fields.get(MODEL);
         int slash = model == null ? -1 : model.indexOf('/');
-        Optional<String> name = Optional.ofNullable(model).map(text -> slash < 0 ? text : text.substring(0, slash));
+        Optional<String> modelName =
+                Optional.ofNullable(model).map(text -> slash < 0 ? text : text.substring(0, slash));
         Optional<String> adapter = slash < 0 ? Optional.empty() : Optional.of(model.substring(slash + 1));
         String[] tokens =
                 COMMA.split(Optional.ofNullable(fields.get(TOKEN_COUNTS)).orElse(""));
         String prefix = Optional.ofNullable(fields.get(PROMPT_PREFIX)).orElse("");
         return new Ask(
                 Optional.ofNullable(fields.get(ATTEMPT_ID)).orElse(""),
-                whole(fields.get(DEADLINE_REMAINING)),
-                name,
+                parseLong(fields.get(DEADLINE_REMAINING)),
+                modelName,
                 adapter,
-                whole(tokens[0]).orElse(0L),
-                tokens.length > 1 ? whole(tokens[1]).orElse(0L) : 0L,
+                parseLong(tokens[0]).orElse(0L),
+                tokens.length > 1 ? parseLong(tokens[1]).orElse(0L) : 0L,
                 prefix.indexOf(',') < 0 ? "" : prefix.substring(0, prefix.lastIndexOf(',')),
-                whole(fields.get(LAST_EVENT_ID)));
+                parseLong(fields.get(LAST_EVENT_ID)));
     }
 
     /** {@inheritDoc} */
     @Override
     public HttpFields toReplica(HttpFields fields, Order order) {
-        HttpFields.Mutable out = MessageHead.endToEndFields(fields);
-        RESERVED.forEach(out::remove);
-        out.put(TARGET_REPLICA, order.replicaId());
-        out.put(DEADLINE_REMAINING, Long.toString(order.remainingMillis()));
-        order.rank().ifPresent(rank -> out.put(REQUEST_PRIORITY, Integer.toString(rank)));
-        order.lastEventId().ifPresent(id -> out.put(LAST_EVENT_ID, Long.toString(id)));
-        return out;
+        HttpFields.Mutable replicaFields = MessageHead.endToEndFields(fields);
+        RESERVED_FIELDS.forEach(replicaFields::remove);
+        replicaFields.put(TARGET_REPLICA, order.replicaId());
+        replicaFields.put(DEADLINE_REMAINING, Long.toString(order.remainingMillis()));
+        order.rank().ifPresent(rank -> replicaFields.put(REQUEST_PRIORITY, Integer.toString(rank)));
+        order.lastEventId().ifPresent(id -> replicaFields.put(LAST_EVENT_ID, Long.toString(id)));
+        return replicaFields;
     }
 
     /** {@inheritDoc} */
     @Override
     public Reply reply(int status, HttpFields fields) {
         boolean notExecuted = fields.contains(NOT_EXECUTED);
-        boolean misdirected = status == MISDIRECTED;
-        boolean full = notExecuted && (status == UNAVAILABLE || status == TOO_MANY);
+        boolean misdirected = status == MISDIRECTED_REQUEST;
+        boolean full = notExecuted && (status == SERVICE_UNAVAILABLE || status == TOO_MANY_REQUESTS);
         String id = Optional.ofNullable(fields.get(ATTEMPT_ID)).orElse("");
         return new Reply(
                 id,
@@ -110,28 +111,28 @@
                 misdirected,
                 full,
                 Optional.ofNullable(fields.get(REPLICA_ID)),
-                decimal(fields.get(SERVER_LIMIT)));
+                parseLimit(fields.get(SERVER_LIMIT)));
     }
 
     /** {@inheritDoc} */
     @Override
     public List<String> identity(HttpFields fields) {
-        return IDENTITY.stream()
+        return IDENTITY_FIELDS.stream()
                 .map(name -> Optional.ofNullable(fields.get(name)).orElse(""))
                 .toList();
     }
 
     /** {@inheritDoc} */
     @Override
-    public HttpFields refusal(Optional<Long> comeBackMillis) {
+    public HttpFields refusal(Optional<Long> retryAfterMillis) {
         HttpFields.Mutable fields = HttpFields.build();
-        comeBackMillis.ifPresent(
+        retryAfterMillis.ifPresent(
                 millis -> fields.put(RETRY_AFTER, String.format(Locale.ROOT, "%.3f", millis / MILLIS_PER_SECOND)));
         return fields;
     }
 
     /** What is no number, or less than none, names no limit. */
-    private static OptionalDouble decimal(String text) {
+    private static OptionalDouble parseLimit(String text) {
         if (text == null || text.isBlank()) {
             return OptionalDouble.empty();
         }
@@ -143,7 +144,7 @@
         }
     }
 
-    private static Optional<Long> whole(String text) {
+    private static Optional<Long> parseLong(String text) {
         if (text == null || text.isBlank()) {
             return Optional.empty();
         }
--- a/src/main/java/io/waxwingquay/platform/HttpEngineControl.java
+++ b/src/main/java/io/waxwingquay/platform/HttpEngineControl.java
@@ -26,11 +26,11 @@
     private static final int ACCEPTED = 202;
     private static final int CONFLICT = 409;
 
-    private final HttpCaller engine;
+    private final PlatformClient engine;
     private final String holder;
 
     HttpEngineControl(EventLoop loop, HostPort address, String holder) {
-        this.engine = new HttpCaller(loop, address, TIMEOUT_MILLIS);
+        this.engine = new PlatformClient(loop, address, TIMEOUT_MILLIS);
         this.holder = holder;
     }
 
@@ -42,7 +42,7 @@
                 throw new StoreException("the engine answered a question with " + reply.status());
             }
             try {
-                return ReplicaReader.report(Wire.read(reply.body()));
+                return ReplicaReader.report(Json.read(reply.body()));
             } catch (IOException failure) {
                 throw new StoreException("the engine's report can't be read: " + failure);
             }
@@ -52,14 +52,14 @@
     /** {@inheritDoc} */
     @Override
     public CompletableFuture<Answer> give(Order order) {
-        ObjectNode body = Wire.MAPPER.createObjectNode();
+        ObjectNode body = Json.MAPPER.createObjectNode();
         body.put("op", order.load() ? "load" : "unload");
         body.put("model", order.model());
         order.adapter().ifPresent(adapter -> body.put("adapter", adapter));
         body.put("precondition", order.afterOrders());
         body.put("holder", holder);
         body.put("fence", FENCE);
-        return engine.post("/order", HttpFields.EMPTY, Wire.write(body))
+        return engine.post("/order", HttpFields.EMPTY, Json.write(body))
                 .thenApply(reply -> answer(reply.status()))
                 .exceptionally(failure -> Answer.UNKNOWN);
     }
--- a/src/main/java/io/waxwingquay/platform/Wire.java
+++ b/src/main/java/io/waxwingquay/platform/Json.java
@@ -9,11 +9,11 @@
 import java.util.Optional;
 
 /** Reads JSON bodies, leniently where a field may be missing or of another type. */
-final class Wire {
+final class Json {
 
     static final JsonMapper MAPPER = new JsonMapper();
 
-    private Wire() {}
+    private Json() {}
 
     static JsonNode read(byte[] bytes) throws IOException {
         return MAPPER.readTree(bytes);
@@ -39,13 +39,13 @@
         return value != null && value.isNumber() ? Optional.of(value.doubleValue()) : Optional.empty();
     }
 
-    static long whole(JsonNode node, String field, long absent) {
+    static long longOr(JsonNode node, String field, long fallback) {
         JsonNode value = node.get(field);
-        return value != null && value.isNumber() ? value.longValue() : absent;
+        return value != null && value.isNumber() ? value.longValue() : fallback;
     }
 
-    static double decimal(JsonNode node, String field, double absent) {
-        return number(node, field).orElse(absent);
+    static double doubleOr(JsonNode node, String field, double fallback) {
+        return number(node, field).orElse(fallback);
     }
 
     static List<JsonNode> list(JsonNode node, String field) {
--- a/src/main/java/io/waxwingquay/platform/HttpCaller.java
+++ b/src/main/java/io/waxwingquay/platform/PlatformClient.java
@@ -15,20 +15,20 @@
 import org.eclipse.jetty.http.HttpFields;
 
 /** Calls one server of the platform and collects whole replies; all on the loop. */
-final class HttpCaller {
+final class PlatformClient {
 
     /** The most connections: the two tables that are followed, and calls beside them. */
-    private static final int CONNECTIONS = 8;
+    private static final int MAX_CONNECTIONS = 8;
 
     private final EventLoop loop;
     private final HostPort address;
     private final ClientPool pool;
     private final long timeoutMillis;
 
-    HttpCaller(EventLoop loop, HostPort address, long timeoutMillis) {
+    PlatformClient(EventLoop loop, HostPort address, long timeoutMillis) {
         this.loop = loop;
         this.address = address;
-        this.pool = new ClientPool(loop, new InetSocketAddress(address.host(), address.port()), CONNECTIONS);
+        this.pool = new ClientPool(loop, new InetSocketAddress(address.host(), address.port()), MAX_CONNECTIONS);
         this.timeoutMillis = timeoutMillis;
     }
 
@@ -37,14 +37,14 @@
         return send(new ClientRequest("GET", target, fields, new byte[0], true), waitMillis);
     }
 
-    CompletableFuture<Reply> post(String target, HttpFields more, byte[] body) {
+    CompletableFuture<Reply> post(String target, HttpFields extraFields, byte[] body) {
         HttpFields fields =
-                HttpFields.build(more).put("Host", address.toString()).put("Content-Type", "application/json");
+                HttpFields.build(extraFields).put("Host", address.toString()).put("Content-Type", "application/json");
         return send(new ClientRequest("POST", target, fields, body, false), 0);
     }
 
     private CompletableFuture<Reply> send(ClientRequest request, long waitMillis) {
-        Collector collector = new Collector(request.target());
+        ReplyCollector collector = new ReplyCollector(request.target());
         ClientCall call = pool.send(request, collector);
         // A connection on which an answer was lost delivers nothing any more, so the time-out closes it.
         Cancellable timer = loop.schedule(waitMillis + timeoutMillis, () -> {
@@ -66,14 +66,14 @@
      */
     record Reply(int status, byte[] body) {}
 
-    private static final class Collector implements ClientListener {
+    private static final class ReplyCollector implements ClientListener {
 
         private final CompletableFuture<Reply> future = new CompletableFuture<>();
         private final ByteArrayOutputStream body = new ByteArrayOutputStream();
         private final String target;
         private int status;
 
-        private Collector(String target) {
+        private ReplyCollector(String target) {
             this.target = target;
         }
 
@@ -99,8 +99,8 @@
 
         /** {@inheritDoc} */
         @Override
-        public void onFailure(boolean sent, String why) {
-            future.completeExceptionally(new StoreException(target + " failed: " + why));
+        public void onFailure(boolean mayHaveBeenSent, String reason) {
+            future.completeExceptionally(new StoreException(target + " failed: " + reason));
         }
     }
 }
--- a/src/main/java/io/waxwingquay/platform/PreparedPlatform.java
+++ b/src/main/java/io/waxwingquay/platform/PreparedPlatform.java
@@ -29,7 +29,7 @@
     private static final String READ_PATH = "/rows-get?table=";
 
     private final EventLoop loop;
-    private final HttpCaller store;
+    private final PlatformClient store;
     private final Map<String, TableCopy> copies =
             Map.of(CONFIGURATION_TABLE, new TableCopy(), REPLICA_TABLE, new TableCopy());
 
@@ -41,7 +41,7 @@
      */
     public PreparedPlatform(EventLoop loop, HostPort storeAddress) {
         this.loop = loop;
-        this.store = new HttpCaller(loop, storeAddress, STORE_TIMEOUT_MILLIS);
+        this.store = new PlatformClient(loop, storeAddress, STORE_TIMEOUT_MILLIS);
     }
 
     /**
@@ -60,10 +60,10 @@
      * @return the table; it can be read, not followed.
      */
     public WatchedTable<Manifest> configurationTableAt(HostPort peer) {
-        return configurationTable(new HttpCaller(loop, peer, COPY_TIMEOUT_MILLIS));
+        return configurationTable(new PlatformClient(loop, peer, COPY_TIMEOUT_MILLIS));
     }
 
-    private WatchedTable<Manifest> configurationTable(HttpCaller caller) {
+    private WatchedTable<Manifest> configurationTable(PlatformClient caller) {
         return new StoreTable<>(
                 caller,
                 CONFIGURATION_TABLE,
@@ -87,10 +87,10 @@
      * @return the table; it can be read, not followed.
      */
     public WatchedTable<ReplicaRecord> replicaTableAt(HostPort peer) {
-        return replicaTable(new HttpCaller(loop, peer, COPY_TIMEOUT_MILLIS));
+        return replicaTable(new PlatformClient(loop, peer, COPY_TIMEOUT_MILLIS));
     }
 
-    private WatchedTable<ReplicaRecord> replicaTable(HttpCaller caller) {
+    private WatchedTable<ReplicaRecord> replicaTable(PlatformClient caller) {
         return new StoreTable<>(caller, REPLICA_TABLE, ReplicaReader::row, copies.get(REPLICA_TABLE));
     }
 
@@ -106,7 +106,7 @@
         }
         String rest = target.substring(READ_PATH.length());
         String table = rest.indexOf('&') < 0 ? rest : rest.substring(0, rest.indexOf('&'));
-        return Optional.ofNullable(copies.get(table)).flatMap(TableCopy::page);
+        return Optional.ofNullable(copies.get(table)).flatMap(TableCopy::encode);
     }
 
     /**
--- a/src/main/java/io/waxwingquay/platform/ReplicaReader.java
+++ b/src/main/java/io/waxwingquay/platform/ReplicaReader.java
@@ -17,22 +17,22 @@
 
     /** Empty for an entry of another writer: a state that is not known, or a field missing or of another type. */
     static Optional<ReplicaRecord> row(String id, JsonNode node) {
-        Optional<String> state = Wire.text(node, "state");
-        Optional<String> service = Wire.text(node, "service");
-        Optional<HostPort> address = Wire.text(node, "address").flatMap(ReplicaReader::address);
-        boolean known = state.filter(word -> word.equals("ready") || word.equals("draining"))
+        Optional<String> state = Json.text(node, "state");
+        Optional<String> service = Json.text(node, "service");
+        Optional<HostPort> address = Json.text(node, "address").flatMap(ReplicaReader::address);
+        boolean isKnownState = state.filter(word -> word.equals("ready") || word.equals("draining"))
                 .isPresent();
-        if (id.isEmpty() || !known || service.isEmpty() || address.isEmpty() || !isWhole(node, "slots")) {
+        if (id.isEmpty() || !isKnownState || service.isEmpty() || address.isEmpty() || !isInteger(node, "slots")) {
             return Optional.empty();
         }
         JsonNode remaining = node.get("remaining_ms");
         return Optional.of(new ReplicaRecord(
                 id,
-                Wire.whole(node, "born", 0L),
+                Json.longOr(node, "born", 0L),
                 service.get(),
                 address.get(),
-                Wire.text(node, "zone").orElse(""),
-                (int) Wire.whole(node, "slots", 1L),
+                Json.text(node, "zone").orElse(""),
+                (int) Json.longOr(node, "slots", 1L),
                 state.get().equals("draining"),
                 remaining != null && remaining.isNumber()
                         ? OptionalLong.of(remaining.longValue())
@@ -44,32 +44,32 @@
     static EngineReport report(JsonNode node) {
         JsonNode atHand = node.path("at_hand");
         return new EngineReport(
-                Wire.whole(node, "born", 0L),
-                Wire.whole(node, "seq", 0L),
+                Json.longOr(node, "born", 0L),
+                Json.longOr(node, "seq", 0L),
                 node.path("busy").asBoolean(false),
-                (int) Wire.whole(node, "running", 0L),
-                (int) Wire.whole(node, "waiting", 0L),
-                Wire.whole(node, "kv_used", 0L),
-                Wire.whole(node, "kv_total", 0L),
+                (int) Json.longOr(node, "running", 0L),
+                (int) Json.longOr(node, "waiting", 0L),
+                Json.longOr(node, "kv_used", 0L),
+                Json.longOr(node, "kv_total", 0L),
                 models(node),
-                Set.copyOf(new HashSet<>(comings(node))),
-                Set.copyOf(new HashSet<>(Wire.texts(atHand, "in_memory"))),
-                Set.copyOf(new HashSet<>(Wire.texts(atHand, "on_disk"))),
-                Wire.text(node, "state").filter("draining"::equals).isPresent());
+                Set.copyOf(new HashSet<>(loadingAdapters(node))),
+                Set.copyOf(new HashSet<>(Json.texts(atHand, "in_memory"))),
+                Set.copyOf(new HashSet<>(Json.texts(atHand, "on_disk"))),
+                Json.text(node, "state").filter("draining"::equals).isPresent());
     }
 
     /** Adapters under way, written MODEL/NAME@VERSION; here without the version, which a request can't ask for. */
-    private static List<String> comings(JsonNode node) {
-        return Wire.texts(node, "coming").stream()
+    private static List<String> loadingAdapters(JsonNode node) {
+        return Json.texts(node, "coming").stream()
                 .map(name -> name.indexOf('@') < 0 ? name : name.substring(0, name.indexOf('@')))
                 .toList();
     }
 
     private static List<ReplicaRecord.ResidentModel> models(JsonNode node) {
-        return Wire.list(node, "models").stream()
-                .filter(model -> Wire.text(model, "name").isPresent())
+        return Json.list(node, "models").stream()
+                .filter(model -> Json.text(model, "name").isPresent())
                 .map(model -> new ReplicaRecord.ResidentModel(
-                        model.get("name").textValue(), adapterNames(Wire.list(model, "adapters"))))
+                        model.get("name").textValue(), adapterNames(Json.list(model, "adapters"))))
                 .toList();
     }
 
@@ -77,7 +77,7 @@
         return adapters.stream()
                 .map(each -> each.isTextual()
                         ? each.textValue()
-                        : Wire.text(each, "name").orElse(""))
+                        : Json.text(each, "name").orElse(""))
                 .map(name -> name.indexOf('@') < 0 ? name : name.substring(0, name.indexOf('@')))
                 .filter(name -> !name.isEmpty())
                 .toList();
@@ -91,7 +91,7 @@
         }
     }
 
-    private static boolean isWhole(JsonNode node, String field) {
+    private static boolean isInteger(JsonNode node, String field) {
         return node.path(field).isIntegralNumber();
     }
 }
--- a/src/main/java/io/waxwingquay/platform/SettingsFile.java
+++ b/src/main/java/io/waxwingquay/platform/SettingsFile.java
@@ -41,33 +41,33 @@
      * @throws SettingsException if a needed field is missing or wrong.
      */
     public static HostSettings read(Path file) throws IOException {
-        SettingsFile reading = new SettingsFile(new TomlMapper().readTree(Files.readAllBytes(file)));
-        HostSettings settings = reading.settings();
-        if (!reading.problems.isEmpty()) {
-            throw new SettingsException(file.toString(), reading.problems);
+        SettingsFile reader = new SettingsFile(new TomlMapper().readTree(Files.readAllBytes(file)));
+        HostSettings settings = reader.toHostSettings();
+        if (!reader.problems.isEmpty()) {
+            throw new SettingsException(file.toString(), reader.problems);
         }
         return settings;
     }
 
-    private HostSettings settings() {
+    private HostSettings toHostSettings() {
         JsonNode ports = root.path("port_range");
         JsonNode listen = root.path("listen");
         if (!ports.path(0).isIntegralNumber() || !ports.path(1).isIntegralNumber()) {
-            report("port_range", "must hold two port numbers, such as [7380, 7395]");
+            addProblem("port_range", "must hold two port numbers, such as [7380, 7395]");
         }
         Optional<HostPort> callers = address(listen, "listen.front", "front");
         Optional<HostPort> readiness = address(listen, "listen.ready", "ready");
         return new HostSettings(
-                text(root, "node"),
-                text(root, "zone"),
-                text(root, "ip"),
+                requiredText(root, "node"),
+                requiredText(root, "zone"),
+                requiredText(root, "ip"),
                 ports.path(0).asInt(),
                 ports.path(0).asInt() + 1,
                 callers,
                 readiness,
                 address(root, "app", "app"),
-                Wire.text(root, "service"),
-                needed(address(root.path("platform"), "platform.address", "address"), "platform.address"),
+                Json.text(root, "service"),
+                requiredAddress(address(root.path("platform"), "platform.address", "address"), "platform.address"),
                 root.path("bootstrap").asBoolean(false),
                 seeds(),
                 bounds(root.path("bounds")));
@@ -75,7 +75,7 @@
 
     /** The platform lists where a few processes are controlled; here only on which VMs they are. */
     private List<String> seeds() {
-        return Wire.texts(root, "seeds").stream()
+        return Json.texts(root, "seeds").stream()
                 .filter(seed -> seed.indexOf(':') > 0)
                 .map(seed -> seed.substring(0, seed.indexOf(':')))
                 .toList();
@@ -83,47 +83,47 @@
 
     private HostSettings.Bounds bounds(JsonNode node) {
         return new HostSettings.Bounds(
-                (long) figure(node, "drain_ms"),
-                (long) (figure(node, "grace_s") * MILLIS_PER_SECOND),
-                figure(node, "retry_budget_ratio"),
-                figure(node, "budget_slack"),
-                (long) (Wire.decimal(node, "ceiling_window_s", 5.0) * MILLIS_PER_SECOND),
-                Wire.decimal(node, "ceiling_over", 1.0));
+                (long) requiredNumber(node, "drain_ms"),
+                (long) (requiredNumber(node, "grace_s") * MILLIS_PER_SECOND),
+                requiredNumber(node, "retry_budget_ratio"),
+                requiredNumber(node, "budget_slack"),
+                (long) (Json.doubleOr(node, "ceiling_window_s", 5.0) * MILLIS_PER_SECOND),
+                Json.doubleOr(node, "ceiling_over", 1.0));
     }
 
-    private double figure(JsonNode node, String field) {
-        Optional<Double> value = Wire.number(node, field);
+    private double requiredNumber(JsonNode node, String field) {
+        Optional<Double> value = Json.number(node, field);
         if (value.isEmpty()) {
-            report("bounds." + field, "is missing or no number");
+            addProblem("bounds." + field, "is missing or no number");
         }
         return value.orElse(0.0);
     }
 
-    private String text(JsonNode node, String field) {
-        Optional<String> value = Wire.text(node, field);
+    private String requiredText(JsonNode node, String field) {
+        Optional<String> value = Json.text(node, field);
         if (value.isEmpty()) {
-            report(field, "is missing; write it as text in quotes");
+            addProblem(field, "is missing; write it as text in quotes");
         }
         return value.orElse("");
     }
 
-    private Optional<HostPort> address(JsonNode node, String name, String field) {
+    private Optional<HostPort> address(JsonNode node, String element, String field) {
         try {
-            return Wire.text(node, field).map(HostPort::of);
+            return Json.text(node, field).map(HostPort::of);
         } catch (IllegalArgumentException failure) {
-            report(name, failure.getMessage());
+            addProblem(element, failure.getMessage());
             return Optional.empty();
         }
     }
 
-    private HostPort needed(Optional<HostPort> value, String name) {
+    private HostPort requiredAddress(Optional<HostPort> value, String element) {
         if (value.isEmpty()) {
-            report(name, "is missing; write it as \"10.0.0.7:8142\"");
+            addProblem(element, "is missing; write it as \"10.0.0.7:8142\"");
         }
         return value.orElse(new HostPort("", 0));
     }
 
-    private void report(String element, String message) {
+    private void addProblem(String element, String message) {
         problems.add(new Problem(element, OptionalInt.empty(), message));
     }
 }
--- a/src/main/java/io/waxwingquay/platform/StoreTable.java
+++ b/src/main/java/io/waxwingquay/platform/StoreTable.java
@@ -25,12 +25,12 @@
     private static final int GONE = 410;
     private static final System.Logger LOG = System.getLogger("waxwingquay.platform");
 
-    private final HttpCaller store;
+    private final PlatformClient store;
     private final String name;
     private final BiFunction<String, JsonNode, Optional<T>> decoder;
     private final TableCopy copy;
 
-    StoreTable(HttpCaller store, String name, BiFunction<String, JsonNode, Optional<T>> decoder, TableCopy copy) {
+    StoreTable(PlatformClient store, String name, BiFunction<String, JsonNode, Optional<T>> decoder, TableCopy copy) {
         this.store = store;
         this.name = name;
         this.decoder = decoder;
@@ -52,35 +52,35 @@
                 throw new StoreException.HistoryLost(name);
             }
             JsonNode body = body(reply);
-            List<JsonNode> changes = Wire.list(body, "rows");
-            long newVersion = Wire.whole(body, "ver", version);
-            copy.changed(newVersion, changes);
+            List<JsonNode> changes = Json.list(body, "rows");
+            long newVersion = Json.longOr(body, "ver", version);
+            copy.applyChanges(newVersion, changes);
             return new Page<>(newVersion, rows(changes));
         });
     }
 
-    private CompletableFuture<Page<T>> readFrom(String from, List<JsonNode> before) {
+    private CompletableFuture<Page<T>> readFrom(String from, List<JsonNode> rowsSoFar) {
         String target =
                 "/rows-get?table=" + name + "&part=&limit=" + PAGE_ROWS + (from.isEmpty() ? "" : "&from=" + from);
         return store.get(target, 0).thenCompose(reply -> {
             JsonNode body = body(reply);
-            before.addAll(Wire.list(body, "rows"));
-            if (!body.path("has_more").asBoolean(false) || before.isEmpty()) {
-                long version = Wire.whole(body, "ver", 0L);
-                copy.whole(version, before);
-                return CompletableFuture.completedFuture(new Page<>(version, rows(before)));
+            rowsSoFar.addAll(Json.list(body, "rows"));
+            if (!body.path("has_more").asBoolean(false) || rowsSoFar.isEmpty()) {
+                long version = Json.longOr(body, "ver", 0L);
+                copy.replaceAll(version, rowsSoFar);
+                return CompletableFuture.completedFuture(new Page<>(version, rows(rowsSoFar)));
             }
             // Keys are in byte order; the next page begins right after the last key.
-            return readFrom(before.get(before.size() - 1).path("key").asText() + "%00", before);
+            return readFrom(rowsSoFar.get(rowsSoFar.size() - 1).path("key").asText() + "%00", rowsSoFar);
         });
     }
 
-    private JsonNode body(HttpCaller.Reply reply) {
+    private JsonNode body(PlatformClient.Reply reply) {
         if (reply.status() != OK) {
             throw new StoreException("table " + name + " was answered " + reply.status());
         }
         try {
-            return Wire.read(reply.body());
+            return Json.read(reply.body());
         } catch (IOException failure) {
             throw new StoreException("table " + name + " was answered with bytes that can't be read: " + failure);
         }
@@ -88,7 +88,7 @@
 
     private List<Row<T>> rows(List<JsonNode> nodes) {
         return nodes.stream()
-                .filter(row -> Wire.text(row, "key").isPresent())
+                .filter(row -> Json.text(row, "key").isPresent())
                 .map(row -> row(row.get("key").textValue(), row))
                 .toList();
     }
@@ -102,8 +102,8 @@
 
     private Optional<T> value(String key, JsonNode row) {
         try {
-            byte[] bytes = Base64.getDecoder().decode(Wire.text(row, "value").orElse(""));
-            Optional<T> value = decoder.apply(key, Wire.read(bytes));
+            byte[] bytes = Base64.getDecoder().decode(Json.text(row, "value").orElse(""));
+            Optional<T> value = decoder.apply(key, Json.read(bytes));
             if (value.isEmpty()) {
                 LOG.log(System.Logger.Level.INFO, "platform: row passed over table={0} key={1}", name, key);
             }
--- a/src/main/java/io/waxwingquay/platform/TableCopy.java
+++ b/src/main/java/io/waxwingquay/platform/TableCopy.java
@@ -18,21 +18,21 @@
     private long version;
 
     /** All rows were read as of a version; an older reading changes nothing. */
-    void whole(long newVersion, List<JsonNode> newRows) {
+    void replaceAll(long newVersion, List<JsonNode> newRows) {
         if (newVersion < version) {
             return;
         }
         rows.clear();
-        changed(newVersion, newRows);
+        applyChanges(newVersion, newRows);
     }
 
     /** Rows have changed, or were dropped. */
-    void changed(long newVersion, List<JsonNode> changes) {
+    void applyChanges(long newVersion, List<JsonNode> changes) {
         if (newVersion < version) {
             return;
         }
         version = newVersion;
-        changes.forEach(row -> Wire.text(row, "key").ifPresent(key -> {
+        changes.forEach(row -> Json.text(row, "key").ifPresent(key -> {
             if (row.path("deleted").asBoolean(false)) {
                 rows.remove(key);
             } else {
@@ -42,15 +42,15 @@
     }
 
     /** One page with all rows; empty before the table was read. */
-    Optional<byte[]> page() {
+    Optional<byte[]> encode() {
         if (version == 0) {
             return Optional.empty();
         }
-        ObjectNode page = Wire.MAPPER.createObjectNode();
+        ObjectNode page = Json.MAPPER.createObjectNode();
         ArrayNode list = page.putArray("rows");
         rows.values().forEach(list::add);
         page.put("ver", version);
         page.put("has_more", false);
-        return Optional.of(Wire.write(page));
+        return Optional.of(Json.write(page));
     }
 }
--- a/src/test/java/io/waxwingquay/hosted/DepartureTest.java
+++ b/src/test/java/io/waxwingquay/hosted/GracefulShutdownTest.java
@@ -16,25 +16,25 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-class DepartureTest {
+class GracefulShutdownTest {
 
     private static final long GRACE_MILLIS = 8_000L;
 
     /** Left of the grace time for the exit itself. */
-    private static final long EXIT_MILLIS = 500L;
+    private static final long EXIT_RESERVE_MILLIS = 500L;
 
     private static final long STALL_MILLIS = 400L;
 
-    private final Requests requests = new Requests();
+    private final NoOpenRequests requests = new NoOpenRequests();
     private final AtomicLong nowMillis = new AtomicLong(1_000);
     private EventLoop loop;
-    private Departure departure;
+    private GracefulShutdown shutdown;
 
     @BeforeEach
     void start() {
         loop = EventLoop.start("test");
         HttpServer server = HttpServer.listen(loop, new InetSocketAddress("127.0.0.1", 0), caller -> {});
-        departure = new Departure(loop, server, requests, GRACE_MILLIS, nowMillis::get);
+        shutdown = new GracefulShutdown(loop, server, requests, GRACE_MILLIS, nowMillis::get);
     }
 
     @AfterEach
@@ -45,31 +45,31 @@
     // A process is told to stop twice. The second signal began the departure anew, so that the exit came seconds after
     // the platform had killed the process, and all that was under way was cut without a word.
     @Test
-    void secondSignalDoesNotPutTheExitOff() throws Exception {
-        CompletableFuture<Void> first = departure.begin();
-        CompletableFuture<Void> second = departure.begin();
+    void secondSignalDoesNotDelayTheExit() throws Exception {
+        CompletableFuture<Void> first = shutdown.start();
+        CompletableFuture<Void> second = shutdown.start();
         Await.value(first);
         Await.value(second);
-        assertEquals(1, requests.leftMillis.size());
+        assertEquals(1, requests.drainMillis.size());
     }
 
     // The loop stands still when the signal comes. The grace time was counted from when the loop got round to it, so
     // that requests were taken that the platform's kill would cut.
     @Test
     void graceTimeIsCountedFromTheSignal() throws Exception {
-        CountDownLatch over = new CountDownLatch(1);
-        loop.execute(() -> Await.quietly(over));
-        CompletableFuture<Void> done = departure.begin();
+        CountDownLatch released = new CountDownLatch(1);
+        loop.execute(() -> Await.quietly(released));
+        CompletableFuture<Void> done = shutdown.start();
         nowMillis.addAndGet(STALL_MILLIS);
-        over.countDown();
+        released.countDown();
         Await.value(done);
-        assertEquals(List.of(GRACE_MILLIS - EXIT_MILLIS - STALL_MILLIS), requests.leftMillis);
+        assertEquals(List.of(GRACE_MILLIS - EXIT_RESERVE_MILLIS - STALL_MILLIS), requests.drainMillis);
     }
 
     /** No request is open. */
-    private static final class Requests implements OpenRequests {
+    private static final class NoOpenRequests implements OpenRequests {
 
-        private final List<Long> leftMillis = new CopyOnWriteArrayList<>();
+        private final List<Long> drainMillis = new CopyOnWriteArrayList<>();
 
         /** {@inheritDoc} */
         @Override
@@ -86,7 +86,7 @@
         /** {@inheritDoc} */
         @Override
         public void leaveWithin(long millis) {
-            leftMillis.add(millis);
+            drainMillis.add(millis);
         }
 
         /** {@inheritDoc} */
--- a/src/test/java/io/waxwingquay/hosted/HostedWorld.java
+++ b/src/test/java/io/waxwingquay/hosted/HostedDeployment.java
@@ -17,7 +17,7 @@
 import java.util.concurrent.CountDownLatch;
 
 /** An entry and a side process on loopback, with stand-ins of the store, of two engines and of two plain replicas. */
-final class HostedWorld implements AutoCloseable {
+final class HostedDeployment implements AutoCloseable {
 
     private static final String MANIFEST =
             """
@@ -39,58 +39,58 @@
              "models":[{"name":"m","weights_mb":100,"load_s":1,"adapters":2,"adapter_mb":1}]}}]}
             """;
 
-    private static final int PORTS = 7;
+    private static final int PORT_COUNT = 7;
     private static final String SECOND_HOST = "127.0.0.6";
     private static final List<String> HOSTS =
             List.of("127.0.0.1", "127.0.0.2", "127.0.0.3", "127.0.0.4", "127.0.0.5", SECOND_HOST);
 
-    private final EventLoop outside = EventLoop.start("outside");
-    private final EventLoop inside = EventLoop.start("inside");
-    private final int base = FreePorts.adjacent(PORTS, HOSTS);
-    final StoreStandin store = StoreStandin.start(outside, new HostPort("127.0.0.1", base));
+    private final EventLoop standinLoop = EventLoop.start("outside");
+    private final EventLoop processLoop = EventLoop.start("inside");
+    private final int basePort = FreePorts.adjacent(PORT_COUNT, HOSTS);
+    final StoreStandin store = StoreStandin.start(standinLoop, new HostPort("127.0.0.1", basePort));
     final EngineStandin engine1 = engine("e1", "127.0.0.2", List.of("m"));
     final EngineStandin engine2 = engine("e2", "127.0.0.3", List.of("m"));
     final EngineStandin plain1 = engine("p1", "127.0.0.4", List.of());
     final EngineStandin plain2 = engine("p2", "127.0.0.5", List.of());
     private final HostedProcess entry;
 
-    HostedWorld() throws Exception {
-        manifest(1);
-        list(engine1, "e1", "engines", "ready");
-        list(engine2, "e2", "engines", "ready");
-        list(plain1, "p1", "plain", "ready");
-        list(plain2, "p2", "plain", "ready");
+    HostedDeployment() throws Exception {
+        configure(1);
+        register(engine1, "e1", "engines", "ready");
+        register(engine2, "e2", "engines", "ready");
+        register(plain1, "p1", "plain", "ready");
+        register(plain2, "p2", "plain", "ready");
         CompletableFuture<HostedProcess> started = new CompletableFuture<>();
-        inside.execute(() -> {
+        processLoop.execute(() -> {
             try {
-                HostedSide.start(inside, side("127.0.0.2"));
-                HostedSide.start(inside, side("127.0.0.3"));
-                started.complete(HostedEntry.start(inside, entry("127.0.0.1", store.address(), List.of())));
+                HostedSide.start(processLoop, side("127.0.0.2"));
+                HostedSide.start(processLoop, side("127.0.0.3"));
+                started.complete(HostedEntry.start(processLoop, entry("127.0.0.1", store.address(), List.of())));
             } catch (RuntimeException failure) {
                 started.completeExceptionally(failure);
             }
         });
         entry = Await.value(started);
-        Await.until(() -> ready() == 200);
+        Await.until(() -> readyStatus() == 200);
     }
 
-    void manifest(long version) {
-        manifest(version, "/p/");
+    void configure(long version) {
+        configure(version, "/p/");
     }
 
-    void manifest(long version, String plainPrefix) {
+    void configure(long version, String plainPrefix) {
         store.put("op", "config", String.format(MANIFEST, version).replace("\"/p/\"", '"' + plainPrefix + '"'));
     }
 
-    void list(EngineStandin replica, String id, String service, String state) {
+    void register(EngineStandin replica, String id, String service, String state) {
         store.put("servers", id, replica.row(service, "z", state));
     }
 
     /** Starts another entry that the store turns away, and that is told of the first as a seed. */
-    void startCutOffEntry() throws Exception {
-        StoreStandin away = StoreStandin.start(outside, new HostPort(SECOND_HOST, base));
-        away.away(true);
-        startSecond(away.address());
+    void startEntryWithoutStore() throws Exception {
+        StoreStandin unreachableStore = StoreStandin.start(standinLoop, new HostPort(SECOND_HOST, basePort));
+        unreachableStore.away(true);
+        startSecond(unreachableStore.address());
     }
 
     /** Starts another entry that reads the same store, and waits until it is ready. */
@@ -102,7 +102,7 @@
     private void startSecond(HostPort storeAddress) throws Exception {
         HostSettings settings = entry(SECOND_HOST, storeAddress, List.of("127.0.0.1"));
         CompletableFuture<HostedProcess> started = new CompletableFuture<>();
-        inside.execute(() -> started.complete(HostedEntry.start(inside, settings)));
+        processLoop.execute(() -> started.complete(HostedEntry.start(processLoop, settings)));
         Await.value(started);
     }
 
@@ -111,7 +111,7 @@
     }
 
     Answer askSecond(String path, String id, String body) throws IOException {
-        try (Socket socket = new Socket(InetAddress.getByName(SECOND_HOST), base + 2)) {
+        try (Socket socket = new Socket(InetAddress.getByName(SECOND_HOST), basePort + 2)) {
             socket.setSoTimeout(30_000);
             return exchange(socket, request("POST", path, id, "", body));
         }
@@ -127,32 +127,32 @@
 
     /** Tells the entry to stop; when it says that it may exit, all that it has open ends, as at the end of a process. */
     CompletableFuture<Void> exit() {
-        return entry.shutdown().thenRunAsync(inside::close);
+        return entry.shutdown().thenRunAsync(processLoop::close);
     }
 
     /** Does something while the entry and the sides stand still. */
-    void standingStill(Action action) throws Exception {
-        CompletableFuture<Void> stands = new CompletableFuture<>();
-        CountDownLatch over = new CountDownLatch(1);
-        inside.execute(() -> {
-            stands.complete(null);
-            Await.quietly(over);
+    void whileStalled(Action action) throws Exception {
+        CompletableFuture<Void> stalled = new CompletableFuture<>();
+        CountDownLatch released = new CountDownLatch(1);
+        processLoop.execute(() -> {
+            stalled.complete(null);
+            Await.quietly(released);
         });
-        Await.value(stands);
+        Await.value(stalled);
         try {
             action.run();
         } finally {
-            over.countDown();
+            released.countDown();
         }
     }
 
     /** Runs a task on the stand-ins' loop after a while. */
-    void later(long millis, Runnable task) {
-        outside.schedule(millis, task);
+    void schedule(long millis, Runnable task) {
+        standinLoop.schedule(millis, task);
     }
 
-    int ready() throws IOException {
-        try (Socket socket = new Socket(InetAddress.getByName("127.0.0.1"), base + 3)) {
+    int readyStatus() throws IOException {
+        try (Socket socket = new Socket(InetAddress.getByName("127.0.0.1"), basePort + 3)) {
             return exchange(socket, "GET /readyz HTTP/1.1\r\nHost: x\r\n\r\n").status;
         }
     }
@@ -162,7 +162,7 @@
     }
 
     private String dump(String host) throws IOException {
-        try (Socket socket = new Socket(InetAddress.getByName(host), base + 6)) {
+        try (Socket socket = new Socket(InetAddress.getByName(host), basePort + 6)) {
             return exchange(socket, "GET /dump HTTP/1.1\r\nHost: x\r\n\r\n").body();
         }
     }
@@ -174,7 +174,7 @@
     }
 
     Socket connect() throws IOException {
-        Socket socket = new Socket(InetAddress.getByName("127.0.0.1"), base + 2);
+        Socket socket = new Socket(InetAddress.getByName("127.0.0.1"), basePort + 2);
         socket.setSoTimeout(30_000);
         return socket;
     }
@@ -192,12 +192,13 @@
 
     @Override
     public void close() {
-        inside.close();
-        outside.close();
+        processLoop.close();
+        standinLoop.close();
     }
 
     private EngineStandin engine(String id, String host, List<String> models) {
-        return EngineStandin.start(outside, id, new HostPort(host, base + 1), models, EngineStandin.Behaviour.ECHO);
+        return EngineStandin.start(
+                standinLoop, id, new HostPort(host, basePort + 1), models, EngineStandin.Behaviour.ECHO);
     }
 
     private HostSettings entry(String host, HostPort storeAddress, List<String> seeds) {
@@ -205,10 +206,10 @@
                 "entry-" + host,
                 "z",
                 host,
-                base + 5,
-                base + 6,
-                Optional.of(new HostPort(host, base + 2)),
-                Optional.of(new HostPort(host, base + 3)),
+                basePort + 5,
+                basePort + 6,
+                Optional.of(new HostPort(host, basePort + 2)),
+                Optional.of(new HostPort(host, basePort + 3)),
                 Optional.empty(),
                 Optional.empty(),
                 storeAddress,
@@ -222,11 +223,11 @@
                 "side-" + host,
                 "z",
                 host,
-                base + 5,
-                base + 6,
+                basePort + 5,
+                basePort + 6,
                 Optional.empty(),
                 Optional.empty(),
-                Optional.of(new HostPort(host, base + 1)),
+                Optional.of(new HostPort(host, basePort + 1)),
                 Optional.of("engines"),
                 store.address(),
                 true,
--- a/src/test/java/io/waxwingquay/hosted/HostedExitTest.java
+++ b/src/test/java/io/waxwingquay/hosted/HostedExitTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import io.waxwingquay.hosted.HostedWorld.Answer;
+import io.waxwingquay.hosted.HostedDeployment.Answer;
 import io.waxwingquay.standin.prepared.EngineStandin.Behaviour;
 import io.waxwingquay.testing.Await;
 import java.io.IOException;
@@ -19,29 +19,29 @@
 class HostedExitTest {
 
     /** More than one caller can ask in the grace time. */
-    private static final int MOST_ASKS = 10_000;
+    private static final int MAX_REQUESTS = 10_000;
 
-    private HostedWorld world;
+    private HostedDeployment deployment;
 
     @BeforeEach
     void start() throws Exception {
-        world = new HostedWorld();
+        deployment = new HostedDeployment();
     }
 
     @AfterEach
     void stop() {
-        world.close();
+        deployment.close();
     }
 
     // The process is told to stop. It is not ready from then on, answers what still comes, and goes when all is done.
     @Test
     void leavingEntryAnswersWhatStillComes() throws Exception {
-        CompletableFuture<Void> gone = world.leave();
-        assertEquals(503, world.ready());
-        Answer answer = world.ask("POST", "/p/1", "a16", "", "late");
+        CompletableFuture<Void> exited = deployment.leave();
+        assertEquals(503, deployment.readyStatus());
+        Answer answer = deployment.ask("POST", "/p/1", "a16", "", "late");
         assertEquals(200, answer.status());
         assertTrue(answer.head().contains("Connection: close"), answer.head());
-        Await.value(gone);
+        Await.value(exited);
     }
 
     // A request waits for a model that does not come, and the process is told to stop. Were it kept until the exit,
@@ -50,14 +50,14 @@
     void leavingEntryRefusesWhatStillWaits() throws Exception {
         CompletableFuture<Answer> waiting = CompletableFuture.supplyAsync(() -> {
             try {
-                return world.ask("POST", "/s/1", "a23", "Model: nowhere\r\n", "");
+                return deployment.ask("POST", "/s/1", "a23", "Model: nowhere\r\n", "");
             } catch (IOException failure) {
                 throw new UncheckedIOException(failure);
             }
         });
-        Await.until(() -> world.dump().contains("active=1"));
-        Await.value(world.leave());
-        assertTrue(world.dump().contains("active=0"), "it left with a request that waits");
+        Await.until(() -> deployment.dump().contains("active=1"));
+        Await.value(deployment.leave());
+        assertTrue(deployment.dump().contains("active=0"), "it left with a request that waits");
         assertEquals(503, Await.value(waiting).status());
     }
 
@@ -70,19 +70,19 @@
     // had no line of those that were cut.
     @Test
     void leavingEntryAnswersAllThatItPassesOn() throws Exception {
-        plain((engine, caller) -> world.later(20, () -> Behaviour.ECHO.run(engine, caller)));
-        CompletableFuture<Void> gone = world.exit();
+        setPlainBehaviour((engine, caller) -> deployment.schedule(20, () -> Behaviour.ECHO.run(engine, caller)));
+        CompletableFuture<Void> exited = deployment.exit();
         List<String> answered = new ArrayList<>();
-        for (int number = 0; !gone.isDone(); number++) {
-            assertTrue(number < MOST_ASKS, "the entry does not leave");
+        for (int number = 0; !exited.isDone(); number++) {
+            assertTrue(number < MAX_REQUESTS, "the entry does not leave");
             String id = "a24-" + number;
             if (isAnswered(id)) {
                 answered.add(id);
             }
         }
-        List<String> cut = new ArrayList<>(runs());
-        cut.removeAll(answered);
-        assertEquals(List.of(), cut);
+        List<String> unanswered = new ArrayList<>(runs());
+        unanswered.removeAll(answered);
+        assertEquals(List.of(), unanswered);
     }
 
     // A call that may not be repeated is still at its replica when the grace time ends. It may have run; its caller
@@ -90,36 +90,36 @@
     // status that promises nothing, not a connection that ends without a word.
     @Test
     void requestWithoutAnAnswerAtTheExitIsToldThatItMayHaveRun() throws Exception {
-        plain((engine, caller) -> {});
+        setPlainBehaviour((engine, caller) -> {});
         CompletableFuture<Answer> asked = CompletableFuture.supplyAsync(() -> {
             try {
-                return world.ask("POST", "/once/1", "a30", "", "pay");
+                return deployment.ask("POST", "/once/1", "a30", "", "pay");
             } catch (IOException failure) {
                 throw new UncheckedIOException(failure);
             }
         });
         Await.until(() -> runs().contains("a30"));
-        CompletableFuture<Void> gone = world.exit();
+        CompletableFuture<Void> exited = deployment.exit();
         assertEquals(502, Await.value(asked).status());
-        Await.value(gone);
+        Await.value(exited);
     }
 
     private boolean isAnswered(String id) {
         try {
-            return world.ask("POST", "/brief/1", id, "", "pay").status() == 200;
+            return deployment.ask("POST", "/brief/1", id, "", "pay").status() == 200;
         } catch (IOException gone) {
             return false;
         }
     }
 
-    private void plain(Behaviour behaviour) {
-        world.plain1.behaviour(behaviour);
-        world.plain2.behaviour(behaviour);
+    private void setPlainBehaviour(Behaviour behaviour) {
+        deployment.plain1.behaviour(behaviour);
+        deployment.plain2.behaviour(behaviour);
     }
 
     private List<String> runs() {
-        List<String> all = new ArrayList<>(world.plain1.ran());
-        all.addAll(world.plain2.ran());
+        List<String> all = new ArrayList<>(deployment.plain1.ran());
+        all.addAll(deployment.plain2.ran());
         return all;
     }
 }
--- a/src/test/java/io/waxwingquay/hosted/HostedPathTest.java
+++ b/src/test/java/io/waxwingquay/hosted/HostedPathTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import io.waxwingquay.hosted.HostedWorld.Answer;
+import io.waxwingquay.hosted.HostedDeployment.Answer;
 import io.waxwingquay.net.EventLoop;
 import io.waxwingquay.net.ServerExchange;
 import io.waxwingquay.standin.prepared.EngineStandin;
@@ -30,27 +30,27 @@
 
     private static final String MODEL = "Model: m\r\n";
     private static final String POISON = "poison";
-    private static final Behaviour SHED =
+    private static final Behaviour REJECT =
             (engine, caller) -> caller.respond(503, HttpFields.build().put("Not-Executed", "1"), "full");
     private static final Behaviour FAIL =
             (engine, caller) -> caller.respond(500, engine.fields(caller), "its own failure");
-    private static final Behaviour CUT = (engine, caller) -> caller.abort();
+    private static final Behaviour ABORT = (engine, caller) -> caller.abort();
 
-    private HostedWorld world;
+    private HostedDeployment deployment;
 
     @BeforeEach
     void start() throws Exception {
-        world = new HostedWorld();
+        deployment = new HostedDeployment();
     }
 
     @AfterEach
     void stop() {
-        world.close();
+        deployment.close();
     }
 
     @Test
     void answerComesBackWithItsSealAndBody() throws Exception {
-        Answer answer = world.ask("POST", "/p/1", "a1", "", "hello");
+        Answer answer = deployment.ask("POST", "/p/1", "a1", "", "hello");
         assertEquals(200, answer.status());
         assertEquals("hello", answer.body());
         assertTrue(answer.head().contains("Server-Seal: seal-of-p"));
@@ -60,8 +60,8 @@
     // twice; the caller gets a status that promises nothing.
     @Test
     void nonIdempotentRequestWhoseAnswerIsLostRunsOnce() throws Exception {
-        plain(CUT);
-        Answer answer = world.ask("POST", "/once/1", "a2", "", "pay");
+        setPlainBehaviour(ABORT);
+        Answer answer = deployment.ask("POST", "/once/1", "a2", "", "pay");
         assertEquals(502, answer.status());
         assertEquals(List.of("a2"), runs());
     }
@@ -69,9 +69,9 @@
     // A replica says that it did not run the payment. Only then may another one get it.
     @Test
     void nonIdempotentRequestThatDidNotRunGoesElsewhere() throws Exception {
-        world.plain1.behaviour(SHED);
-        world.plain2.behaviour(SHED);
-        Answer refused = world.ask("POST", "/once/1", "a3", "", "pay");
+        deployment.plain1.behaviour(REJECT);
+        deployment.plain2.behaviour(REJECT);
+        Answer refused = deployment.ask("POST", "/once/1", "a3", "", "pay");
         assertEquals(503, refused.status());
         assertTrue(refused.head().contains("Retry-After: "), refused.head());
         assertEquals(2, runs().size());
@@ -80,18 +80,19 @@
     // A lookup is cut off at one replica. It may be repeated, so the caller sees nothing of it.
     @Test
     void idempotentRequestGoesOnElsewhere() throws Exception {
-        world.plain1.behaviour(CUT);
-        world.plain2.behaviour(Behaviour.ECHO);
+        deployment.plain1.behaviour(ABORT);
+        deployment.plain2.behaviour(Behaviour.ECHO);
         for (int number = 0; number < 4; number++) {
             assertEquals(
-                    200, world.ask("POST", "/p/1", "a4-" + number, "", "look").status());
+                    200,
+                    deployment.ask("POST", "/p/1", "a4-" + number, "", "look").status());
         }
     }
 
     @Test
     void replicasOwnFailureKeepsItsStatusAndSeal() throws Exception {
-        plain(FAIL);
-        Answer answer = world.ask("POST", "/once/1", "a5", "", "pay");
+        setPlainBehaviour(FAIL);
+        Answer answer = deployment.ask("POST", "/once/1", "a5", "", "pay");
         assertEquals(500, answer.status());
         assertEquals("its own failure", answer.body());
         assertTrue(answer.head().contains("Server-Seal: "));
@@ -101,10 +102,10 @@
     // whichever engine made it, and an end only when all are there.
     @Test
     void brokenStreamGoesOnWhereItEnded() throws Exception {
-        world.engine1.behaviour(Behaviour.stream(6, 3));
-        world.engine2.behaviour(Behaviour.stream(6, 0));
+        deployment.engine1.behaviour(Behaviour.stream(6, 3));
+        deployment.engine2.behaviour(Behaviour.stream(6, 0));
         for (int number = 0; number < 3; number++) {
-            Answer answer = world.ask("POST", "/s/1", "a6-" + number, MODEL, "");
+            Answer answer = deployment.ask("POST", "/s/1", "a6-" + number, MODEL, "");
             assertTrue(answer.complete(), answer.body());
             assertEquals(events(6), answer.body());
         }
@@ -114,103 +115,105 @@
     // its caller would get a failure in place of its answer.
     @Test
     void slowReplicaIsNotGivenUpWithoutAnother() throws Exception {
-        world.store.remove("servers", "e2");
+        deployment.store.remove("servers", "e2");
         Await.until(() -> {
-            int before = world.engine2.ran().size();
+            int before = deployment.engine2.ran().size();
             for (int number = 0; number < 4; number++) {
-                world.ask("POST", "/s/1", "a21", MODEL, "");
+                deployment.ask("POST", "/s/1", "a21", MODEL, "");
             }
-            return world.engine2.ran().size() == before;
+            return deployment.engine2.ran().size() == before;
         });
         Behaviour events = Behaviour.stream(2, 0);
-        world.engine1.behaviour((engine, caller) -> world.later(1_500, () -> events.run(engine, caller)));
-        Answer answer = world.ask("POST", "/quick/1", "a22", MODEL, "");
+        deployment.engine1.behaviour((engine, caller) -> deployment.schedule(1_500, () -> events.run(engine, caller)));
+        Answer answer = deployment.ask("POST", "/quick/1", "a22", MODEL, "");
         assertEquals(events(2), answer.body());
     }
 
     // Both engines break off. What the caller has is a part, so the end must not look like one.
     @Test
     void streamThatCannotGoOnDoesNotLookComplete() throws Exception {
-        world.engine1.behaviour(Behaviour.stream(6, 3));
-        world.engine2.behaviour(Behaviour.stream(6, 4));
-        Answer answer = world.ask("POST", "/s/1", "a7", MODEL, "");
+        deployment.engine1.behaviour(Behaviour.stream(6, 3));
+        deployment.engine2.behaviour(Behaviour.stream(6, 4));
+        Answer answer = deployment.ask("POST", "/s/1", "a7", MODEL, "");
         assertFalse(answer.complete());
         assertTrue(events(6).startsWith(answer.body()), answer.body());
     }
 
     @Test
     void adapterIsLoadedBeforeItsRequestIsSent() throws Exception {
-        world.engine1.behaviour(Behaviour.stream(2, 0));
-        world.engine2.behaviour(Behaviour.stream(2, 0));
-        Await.until(() -> world.ask("POST", "/s/1", "a8", "Model: m/a1\r\n", "").status() == 200);
+        deployment.engine1.behaviour(Behaviour.stream(2, 0));
+        deployment.engine2.behaviour(Behaviour.stream(2, 0));
+        Await.until(() ->
+                deployment.ask("POST", "/s/1", "a8", "Model: m/a1\r\n", "").status() == 200);
     }
 
     @Test
     void unknownRouteIsRefusedForGood() throws Exception {
-        assertEquals(404, world.ask("GET", "/nowhere/1", "a9", "", "").status());
+        assertEquals(404, deployment.ask("GET", "/nowhere/1", "a9", "", "").status());
     }
 
     // A replica tells that it leaves. It still answers, but a request sent there may be cut when it goes.
     @Test
     void leavingReplicaGetsNoNewWork() throws Exception {
-        world.list(world.plain1, "p1", "plain", "draining");
+        deployment.register(deployment.plain1, "p1", "plain", "draining");
         Await.until(() -> {
-            int before = world.plain1.ran().size();
+            int before = deployment.plain1.ran().size();
             for (int number = 0; number < 6; number++) {
-                world.ask("POST", "/p/1", "a10", "", "x");
+                deployment.ask("POST", "/p/1", "a10", "", "x");
             }
-            return world.plain1.ran().size() == before;
+            return deployment.plain1.ran().size() == before;
         });
-        assertEquals(200, world.ask("POST", "/p/1", "a11", "", "x").status());
+        assertEquals(200, deployment.ask("POST", "/p/1", "a11", "", "x").status());
     }
 
     // The store goes away and drops what it held. Requests go on as before, from what is known.
     @Test
     void storeThatIsAwayStopsNoRequest() throws Exception {
-        world.store.away(true);
-        world.store.remove("servers", "p1");
-        world.store.remove("servers", "p2");
+        deployment.store.away(true);
+        deployment.store.remove("servers", "p1");
+        deployment.store.remove("servers", "p2");
         for (int number = 0; number < 5; number++) {
-            assertEquals(200, world.ask("POST", "/p/1", "a12", "", "x").status());
+            assertEquals(200, deployment.ask("POST", "/p/1", "a12", "", "x").status());
         }
-        assertEquals(200, world.ready());
+        assertEquals(200, deployment.readyStatus());
     }
 
     // The store turns one VM away and serves the others. An entry that starts there would refuse every caller,
     // though the next VM knows all that it needs.
     @Test
     void entryThatTheStoreTurnsAwayTakesWhatAnotherEntryKnows() throws Exception {
-        world.startCutOffEntry();
-        Await.until(() -> world.askSecond("/p/1", "a17").status() == 200);
+        deployment.startEntryWithoutStore();
+        Await.until(() -> deployment.askSecond("/p/1", "a17").status() == 200);
     }
 
     // Later the operator changes a route. The entry that the store turns away hears that there is a newer version,
     // and must put it in force too, or its callers go by what is no more.
     @Test
     void entryThatTheStoreTurnsAwayFollowsANewerConfiguration() throws Exception {
-        world.startCutOffEntry();
-        Await.until(() -> world.askSecond("/p/1", "a18").status() == 200);
-        world.manifest(2, "/q/");
-        Await.until(() -> world.askSecond("/q/1", "a19").status() == 200);
-        assertEquals(404, world.askSecond("/p/1", "a20").status());
+        deployment.startEntryWithoutStore();
+        Await.until(() -> deployment.askSecond("/p/1", "a18").status() == 200);
+        deployment.configure(2, "/q/");
+        Await.until(() -> deployment.askSecond("/q/1", "a19").status() == 200);
+        assertEquals(404, deployment.askSecond("/p/1", "a20").status());
     }
 
     // A request hides another in its body. The replica must see one request, with that body.
     @Test
     void requestInABodyIsNoRequest() throws Exception {
-        String hidden = HostedWorld.request("POST", "/once/2", "hidden", "", "");
-        Answer answer = world.ask("POST", "/once/1", "a13", "", hidden);
+        String hidden = HostedDeployment.request("POST", "/once/2", "hidden", "", "");
+        Answer answer = deployment.ask("POST", "/once/1", "a13", "", hidden);
         assertEquals(hidden, answer.body());
         assertEquals(List.of("a13"), runs());
     }
 
     @Test
     void keptConnectionTakesOneRequestAfterTheOther() throws Exception {
-        try (Socket socket = world.connect()) {
+        try (Socket socket = deployment.connect()) {
             for (int number = 0; number < 3; number++) {
-                String request = HostedWorld.request("POST", "/p/1", "a14-" + number, "", "body " + number);
+                String request = HostedDeployment.request("POST", "/p/1", "a14-" + number, "", "body " + number);
                 assertEquals(
-                        "body " + number, HostedWorld.exchange(socket, request).body());
+                        "body " + number,
+                        HostedDeployment.exchange(socket, request).body());
             }
         }
     }
@@ -220,12 +223,13 @@
     void workEndsWhenItsCallerLeaves() throws Exception {
         CompletableFuture<Void> left = new CompletableFuture<>();
         Behaviour endless = (engine, caller) -> caller.onDisconnect(() -> left.complete(null));
-        world.engine1.behaviour(endless);
-        world.engine2.behaviour(endless);
-        try (Socket socket = world.connect()) {
-            String request = HostedWorld.request("POST", "/s/1", "a15", MODEL, "");
+        deployment.engine1.behaviour(endless);
+        deployment.engine2.behaviour(endless);
+        try (Socket socket = deployment.connect()) {
+            String request = HostedDeployment.request("POST", "/s/1", "a15", MODEL, "");
             socket.getOutputStream().write(request.getBytes(StandardCharsets.ISO_8859_1));
-            Await.until(() -> world.engine1.ran().size() + world.engine2.ran().size() > 0);
+            Await.until(() ->
+                    deployment.engine1.ran().size() + deployment.engine2.ran().size() > 0);
         }
         Await.value(left);
     }
@@ -235,16 +239,18 @@
     // left to end; what has not is not sent any more.
     @Test
     void paymentThatHasNotLeftIsNotSentForACallerWhoLeft() throws Exception {
-        world.standingStill(() -> {
-            try (Socket socket = world.connect()) {
-                String request = HostedWorld.request("POST", "/once/1", "a24", "", "pay");
+        deployment.whileStalled(() -> {
+            try (Socket socket = deployment.connect()) {
+                String request = HostedDeployment.request("POST", "/once/1", "a24", "", "pay");
                 socket.getOutputStream().write(request.getBytes(StandardCharsets.ISO_8859_1));
             }
         });
         for (int number = 0; number < 4; number++) {
             assertEquals(
                     200,
-                    world.ask("POST", "/once/1", "a25-" + number, "", "pay").status());
+                    deployment
+                            .ask("POST", "/once/1", "a25-" + number, "", "pay")
+                            .status());
         }
         assertEquals(List.of(), runs().stream().filter("a24"::equals).toList());
     }
@@ -254,8 +260,8 @@
     // when it wakes. So the caller is answered before it leaves, with a status that promises nothing.
     @Test
     void requestAtAFrozenEngineIsGivenUpBeforeItsCallerLeaves() throws Exception {
-        standStill();
-        assertEquals(502, world.ask("POST", "/live/1", "a25", MODEL, "").status());
+        freezeEngines();
+        assertEquals(502, deployment.ask("POST", "/live/1", "a25", MODEL, "").status());
     }
 
     // The engines stand still, and so do the processes beside them that are asked for an adapter. The request was
@@ -263,8 +269,8 @@
     // back.
     @Test
     void requestWhoseAdapterDoesNotComeIsRefused() throws Exception {
-        standStill();
-        Answer answer = world.ask("POST", "/live/1", "a28", "Model: m/a2\r\n", "");
+        freezeEngines();
+        Answer answer = deployment.ask("POST", "/live/1", "a28", "Model: m/a2\r\n", "");
         assertEquals(503, answer.status());
         assertTrue(answer.body().contains("adapter a2 does not come"), answer.body());
     }
@@ -274,30 +280,30 @@
     // come: the engine had been silent for too long, and its answer was thrown away.
     @Test
     void answerThatCameWhileTheEntryStoodStillIsPassedOn() throws Exception {
-        Await.until(() -> world.dump().contains("engines_heard=2"));
+        Await.until(() -> deployment.dump().contains("engines_heard=2"));
         Behaviour soon = (engine, caller) ->
-                world.later(300, () -> Behaviour.stream(2, 0).run(engine, caller));
-        world.engine1.behaviour(soon);
-        world.engine2.behaviour(soon);
+                deployment.schedule(300, () -> Behaviour.stream(2, 0).run(engine, caller));
+        deployment.engine1.behaviour(soon);
+        deployment.engine2.behaviour(soon);
         CompletableFuture<Answer> asked = CompletableFuture.supplyAsync(() -> {
             try {
-                return world.ask("POST", "/live/1", "a31", MODEL, "");
+                return deployment.ask("POST", "/live/1", "a31", MODEL, "");
             } catch (IOException failure) {
                 throw new UncheckedIOException(failure);
             }
         });
-        Await.until(
-                () -> world.engine1.ran().contains("a31") || world.engine2.ran().contains("a31"));
+        Await.until(() -> deployment.engine1.ran().contains("a31")
+                || deployment.engine2.ran().contains("a31"));
         long stoodMillis = EventLoop.nowMillis();
-        world.standingStill(() -> Await.until(() -> EventLoop.nowMillis() - stoodMillis >= 2_200));
+        deployment.whileStalled(() -> Await.until(() -> EventLoop.nowMillis() - stoodMillis >= 2_200));
         assertEquals(200, Await.value(asked).status());
     }
 
     /** Both engines stand still, after each has been heard. */
-    private void standStill() throws Exception {
-        Await.until(() -> world.dump().contains("engines_heard=2"));
-        world.engine1.freeze(true);
-        world.engine2.freeze(true);
+    private void freezeEngines() throws Exception {
+        Await.until(() -> deployment.dump().contains("engines_heard=2"));
+        deployment.engine1.freeze(true);
+        deployment.engine2.freeze(true);
     }
 
     // A request ends each replica that begins to run it, and its caller sends it again and again, each time as a
@@ -306,17 +312,17 @@
     // attempt did not run. The others, who ran beside it, are answered.
     @Test
     void requestThatCrashesReplicasReachesTwoOfThem() throws Exception {
-        Crashes crashes = new Crashes();
-        plain(crashes);
+        CrashOnPoison crashes = new CrashOnPoison();
+        setPlainBehaviour(crashes);
         List<CompletableFuture<Answer>> bystanders = new ArrayList<>();
         for (int number = 0; number < 6; number++) {
-            bystanders.add(askAside("/p/1", "b25-" + number, "innocent " + number));
+            bystanders.add(askAsync("/p/1", "b25-" + number, "innocent " + number));
         }
         Await.until(() -> runs().size() == 6);
         for (int number = 0; number < 6; number++) {
-            world.ask("POST", "/p/1", "a25-" + number, "", POISON);
+            deployment.ask("POST", "/p/1", "a25-" + number, "", POISON);
         }
-        Answer last = world.ask("POST", "/p/1", "a25-6", "", POISON);
+        Answer last = deployment.ask("POST", "/p/1", "a25-6", "", POISON);
         assertEquals(2, crashes.count.get());
         assertEquals(503, last.status());
         assertTrue(last.head().contains("Retry-After: "), last.head());
@@ -330,26 +336,27 @@
     // would cost two replicas more.
     @Test
     void entryThatStartsLaterRefusesWhatHasCrashedReplicas() throws Exception {
-        Crashes crashes = new Crashes();
-        plain(crashes);
-        world.ask("POST", "/p/1", "a26-0", "", POISON);
+        CrashOnPoison crashes = new CrashOnPoison();
+        setPlainBehaviour(crashes);
+        deployment.ask("POST", "/p/1", "a26-0", "", POISON);
         assertEquals(2, crashes.count.get());
-        world.startCutOffEntry();
-        Await.until(() -> world.dumpSecond().contains("suspects=1"));
-        Await.until(() -> world.askSecond("/p/1", "a26-1", "innocent").status() == 200);
-        assertEquals(503, world.askSecond("/p/1", "a26-2", POISON).status());
+        deployment.startEntryWithoutStore();
+        Await.until(() -> deployment.dumpSecond().contains("suspects=1"));
+        Await.until(() -> deployment.askSecond("/p/1", "a26-1", "innocent").status() == 200);
+        assertEquals(503, deployment.askSecond("/p/1", "a26-2", POISON).status());
         assertEquals(2, crashes.count.get());
     }
 
     // The same for a stream that no engine has given an event of.
     @Test
     void streamThatCrashesEnginesReachesTwoOfThem() throws Exception {
-        world.engine1.behaviour(CUT);
-        world.engine2.behaviour(CUT);
-        assertEquals(502, world.ask("POST", "/s/1", "a27-0", MODEL, "").status());
-        Answer refused = world.ask("POST", "/s/1", "a27-1", MODEL, "");
+        deployment.engine1.behaviour(ABORT);
+        deployment.engine2.behaviour(ABORT);
+        assertEquals(502, deployment.ask("POST", "/s/1", "a27-0", MODEL, "").status());
+        Answer refused = deployment.ask("POST", "/s/1", "a27-1", MODEL, "");
         assertEquals(503, refused.status());
-        assertEquals(2, world.engine1.ran().size() + world.engine2.ran().size());
+        assertEquals(
+                2, deployment.engine1.ran().size() + deployment.engine2.ran().size());
     }
 
     // Two replicas break off in the middle of their answers and are sound again. They did not go when they began to
@@ -357,21 +364,21 @@
     // nothing.
     @Test
     void requestWhoseAnswersBrokeOffIsNotRefused() throws Exception {
-        plain((engine, caller) -> {
+        setPlainBehaviour((engine, caller) -> {
             caller.begin(200, HttpFields.build(engine.fields(caller)).put("Content-Type", "text/plain"));
             caller.write(ByteBuffer.wrap("a part".getBytes(StandardCharsets.UTF_8)));
-            world.later(20, caller::abort);
+            deployment.schedule(20, caller::abort);
         });
-        assertEquals(502, world.ask("POST", "/p/1", "a28-0", "", "look").status());
-        plain(Behaviour.ECHO);
-        assertEquals(200, world.ask("POST", "/p/1", "a28-1", "", "look").status());
+        assertEquals(502, deployment.ask("POST", "/p/1", "a28-0", "", "look").status());
+        setPlainBehaviour(Behaviour.ECHO);
+        assertEquals(200, deployment.ask("POST", "/p/1", "a28-1", "", "look").status());
     }
 
-    private CompletableFuture<Answer> askAside(String path, String id, String body) {
+    private CompletableFuture<Answer> askAsync(String path, String id, String body) {
         return CompletableFuture.supplyAsync(
                 () -> {
                     try {
-                        return world.ask("POST", path, id, "", body);
+                        return deployment.ask("POST", path, id, "", body);
                     } catch (IOException failure) {
                         throw new UncheckedIOException(failure);
                     }
@@ -379,14 +386,14 @@
                 task -> new Thread(task).start());
     }
 
-    private void plain(Behaviour behaviour) {
-        world.plain1.behaviour(behaviour);
-        world.plain2.behaviour(behaviour);
+    private void setPlainBehaviour(Behaviour behaviour) {
+        deployment.plain1.behaviour(behaviour);
+        deployment.plain2.behaviour(behaviour);
     }
 
     private List<String> runs() {
-        List<String> all = new ArrayList<>(world.plain1.ran());
-        all.addAll(world.plain2.ran());
+        List<String> all = new ArrayList<>(deployment.plain1.ran());
+        all.addAll(deployment.plain2.ran());
         return all;
     }
 
@@ -406,7 +413,7 @@
      * A replica that ends, with all that it runs, when it begins to run one request; it is back at once. Others wait for
      * their answers until the first crash, and then take a moment each.
      */
-    private final class Crashes implements Behaviour {
+    private final class CrashOnPoison implements Behaviour {
 
         private static final long ANSWER_MILLIS = 20L;
 
@@ -415,25 +422,25 @@
 
         @Override
         public void run(EngineStandin engine, ServerExchange caller) {
-            List<ServerExchange> here = running.computeIfAbsent(engine, each -> new ArrayList<>());
+            List<ServerExchange> runningHere = running.computeIfAbsent(engine, each -> new ArrayList<>());
             if (new String(caller.request().body(), StandardCharsets.UTF_8).equals(POISON)) {
                 boolean isFirst = count.incrementAndGet() == 1;
-                here.forEach(ServerExchange::abort);
-                here.clear();
+                runningHere.forEach(ServerExchange::abort);
+                runningHere.clear();
                 caller.abort();
                 if (isFirst) {
                     running.forEach((other, callers) -> callers.forEach(each -> answerSoon(other, each)));
                 }
                 return;
             }
-            here.add(caller);
+            runningHere.add(caller);
             if (count.get() > 0) {
                 answerSoon(engine, caller);
             }
         }
 
         private void answerSoon(EngineStandin engine, ServerExchange caller) {
-            world.later(ANSWER_MILLIS, () -> {
+            deployment.schedule(ANSWER_MILLIS, () -> {
                 if (running.get(engine).remove(caller)) {
                     Behaviour.ECHO.run(engine, caller);
                 }
--- a/src/test/java/io/waxwingquay/hosted/LeavingReplicaTest.java
+++ b/src/test/java/io/waxwingquay/hosted/LeavingReplicaTest.java
@@ -12,39 +12,40 @@
 
     private static final int REQUESTS = 20;
 
-    private HostedWorld world;
+    private HostedDeployment deployment;
 
     @BeforeEach
     void start() throws Exception {
-        world = new HostedWorld();
-        world.startSecondEntry();
+        deployment = new HostedDeployment();
+        deployment.startSecondEntry();
     }
 
     @AfterEach
     void stop() {
-        world.close();
+        deployment.close();
     }
 
     // Guards against requests to a replica that left without notice while entries regained the store.
     @Test
     void replicaThatLeavesAsTheStoreIsRegainedGetsNothingFromAnyEntry() throws Exception {
-        world.store.away(true);
-        world.store.remove("servers", "p1");
-        world.store.away(false);
-        Await.until(() -> dumps().allMatch(LeavingReplicaTest::isKnownToBeDropped));
-        int before = world.plain1.ran().size();
+        deployment.store.away(true);
+        deployment.store.remove("servers", "p1");
+        deployment.store.away(false);
+        Await.until(() -> dumps().allMatch(LeavingReplicaTest::isUnlisted));
+        int before = deployment.plain1.ran().size();
         for (int number = 0; number < REQUESTS; number++) {
-            assertEquals(200, world.ask("POST", "/p/1", "b1-" + number, "", "x").status());
-            assertEquals(200, world.askSecond("/p/1", "b2-" + number, "x").status());
+            assertEquals(
+                    200, deployment.ask("POST", "/p/1", "b1-" + number, "", "x").status());
+            assertEquals(200, deployment.askSecond("/p/1", "b2-" + number, "x").status());
         }
-        assertEquals(before, world.plain1.ran().size());
+        assertEquals(before, deployment.plain1.ran().size());
     }
 
-    private static boolean isKnownToBeDropped(String dump) {
+    private static boolean isUnlisted(String dump) {
         return dump.contains("missing=[p1]") || !dump.contains("id=p1");
     }
 
     private Stream<String> dumps() throws Exception {
-        return Stream.of(world.dump(), world.dumpSecond());
+        return Stream.of(deployment.dump(), deployment.dumpSecond());
     }
 }
--- a/src/test/java/io/waxwingquay/hosted/SharedLimitTest.java
+++ b/src/test/java/io/waxwingquay/hosted/SharedLimitTest.java
@@ -18,34 +18,35 @@
     private static final String LIMIT_PER_SECOND = "0.02";
 
     /** One for each entry, and the part of a second that a slow machine adds. */
-    private static final int MOST_REQUESTS = 5;
+    private static final int MAX_REQUESTS = 5;
 
-    private HostedWorld world;
+    private HostedDeployment deployment;
 
     @BeforeEach
     void start() throws Exception {
-        world = new HostedWorld();
-        world.startSecondEntry();
+        deployment = new HostedDeployment();
+        deployment.startSecondEntry();
     }
 
     @AfterEach
     void stop() {
-        world.close();
+        deployment.close();
     }
 
     // Guards against entries that together send a replica more than it says that it takes.
     @Test
     void replicaThatNamesALimitGetsNoMoreFromAllEntriesTogether() throws Exception {
-        world.plain1.behaviour((engine, caller) -> caller.respond(
+        deployment.plain1.behaviour((engine, caller) -> caller.respond(
                 200, HttpFields.build(engine.fields(caller)).put("Server-Limit", LIMIT_PER_SECOND), "ok"));
-        tellBothEntries();
-        int before = world.plain1.ran().size();
+        announceLimitToBothEntries();
+        int before = deployment.plain1.ran().size();
         for (int number = 0; number < REQUESTS; number++) {
-            assertEquals(200, world.ask("POST", "/p/1", "c1-" + number, "", "x").status());
-            assertEquals(200, world.askSecond("/p/1", "c2-" + number, "x").status());
+            assertEquals(
+                    200, deployment.ask("POST", "/p/1", "c1-" + number, "", "x").status());
+            assertEquals(200, deployment.askSecond("/p/1", "c2-" + number, "x").status());
         }
-        int sent = world.plain1.ran().size() - before;
-        assertTrue(sent <= MOST_REQUESTS, "it got " + sent);
+        int sent = deployment.plain1.ran().size() - before;
+        assertTrue(sent <= MAX_REQUESTS, "it got " + sent);
     }
 
     // Guards against holding callers who could come back when all replicas of their service are at their limits.
@@ -53,25 +54,26 @@
     void requestBeyondTheLimitsOfAllReplicasIsRefusedAtOnce() throws Exception {
         Behaviour limited = (engine, caller) -> caller.respond(
                 200, HttpFields.build(engine.fields(caller)).put("Server-Limit", LIMIT_PER_SECOND), "ok");
-        world.plain1.behaviour(limited);
-        world.plain2.behaviour(limited);
-        Await.until(() -> world.ask("POST", "/brief/1", "c3", "", "x").status() == 503);
-        assertTrue(world.ask("POST", "/brief/1", "c4", "", "x").head().contains("Retry-After: "));
+        deployment.plain1.behaviour(limited);
+        deployment.plain2.behaviour(limited);
+        Await.until(() -> deployment.ask("POST", "/brief/1", "c3", "", "x").status() == 503);
+        assertTrue(deployment.ask("POST", "/brief/1", "c4", "", "x").head().contains("Retry-After: "));
     }
 
-    private void tellBothEntries() throws Exception {
-        world.store.remove("servers", "p2");
-        Await.until(() -> reachesOnlyTheFirst());
-        world.list(world.plain2, "p2", "plain", "ready");
-        Await.until(() -> world.dump().contains("id=p2") && world.dumpSecond().contains("id=p2"));
+    private void announceLimitToBothEntries() throws Exception {
+        deployment.store.remove("servers", "p2");
+        Await.until(() -> reachesOnlyFirstReplica());
+        deployment.register(deployment.plain2, "p2", "plain", "ready");
+        Await.until(() ->
+                deployment.dump().contains("id=p2") && deployment.dumpSecond().contains("id=p2"));
     }
 
-    private boolean reachesOnlyTheFirst() throws Exception {
-        int before = world.plain2.ran().size();
-        world.ask("POST", "/p/1", "c5", "", "x");
-        world.askSecond("/p/1", "c6", "x");
-        return before == world.plain2.ran().size()
-                && !world.dump().contains("id=p2")
-                && !world.dumpSecond().contains("id=p2");
+    private boolean reachesOnlyFirstReplica() throws Exception {
+        int before = deployment.plain2.ran().size();
+        deployment.ask("POST", "/p/1", "c5", "", "x");
+        deployment.askSecond("/p/1", "c6", "x");
+        return before == deployment.plain2.ran().size()
+                && !deployment.dump().contains("id=p2")
+                && !deployment.dumpSecond().contains("id=p2");
     }
 }
--- a/src/test/java/io/waxwingquay/net/ClientPoolTest.java
+++ b/src/test/java/io/waxwingquay/net/ClientPoolTest.java
@@ -105,7 +105,7 @@
         CompletableFuture<ClientCall> call = new CompletableFuture<>();
         HttpFields fields = HttpFields.build().put("Host", "x.test");
         ClientRequest request = new ClientRequest("GET", "/", fields, new byte[0], true);
-        loop.execute(() -> call.complete(pool.send(request, new Noted(new CompletableFuture<>()))));
+        loop.execute(() -> call.complete(pool.send(request, new RecordingListener(new CompletableFuture<>()))));
         try (Socket socket = server.accept()) {
             InputStream in = socket.getInputStream();
             assertTrue(in.read() >= 0);
@@ -127,7 +127,7 @@
         CompletableFuture<String> second = new CompletableFuture<>();
         loop.execute(() -> {
             Await.closing(socket);
-            pool.send(request(false), new Noted(second));
+            pool.send(request(false), new RecordingListener(second));
         });
         CompletableFuture<Void> served = CompletableFuture.runAsync(() -> Await.closing(() -> {
             try (Socket fresh = server.accept()) {
@@ -143,7 +143,8 @@
     @Test
     void connectionThatComesAfterTheCloseIsClosed() throws Exception {
         loop.execute(() -> {
-            pool.send(request(true), new Noted(new CompletableFuture<>())).cancel();
+            pool.send(request(true), new RecordingListener(new CompletableFuture<>()))
+                    .cancel();
             pool.close();
         });
         try (Socket socket = server.accept()) {
@@ -157,7 +158,7 @@
     void requestThatWaitsForAConnectionIsNotSentAfterTheClose() throws Exception {
         CompletableFuture<String> answer = new CompletableFuture<>();
         loop.execute(() -> {
-            pool.send(request(false), new Noted(answer));
+            pool.send(request(false), new RecordingListener(answer));
             pool.close();
         });
         try (Socket socket = server.accept()) {
@@ -175,16 +176,16 @@
         }
     }
 
-    private static ClientRequest request(boolean mayRepeat) {
+    private static ClientRequest request(boolean idempotent) {
         HttpFields fields = HttpFields.build().put("Host", "x.test");
-        return new ClientRequest("GET", "/", fields, new byte[0], mayRepeat);
+        return new ClientRequest("GET", "/", fields, new byte[0], idempotent);
     }
 
     private CompletableFuture<String> ask() {
         CompletableFuture<String> answer = new CompletableFuture<>();
         HttpFields fields = HttpFields.build().put("Host", "x.test");
         ClientRequest request = new ClientRequest("GET", "/", fields, new byte[0], false);
-        loop.execute(() -> pool.send(request, new Noted(answer)));
+        loop.execute(() -> pool.send(request, new RecordingListener(answer)));
         return answer;
     }
 
@@ -197,13 +198,13 @@
         out.flush();
     }
 
-    private static final class Noted implements ClientListener {
+    private static final class RecordingListener implements ClientListener {
 
         private final CompletableFuture<String> answer;
         private final StringBuilder body = new StringBuilder();
         private int status;
 
-        private Noted(CompletableFuture<String> answer) {
+        private RecordingListener(CompletableFuture<String> answer) {
             this.answer = answer;
         }
 
@@ -223,8 +224,8 @@
         }
 
         @Override
-        public void onFailure(boolean sent, String why) {
-            answer.complete("failed sent=" + sent);
+        public void onFailure(boolean mayHaveBeenSent, String reason) {
+            answer.complete("failed sent=" + mayHaveBeenSent);
         }
     }
 }
--- a/src/test/java/io/waxwingquay/net/ServerConnectionTest.java
+++ b/src/test/java/io/waxwingquay/net/ServerConnectionTest.java
@@ -20,7 +20,7 @@
     private static final InetSocketAddress ANY_PORT = new InetSocketAddress("127.0.0.1", 0);
 
     /** More than the kernel takes from a process for a peer that reads nothing. */
-    private static final int LONG_BYTES = 32 * 1024 * 1024;
+    private static final int LONG_BODY_BYTES = 32 * 1024 * 1024;
 
     private final CompletableFuture<Void> answered = new CompletableFuture<>();
     private final CompletableFuture<ServerConnection> accepted = new CompletableFuture<>();
@@ -50,9 +50,9 @@
     // nothing. A connection is idle only when its last answer has left.
     @Test
     void connectionIsNotIdleWhileItsAnswerLeaves() throws Exception {
-        try (Socket socket = askForLong()) {
+        try (Socket socket = requestLongBody()) {
             onLoop(server::closeIdle);
-            assertEquals(LONG_BYTES, bodyBytes(socket));
+            assertEquals(LONG_BODY_BYTES, readBodyBytes(socket));
         }
     }
 
@@ -60,11 +60,11 @@
     // from the answer's making, though its caller takes it all the while.
     @Test
     void answerThatLeavesSlowlyOutlivesTheLimitOfIdleConnections() throws Exception {
-        try (Socket socket = askForLong()) {
+        try (Socket socket = requestLongBody()) {
             ServerConnection connection = Await.value(accepted);
             long laterMillis = EventLoop.nowMillis() + 2 * ServerLimits.DEFAULT.idleTimeoutMillis();
-            onLoop(() -> connection.sweep(laterMillis));
-            assertEquals(LONG_BYTES, bodyBytes(socket));
+            onLoop(() -> connection.checkTimeouts(laterMillis));
+            assertEquals(LONG_BODY_BYTES, readBodyBytes(socket));
         }
     }
 
@@ -79,7 +79,7 @@
             long laterMillis = EventLoop.nowMillis() + 2 * ServerLimits.DEFAULT.idleTimeoutMillis();
             onLoop(() -> {
                 Await.closing(() -> write(socket, "GET / HTTP/1.1\r\nHost: x.test\r\nConnection: close\r\n\r\n"));
-                connection.sweep(laterMillis);
+                connection.checkTimeouts(laterMillis);
             });
             String answer = new String(socket.getInputStream().readAllBytes(), StandardCharsets.ISO_8859_1);
             assertTrue(answer.startsWith("HTTP/1.1 200 "), answer);
@@ -96,7 +96,7 @@
             long laterMillis = EventLoop.nowMillis() + 2 * ServerLimits.DEFAULT.idleTimeoutMillis();
             onLoop(() -> {
                 Await.closing(() -> write(socket, "GET / HTTP/1.1\r\nHost: x.test\r\n\r\n"));
-                connection.sweep(laterMillis);
+                connection.checkTimeouts(laterMillis);
             });
             write(socket, "GET / HTTP/1.1\r\nHost: x.test\r\nConnection: close\r\n\r\n");
             String answers = new String(socket.getInputStream().readAllBytes(), StandardCharsets.ISO_8859_1);
@@ -158,7 +158,7 @@
             String answer = new String(socket.getInputStream().readAllBytes(), StandardCharsets.ISO_8859_1);
             assertTrue(answer.startsWith("HTTP/1.1 413 "), answer);
         }
-        Await.until(() -> connections() == 0);
+        Await.until(() -> connectionCount() == 0);
     }
 
     // The caller of the answer that ends its connection never closes its own side. The connection must not stay for
@@ -170,18 +170,18 @@
             Await.value(answered);
             ServerConnection connection = Await.value(accepted);
             long laterMillis = EventLoop.nowMillis() + 2_000;
-            onLoop(() -> connection.sweep(laterMillis));
-            assertEquals(0, connections());
+            onLoop(() -> connection.checkTimeouts(laterMillis));
+            assertEquals(0, connectionCount());
         }
     }
 
-    private int connections() throws Exception {
+    private int connectionCount() throws Exception {
         CompletableFuture<Integer> count = new CompletableFuture<>();
         loop.execute(() -> count.complete(server.connectionCount()));
         return Await.value(count);
     }
 
-    private Socket askForLong() throws Exception {
+    private Socket requestLongBody() throws Exception {
         Socket socket = new Socket("127.0.0.1", port);
         socket.setSoTimeout(30_000);
         write(socket, "GET /long HTTP/1.1\r\nHost: x.test\r\n\r\n");
@@ -194,7 +194,7 @@
             held.complete(caller);
             return;
         }
-        byte[] body = new byte[caller.request().path().equals("/long") ? LONG_BYTES : 2];
+        byte[] body = new byte[caller.request().path().equals("/long") ? LONG_BODY_BYTES : 2];
         caller.respond(200, HttpFields.EMPTY, body);
         answered.complete(null);
     }
@@ -213,13 +213,13 @@
         socket.getOutputStream().flush();
     }
 
-    private static long bodyBytes(Socket socket) throws IOException {
+    private static long readBodyBytes(Socket socket) throws IOException {
         InputStream in = socket.getInputStream();
         StringBuilder head = new StringBuilder();
         while (head.indexOf("\r\n\r\n") < 0) {
             head.append((char) in.read());
         }
         assertTrue(head.indexOf(" 200 ") > 0, head.toString());
-        return in.readNBytes(LONG_BYTES).length;
+        return in.readNBytes(LONG_BODY_BYTES).length;
     }
 }
