--- a/src/main/java/io/waxwingquay/hosted/GracefulShutdown.java
+++ b/src/main/java/io/waxwingquay/hosted/GracefulShutdown.java
@@ -10,15 +10,15 @@
 /**
  * How an entry leaves without cutting a request.
  *
- * <p>Failure: an entry that is told to stop stops listening at once. Symptom: callers whom the platform still sends here
- * are refused, and requests on kept connections are cut. So it is not ready from the first moment, but takes requests
- * until the platform has looked twice and sends nobody any more, each answer ending its connection; then idle ones are
- * closed, what could not end in time is refused, and it exits when no request is under way and no connection
- * is open, or just before it would be killed.
+ * <p>Failure: an entry that is told to stop stops listening at once. Symptom: callers whom the platform still sends
+ * here are refused, and requests on kept connections are cut. So it is not ready from the first moment, but takes
+ * requests until the platform has looked twice and sends nobody any more, each answer ending its connection; then
+ * idle ones are closed, what could not end in time is refused, and it exits when no request is under way and no
+ * connection is open, or just before it would be killed.
  *
- * <p>Failure: while all entries leave, the platform sends callers to them all the same, and a request comes between the look
- * that finds nothing under way and the exit. Symptom: it is passed on, and cut. So that look also ends admission: nothing
- * can come under way afterwards, however long the exit itself takes.
+ * <p>Failure: while all entries leave, the platform sends callers to them all the same, and a request comes between
+ * the look that finds nothing under way and the exit. Symptom: it is passed on, and cut. So that look also ends
+ * admission: nothing can come under way afterwards, however long the exit itself takes.
  */
 final class GracefulShutdown {
 
--- a/src/main/java/io/waxwingquay/hosted/HostedEntry.java
+++ b/src/main/java/io/waxwingquay/hosted/HostedEntry.java
@@ -47,13 +47,19 @@
     /** Well within the two seconds in which a new configuration must be in force. */
     private static final long CONFIGURATION_BATCH_MILLIS = 300L;
 
-    /** What engines hold is heard from beside them; the list is for who comes and leaves, in this part of the time allowed. */
+    /**
+     * What engines hold is heard from beside them; the list is for who comes and leaves, in this part of the time
+     * allowed.
+     */
     private static final double REPLICA_BATCH_FRACTION = 1.0 / 3;
 
     /** A configuration is told of within its gathering and a datagram's way; one that is not by then was missed. */
     private static final long MAX_CONFIGURATION_LAG_MILLIS = 700L;
 
-    /** Entries read a change of the list within the time of gathering and this; one that has not by then has missed it. */
+    /**
+     * Entries read a change of the list within the time of gathering and this; one that has not by then has missed
+     * it.
+     */
     private static final long REPLICA_LAG_MARGIN_MILLIS = 100L;
 
     private static final long COPY_CHECK_MILLIS = 200L;
--- a/src/main/java/io/waxwingquay/net/Cancellable.java
+++ b/src/main/java/io/waxwingquay/net/Cancellable.java
@@ -1,11 +1,11 @@
 package io.waxwingquay.net;
 
 /**
- * A task to come that can be given up.
+ * A scheduled task that can be cancelled.
  */
 @FunctionalInterface
 public interface Cancellable {
 
-    /** Gives the task up; without effect if it has run. */
+    /** Cancels the task; has no effect if it has already run. */
     void cancel();
 }
--- a/src/main/java/io/waxwingquay/net/ClientCall.java
+++ b/src/main/java/io/waxwingquay/net/ClientCall.java
@@ -1,17 +1,17 @@
 package io.waxwingquay.net;
 
 /**
- * A request under way.
+ * A request in progress.
  */
 public interface ClientCall {
 
-    /** Gives the request up: its connection is closed, which ends the work of most peers. Nothing is told any more. */
+    /** Cancels the request and closes its connection, at which most peers stop working on it. No callback follows. */
     void cancel();
 
     /**
-     * Whether the request has been handed to a connection.
+     * Returns whether the request has been handed to a connection.
      *
-     * @return false while none of it can have left.
+     * @return {@code false} while certainly no byte of it has been sent.
      */
     boolean mayHaveBeenSent();
 }
--- a/src/main/java/io/waxwingquay/net/ClientConnection.java
+++ b/src/main/java/io/waxwingquay/net/ClientConnection.java
@@ -11,17 +11,17 @@
 import org.eclipse.jetty.http.HttpVersion;
 import org.eclipse.jetty.io.EndPoint;
 
-/** One connection to another server, one request at a time. */
+/** A connection to another server that carries one request at a time. */
 final class ClientConnection extends LoopConnection implements HttpParser.ResponseHandler {
 
     private static final int MAX_HEAD_BYTES = 32_768;
     private static final int OUTPUT_SLACK_BYTES = 256;
     private static final int FIRST_FINAL_STATUS = 200;
 
-    /** A peer that closes idle connections does so at its own clock; a request is sent no closer to that than this. */
+    /** Safety margin before the peer's own idle timeout, within which the connection is not reused. */
     private static final long IDLE_MARGIN_MILLIS = 700L;
 
-    /** What an idle connection is trusted for when the peer does not say how long it keeps it. */
+    /** Assumed idle timeout of a peer that does not announce one. */
     private static final long UNKNOWN_IDLE_MILLIS = 1_500L;
 
     private static final long MILLIS_PER_SECOND = 1_000L;
@@ -51,9 +51,11 @@
     }
 
     /**
-     * Whether a request may be sent here.
+     * Returns whether a request may be sent over this connection.
      *
-     * @param idempotent whether the request may be repeated; one that may not gets a connection that surely lives on.
+     * @param idempotent whether the request is idempotent; such a request may also use a connection whose idle
+     *     timeout is unknown, however long it has been idle.
+     * @param nowMillis the current monotonic time.
      */
     boolean isUsable(boolean idempotent, long nowMillis) {
         if (unusable || listener != null || !getEndPoint().isOpen()) {
@@ -66,11 +68,12 @@
     }
 
     /**
-     * Reads what has come, and tells whether the connection is still open.
+     * Reads pending input and returns whether the connection is still open.
      *
-     * <p>Failure: the peer closes an idle connection while the loop is at something else, and a request is handed over
-     * before the end is read. Symptom: a request that may run once fails as one that may have run, though nobody got it.
-     * What the kernel knows at this moment is all that can be known before sending; a close on its way is not.
+     * <p>If the peer closes an idle connection while the loop is busy, a request could be sent before the end of
+     * input is read. A non-idempotent request would then fail as one that may have run, although no peer received it.
+     * Reading first detects every close that has reached the kernel; a close that is still in transit can't be
+     * detected.
      */
     boolean readAndCheckOpen() {
         onFillable();
@@ -113,7 +116,7 @@
     @Override
     void onInput(ByteBuffer bytes) {
         if (listener == null) {
-            // Bytes that no request asked for: whatever comes next here can't be told from an answer.
+            // After bytes without a request, further input could be mistaken for the response to the next one.
             fail("bytes without a request");
             return;
         }
@@ -233,6 +236,6 @@
     /** {@inheritDoc} */
     @Override
     public void badMessage(HttpException failure) {
-        fail("the answer can't be read: " + failure.getReason());
+        fail("the response can't be parsed: " + failure.getReason());
     }
 }
--- a/src/main/java/io/waxwingquay/net/ClientListener.java
+++ b/src/main/java/io/waxwingquay/net/ClientListener.java
@@ -4,32 +4,33 @@
 import org.eclipse.jetty.http.HttpFields;
 
 /**
- * Told what comes back for one request, on the loop. After {@link #onComplete} or {@link #onFailure} nothing follows.
+ * Receives the response to one request, on the loop. {@link #onComplete} or {@link #onFailure} is the last callback.
  */
 public interface ClientListener {
 
     /**
-     * The head of the answer has come.
+     * Called when the head of the response has been received.
      *
-     * @param status the status.
+     * @param status the HTTP status.
      * @param fields the header fields.
      */
     void onHead(int status, HttpFields fields);
 
     /**
-     * A part of the body has come.
+     * Called when a part of the body has been received.
      *
-     * @param bytes the part; taken in before this returns.
+     * @param bytes the part; consumed before this method returns.
      */
     void onBody(ByteBuffer bytes);
 
-    /** The answer came whole. */
+    /** Called when the response is complete. */
     void onComplete();
 
     /**
-     * There is no whole answer.
+     * Called when the request ends without a complete response.
      *
-     * @param mayHaveBeenSent whether any byte of the request may have left; {@code false} only if the peer certainly saw none.
+     * @param mayHaveBeenSent whether any byte of the request may have been sent; {@code false} only if the peer
+     *     certainly received none.
      * @param reason what happened, for logs.
      */
     void onFailure(boolean mayHaveBeenSent, String reason);
--- a/src/main/java/io/waxwingquay/net/ClientPool.java
+++ b/src/main/java/io/waxwingquay/net/ClientPool.java
@@ -10,7 +10,8 @@
 import java.util.Set;
 
 /**
- * Connections to one server. The one used last is used first, so that a quiet time lets the others go.
+ * A pool of connections to one server. The most recently used connection is reused first, so that surplus connections
+ * become idle and expire when load is low.
  */
 public final class ClientPool implements AutoCloseable {
 
@@ -23,29 +24,29 @@
     private int connectingCount;
 
     /**
-     * A pool without a connection yet.
+     * Creates a pool without connections.
      *
-     * @param loop where everything runs.
-     * @param address the server.
-     * @param limit the most connections at once.
+     * @param loop the event loop on which everything runs.
+     * @param address the server's address.
+     * @param maxConnections the maximum number of concurrent connections.
      */
-    public ClientPool(EventLoop loop, InetSocketAddress address, int limit) {
+    public ClientPool(EventLoop loop, InetSocketAddress address, int maxConnections) {
         this.loop = loop;
         this.address = address;
-        this.maxConnections = limit;
+        this.maxConnections = maxConnections;
     }
 
     /**
-     * Sets the most connections at once; those beyond it end with their requests.
+     * Sets the maximum number of concurrent connections. Connections beyond it are closed once their requests end.
      *
-     * @param newLimit the number.
+     * @param newMaxConnections the number of connections.
      */
-    public void maxConnections(int newLimit) {
-        this.maxConnections = newLimit;
+    public void maxConnections(int newMaxConnections) {
+        this.maxConnections = newMaxConnections;
     }
 
     /**
-     * Whether a request could be sent at once.
+     * Returns whether a request could be sent without waiting for another one to end.
      *
      * @return whether a connection is idle or may be opened.
      */
@@ -57,8 +58,8 @@
      * Sends a request over an idle connection or a new one.
      *
      * @param request the request.
-     * @param listener told what comes back.
-     * @return the call, to give it up.
+     * @param listener receives the response.
+     * @return the call, by which it can be cancelled.
      */
     public ClientCall send(ClientRequest request, ClientListener listener) {
         PendingCall call = new PendingCall(request, listener);
@@ -81,15 +82,15 @@
     }
 
     /**
-     * How many requests run or wait here.
+     * Returns the number of requests that run or wait for a connection.
      *
-     * @return the number.
+     * @return the number of requests.
      */
     public int busyCount() {
         return connections.size() - idleConnections.size() + connectingCount;
     }
 
-    /** Gives back the requests that wait for a connection: the server is not to get them any more. */
+    /** Fails all requests that wait for a connection, so that they are no longer sent to this server. */
     public void failWaiting() {
         pendingCalls.forEach(PendingCall::failLater);
     }
@@ -142,7 +143,7 @@
         return Optional.empty();
     }
 
-    /** A request and, once there is one, its connection. */
+    /** A request with the connection that it is sent over, once one is assigned. */
     private final class PendingCall implements ClientCall {
 
         private final ClientRequest request;
@@ -175,11 +176,11 @@
             }
         }
 
-        /** The listener is told later, as it may well ask for another connection. */
+        /** Notifies the listener in a later task, as it may request another connection from this pool. */
         private void failLater() {
             if (!cancelled) {
                 cancelled = true;
-                loop.execute(() -> listener.onFailure(false, "the server is not to be used any more"));
+                loop.execute(() -> listener.onFailure(false, "the server is no longer in use"));
             }
         }
 
--- a/src/main/java/io/waxwingquay/net/DatagramReader.java
+++ b/src/main/java/io/waxwingquay/net/DatagramReader.java
@@ -7,7 +7,7 @@
 import java.util.function.BiConsumer;
 import org.eclipse.jetty.io.EndPoint;
 
-/** Reads datagrams as they come. */
+/** Reads datagrams and passes each to a receiver. */
 final class DatagramReader extends LoopConnection {
 
     private static final System.Logger LOG = System.getLogger("waxwingquay.net");
@@ -41,7 +41,7 @@
         try {
             receiver.accept(sender, buffer);
         } catch (RuntimeException failure) {
-            LOG.log(System.Logger.Level.WARNING, "net: a datagram from {0} can't be read: {1}", sender, failure);
+            LOG.log(System.Logger.Level.WARNING, "net: a datagram from {0} can't be processed: {1}", sender, failure);
         }
     }
 
@@ -52,14 +52,14 @@
             buffer.flip();
             return sender;
         } catch (IOException failure) {
-            LOG.log(System.Logger.Level.DEBUG, "net: no datagram was received: {0}", failure);
+            LOG.log(System.Logger.Level.DEBUG, "net: receiving a datagram failed: {0}", failure);
             return null;
         }
     }
 
     @Override
     void onInput(ByteBuffer bytes) {
-        throw new IllegalStateException("datagrams are read one by one");
+        throw new IllegalStateException("datagrams are not read as a byte stream");
     }
 
     @Override
--- a/src/main/java/io/waxwingquay/net/DatagramSocket.java
+++ b/src/main/java/io/waxwingquay/net/DatagramSocket.java
@@ -6,7 +6,7 @@
 import java.nio.channels.DatagramChannel;
 
 /**
- * Sends datagrams. They may be lost, so whoever sends says again what matters.
+ * Sends datagrams. Delivery is not guaranteed; senders resend what must arrive.
  */
 public final class DatagramSocket implements AutoCloseable {
 
@@ -21,14 +21,14 @@
     /**
      * Sends one datagram.
      *
-     * @param target where to.
-     * @param payload what.
+     * @param target the address of the receiver.
+     * @param payload the content of the datagram.
      */
     public void send(InetSocketAddress target, byte[] payload) {
         try {
             channel.send(ByteBuffer.wrap(payload), target);
         } catch (IOException failure) {
-            // A route that is down is no news here: the next datagram says the same again.
+            // An unreachable network needs no handling here: the next datagram repeats the content.
             LOG.log(System.Logger.Level.DEBUG, "net: a datagram to {0} was not sent: {1}", target, failure);
         }
     }
@@ -39,7 +39,7 @@
         try {
             channel.close();
         } catch (IOException failure) {
-            LOG.log(System.Logger.Level.DEBUG, "net: a datagram socket did not close: {0}", failure);
+            LOG.log(System.Logger.Level.DEBUG, "net: closing a datagram socket failed: {0}", failure);
         }
     }
 }
--- a/src/main/java/io/waxwingquay/net/EventLoop.java
+++ b/src/main/java/io/waxwingquay/net/EventLoop.java
@@ -33,11 +33,14 @@
 import org.eclipse.jetty.util.thread.Scheduler;
 
 /**
- * One thread that serves sockets, timers and posted tasks.
+ * An event loop that serves sockets, timers and posted tasks on a single thread.
  */
 public final class EventLoop implements Executor, AutoCloseable {
 
-    /** Keep-alive probes find a peer that vanished without a reset; three seconds is the platform's own patience. */
+    /**
+     * Keep-alive probes detect a peer that vanished without a reset. With three probes at intervals of one second the
+     * detection takes about as long as the platform's own timeout of three seconds.
+     */
     private static final int KEEP_ALIVE_IDLE_SECONDS = 1;
 
     private static final int KEEP_ALIVE_INTERVAL_SECONDS = 1;
@@ -60,7 +63,7 @@
     }
 
     /**
-     * Starts a loop on a thread of its own.
+     * Starts an event loop on its own thread.
      *
      * @param name the thread's name.
      * @return the running loop.
@@ -76,7 +79,7 @@
     }
 
     /**
-     * The steady time.
+     * Returns the current monotonic time.
      *
      * @return milliseconds since an arbitrary origin.
      */
@@ -85,7 +88,7 @@
     }
 
     /**
-     * Runs a task on the loop soon; callable from any thread.
+     * Queues a task to run on the loop; callable from any thread.
      *
      * @param task the task.
      */
@@ -96,11 +99,11 @@
     }
 
     /**
-     * Runs a task once, on the loop; called on the loop.
+     * Schedules a task to run once on the loop; called on the loop.
      *
-     * @param delayMillis how long from now.
+     * @param delayMillis the delay from now.
      * @param task the task.
-     * @return to give it up.
+     * @return a handle to cancel the task.
      */
     public Cancellable schedule(long delayMillis, Runnable task) {
         TimerQueue.Timer timer = timers.add(nowMillis() + Math.max(0, delayMillis), task);
@@ -108,9 +111,9 @@
     }
 
     /**
-     * Runs a task again and again, on the loop.
+     * Runs a task periodically on the loop; called on the loop.
      *
-     * @param periodMillis the pause between two runs.
+     * @param periodMillis the delay before the first run and between two runs.
      * @param task the task.
      */
     public void every(long periodMillis, Runnable task) {
@@ -123,9 +126,9 @@
     /**
      * Listens for connections.
      *
-     * @param address where.
-     * @param connectionFactory makes the connection of an accepted channel.
-     * @return the port listened on.
+     * @param address the address to bind.
+     * @param connectionFactory creates the connection for an accepted channel.
+     * @return the bound port.
      * @throws UncheckedIOException if the address can't be bound.
      */
     public int listen(InetSocketAddress address, Function<EndPoint, Connection> connectionFactory) {
@@ -148,9 +151,9 @@
     /**
      * Opens a connection; called on the loop.
      *
-     * @param address where to.
-     * @param connectionFactory makes the connection once the channel stands.
-     * @param onFailure told why none could be made; no byte has left then.
+     * @param address the address of the peer.
+     * @param connectionFactory creates the connection once the channel is connected.
+     * @param onFailure receives the cause if the channel can't be connected; no byte has been sent in that case.
      */
     public void connect(
             InetSocketAddress address,
@@ -176,8 +179,8 @@
     /**
      * Opens a datagram socket.
      *
-     * @param address where it is bound.
-     * @param receiver takes each datagram and its sender; the buffer is its own during the call only.
+     * @param address the address to bind.
+     * @param receiver receives each datagram and its sender; the buffer is valid only during the call.
      * @return the socket.
      * @throws UncheckedIOException if the address can't be bound.
      */
@@ -202,7 +205,7 @@
         try {
             selectorManager.stop();
         } catch (Exception failure) {
-            LOG.log(System.Logger.Level.WARNING, "net: the event loop did not stop: {0}", failure);
+            LOG.log(System.Logger.Level.WARNING, "net: stopping the event loop failed: {0}", failure);
         }
     }
 
@@ -210,7 +213,7 @@
         return Thread.currentThread() == thread;
     }
 
-    /** One buffer serves all reads, as each is taken in before the next begins. */
+    /** Returns the buffer shared by all reads; its content is consumed before the next read. */
     ByteBuffer inputBuffer() {
         return inputBuffer;
     }
@@ -235,7 +238,7 @@
         try {
             channel.close();
         } catch (IOException failure) {
-            LOG.log(System.Logger.Level.DEBUG, "net: a channel that never opened did not close: {0}", failure);
+            LOG.log(System.Logger.Level.DEBUG, "net: closing an unconnected channel failed: {0}", failure);
         }
     }
 
@@ -249,7 +252,7 @@
         timers.removeDue(nowMillis()).forEach(EventLoop::runGuarded);
     }
 
-    /** A fault in one task must not end the thread that serves all others. */
+    /** Runs a task and logs its failure, so that one faulty task does not end the thread that serves all others. */
     private static void runGuarded(Runnable task) {
         try {
             task.run();
@@ -259,14 +262,17 @@
     }
 
     /**
-     * What becomes of a channel.
+     * The attachment of a channel that is being opened.
      *
-     * @param connectionFactory makes its connection.
-     * @param onFailure told if the channel could not be opened.
+     * @param connectionFactory creates its connection.
+     * @param onFailure receives the cause if the channel could not be opened.
      */
     private record ChannelAttachment(Function<EndPoint, Connection> connectionFactory, Consumer<Throwable> onFailure) {}
 
-    /** Jetty asks for threads; the first call brings the loop itself, all others are tasks for it. */
+    /**
+     * The executor given to Jetty: the first task is the selector loop and gets a thread, all others run on that
+     * loop.
+     */
     private final class LoopExecutor implements Executor {
 
         private final String name;
@@ -287,7 +293,7 @@
         }
     }
 
-    /** Gives Jetty's connect time-outs a place among the loop's own timers. */
+    /** Runs Jetty's connect timeouts on the loop's own timer queue. */
     private final class LoopScheduler extends AbstractLifeCycle implements Scheduler {
 
         /** {@inheritDoc} */
@@ -307,7 +313,7 @@
         }
     }
 
-    /** Jetty's selector, with this loop's timers and tasks run between two selections. */
+    /** A Jetty selector manager that runs this loop's timers and posted tasks between two selections. */
     private final class LoopSelectorManager extends SelectorManager {
 
         private static final long CONNECT_TIMEOUT_MILLIS = 1_000L;
--- a/src/main/java/io/waxwingquay/net/HttpServer.java
+++ b/src/main/java/io/waxwingquay/net/HttpServer.java
@@ -7,7 +7,7 @@
 import org.eclipse.jetty.http.HttpFields;
 
 /**
- * Takes requests on one address. All of it runs on the loop.
+ * An HTTP server that listens on one address. All methods run on the loop.
  */
 public final class HttpServer {
 
@@ -27,12 +27,12 @@
     }
 
     /**
-     * Starts to listen.
+     * Starts a server.
      *
-     * @param loop where everything runs.
+     * @param loop the event loop on which everything runs.
      * @param address the address to listen on.
      * @param handler answers the requests.
-     * @return the server.
+     * @return the running server.
      */
     public static HttpServer listen(EventLoop loop, InetSocketAddress address, ServerHandler handler) {
         HttpServer server = new HttpServer(loop, handler);
@@ -42,28 +42,28 @@
     }
 
     /**
-     * Sets what callers may send from now on.
+     * Replaces the limits on requests and connections.
      *
-     * @param newLimits the limits.
+     * @param newLimits the limits to apply from now on.
      */
     public void updateLimits(ServerLimits newLimits) {
         this.limits = newLimits;
     }
 
-    /** From now on each answer ends its connection. */
+    /** Closes each connection after its next response from now on. */
     public void startDraining() {
         draining = true;
     }
 
-    /** Closes connections without a request. */
+    /** Closes all connections that have no request. */
     public void closeIdle() {
         new ArrayList<>(connections).forEach(ServerConnection::closeIfIdle);
     }
 
     /**
-     * How many connections are open.
+     * Returns the number of open connections.
      *
-     * @return the number.
+     * @return the number of connections.
      */
     public int connectionCount() {
         return connections.size();
@@ -89,8 +89,8 @@
         try {
             handler.handle(exchange);
         } catch (RuntimeException failure) {
-            LOG.log(System.Logger.Level.ERROR, "net: a request was not handled.", failure);
-            exchange.respond(INTERNAL_ERROR, HttpFields.EMPTY, "the request was not handled");
+            LOG.log(System.Logger.Level.ERROR, "net: handling a request failed.", failure);
+            exchange.respond(INTERNAL_ERROR, HttpFields.EMPTY, "handling the request failed");
         }
     }
 
--- a/src/main/java/io/waxwingquay/net/LoopConnection.java
+++ b/src/main/java/io/waxwingquay/net/LoopConnection.java
@@ -15,7 +15,7 @@
 import org.eclipse.jetty.util.Callback;
 
 /**
- * A connection whose reads and writes all run on the loop's thread.
+ * A connection whose reads and writes all run on the loop thread.
  */
 abstract class LoopConnection extends AbstractConnection {
 
@@ -45,29 +45,30 @@
     }
 
     /**
-     * Jetty's endpoint turns a reset into an orderly end. Symptom: an answer without a length that its server broke off
-     * is taken for a whole one. The channel itself tells the two apart.
+     * Returns the channel itself for reading, because Jetty's endpoint reports a reset as an orderly end of input. A
+     * response without a content length that its server aborted would then count as complete.
      */
     private ReadableByteChannel channel() {
         return (ReadableByteChannel) getEndPoint().getTransport();
     }
 
     /**
-     * Closes with a reset.
+     * Closes the connection with a reset.
      *
-     * <p>Failure: a peer's machine stands still, or the way to it is cut, when a request is given up. Symptom of an orderly
-     * close: the request arrives before it, seconds later, and is run for nobody. What a reset finds undelivered is lost.
+     * <p>If the peer is unresponsive or unreachable when a request is cancelled, the request would still be delivered
+     * ahead of an orderly close, seconds later, and run although nobody waits for its response. A reset discards what
+     * has not been delivered.
      */
     final void closeWithReset() {
         try {
             ((SocketChannel) getEndPoint().getTransport()).setOption(StandardSocketOptions.SO_LINGER, 0);
         } catch (IOException failure) {
-            LOG.log(System.Logger.Level.DEBUG, "net: a connection is closed and not reset: {0}", failure);
+            LOG.log(System.Logger.Level.DEBUG, "net: a connection is closed without a reset: {0}", failure);
         }
         getEndPoint().close();
     }
 
-    /** Asks to be called when there is something to read. */
+    /** Registers for a call when input is available. */
     final void awaitInput() {
         if (!inputEnded && getEndPoint().isOpen() && !getEndPoint().isFillInterested()) {
             fillInterested(readCallback);
@@ -100,26 +101,26 @@
         }
     }
 
-    /** Whether more may be read now; if not, {@link #awaitInput} is to be called when it may. */
+    /** Returns whether more input may be read now; if not, {@link #awaitInput} must be called once it may. */
     boolean acceptsInput() {
         return true;
     }
 
     /**
-     * Takes in bytes, all of them before it returns.
+     * Consumes all bytes before it returns.
      *
-     * @param bytes what came; the buffer serves other connections afterwards.
+     * @param bytes the bytes read; the buffer is reused for other connections afterwards.
      */
     abstract void onInput(ByteBuffer bytes);
 
     /**
-     * Told once that nothing more will be read.
+     * Called once when no more input will be read.
      *
-     * @param cause a reset or another failure, or {@code null} for an orderly end.
+     * @param cause a reset or another failure, or {@code null} for an orderly end of input.
      */
     abstract void onInputEnd(Throwable cause);
 
-    /** Told when all that was written has left this process. */
+    /** Called when all pending writes have been handed to the kernel. */
     void onWritesComplete() {}
 
     /** {@inheritDoc} */
@@ -130,10 +131,10 @@
     }
 
     /**
-     * Sends bytes, or keeps what the peer does not take yet.
+     * Sends bytes, and queues those that the peer does not accept yet.
      *
-     * @param bytes what to send; taken in before this returns.
-     * @return whether at least one byte of these left, or may leave later.
+     * @param bytes the bytes to send; consumed before this method returns.
+     * @return whether at least one of these bytes was sent or may be sent later.
      */
     final boolean send(ByteBuffer bytes) {
         if (inputEnded && !getEndPoint().isOpen()) {
@@ -154,17 +155,17 @@
         return true;
     }
 
-    /** How much the peer has not taken yet. */
+    /** Returns how many bytes the peer has not accepted yet. */
     final long unsentBytes() {
         return unsentBytes;
     }
 
-    /** How long the peer has taken nothing of a write that is under way. */
+    /** Returns how long the write in progress has made no progress. */
     final long writeStalledMillis() {
         return ((IdleTimeout) getEndPoint()).getIdleFor();
     }
 
-    /** Whether a write is still under way. */
+    /** Returns whether a write is still in progress. */
     final boolean isWriteInProgress() {
         return writeInProgress;
     }
@@ -213,12 +214,12 @@
         }
     }
 
-    /** What stands in logs for a failure. */
+    /** Returns a description of a failure, or of an orderly end, for logs. */
     static String describe(Throwable cause) {
         return Optional.ofNullable(cause).map(Throwable::toString).orElse("closed by the peer");
     }
 
-    /** Jetty would hand a blocking callback to another thread; this one stays on the loop. */
+    /** Declares itself non-blocking, as Jetty would run a blocking callback on another thread than the loop's. */
     private final class ReadCallback implements Callback {
 
         /** {@inheritDoc} */
--- a/src/main/java/io/waxwingquay/net/MessageHead.java
+++ b/src/main/java/io/waxwingquay/net/MessageHead.java
@@ -12,11 +12,11 @@
 import org.eclipse.jetty.http.HttpHeader;
 
 /**
- * Writes the heads of messages, and tells which header fields concern one connection only.
+ * Writes the heads of HTTP messages and separates hop-by-hop from end-to-end header fields.
  */
 public final class MessageHead {
 
-    /** Header fields of one connection (RFC 9110, 7.6.1), and the length, which each hop writes anew. */
+    /** Hop-by-hop header fields (RFC 9110, 7.6.1), and the content length, which each hop writes itself. */
     private static final Set<String> HOP_BY_HOP_FIELDS = Set.of(
             "connection",
             "keep-alive",
@@ -35,10 +35,10 @@
     private MessageHead() {}
 
     /**
-     * The fields of a message that the next hop is to see.
+     * Returns the end-to-end fields of a message.
      *
      * @param fields all fields of the message.
-     * @return a copy without those of this hop, the ones that {@code Connection} names included.
+     * @return a copy without the hop-by-hop fields, which include those that {@code Connection} names.
      */
     public static HttpFields.Mutable endToEndFields(HttpFields fields) {
         Set<String> connectionOptions = fields.getCSV(HttpHeader.CONNECTION, false).stream()
@@ -55,10 +55,10 @@
     }
 
     /**
-     * The idle time that a peer grants, from its {@code Keep-Alive} field.
+     * Returns the idle timeout that a peer announces in its {@code Keep-Alive} field.
      *
      * @param fields the fields of its message.
-     * @return the seconds, if it names them.
+     * @return the timeout in seconds, if announced.
      */
     static Optional<Long> keepAliveSeconds(HttpFields fields) {
         String value = fields.get("Keep-Alive");
@@ -106,7 +106,7 @@
         try {
             return Optional.of(Long.parseLong(text));
         } catch (NumberFormatException failure) {
-            // A time that is no number grants nothing that could be relied on.
+            // A timeout that can't be parsed is treated as not announced.
             return Optional.empty();
         }
     }
--- a/src/main/java/io/waxwingquay/net/ServerConnection.java
+++ b/src/main/java/io/waxwingquay/net/ServerConnection.java
@@ -13,13 +13,13 @@
 import org.eclipse.jetty.io.EndPoint;
 import org.eclipse.jetty.util.BufferUtil;
 
-/** One connection of a caller: requests one after the other, each answered before the next is read. */
+/** A connection from a caller. Requests are processed one at a time; pipelined ones are parsed after the response. */
 final class ServerConnection extends LoopConnection implements HttpParser.RequestHandler {
 
-    /** A caller that sends on while its request waits is read no further beyond this. */
+    /** Reading stops once this much pipelined input is buffered behind an unanswered request. */
     private static final int MAX_PIPELINED_BYTES = 65_536;
 
-    /** How long a caller has to close after its last answer; its bytes are dropped meanwhile. */
+    /** How long a caller has to close the connection after its last response; its input is discarded meanwhile. */
     private static final long LINGER_MILLIS = 1_000L;
 
     private static final int OUTPUT_SLACK_BYTES = 512;
@@ -52,9 +52,9 @@
     }
 
     /**
-     * Failure: a caller sends on without end while its request waits. Symptom: what is kept grows until the process is
-     * killed for its memory, or the connection is closed and the request under way with it. What is not read waits in the
-     * kernel, which stops the caller.
+     * Applies backpressure to a caller that keeps sending while its request waits: unread input stays in the kernel,
+     * whose flow control stops the caller. Otherwise the buffer would grow until the process is killed for its memory
+     * use, or the connection would have to be closed together with the request in progress.
      */
     @Override
     boolean acceptsInput() {
@@ -107,17 +107,17 @@
     }
 
     /**
-     * Whether it can be closed without cutting anything.
+     * Returns whether the connection can be closed without truncating a request or response.
      *
-     * <p>Failure: a caller takes its answer slowly, and the connection counts as idle from the moment at which the answer
-     * was made. Symptom: at the limit of idle connections, or when the process leaves, the caller gets a part of its
-     * answer. What this process still holds of it is known exactly, so that is looked at too.
+     * <p>A caller may read its response slowly. If the connection counted as idle once the response was written to
+     * it, the idle timeout or the shutdown of the process would truncate that response. So a connection with a write
+     * in progress is not idle.
      */
     private boolean isIdle() {
         return exchange == null && !requestStarted && !isWriteInProgress();
     }
 
-    /** The exchange is complete; the next request may have come already. */
+    /** Called when the exchange is complete; the next request may already be buffered. */
     void onResponseComplete(boolean closesConnection) {
         exchange = null;
         phaseStartMillis = EventLoop.nowMillis();
@@ -126,7 +126,7 @@
             return;
         }
         if (parsing) {
-            // The parser is on the stack; it starts anew once it has returned.
+            // The parser is on the call stack; it is reset once it has returned.
             resetPending = true;
             return;
         }
@@ -135,13 +135,13 @@
         awaitInput();
     }
 
-    /** Looks at the time: a request that does not come in, or a connection that no one uses. */
+    /** Enforces the timeouts of incomplete requests, stalled writes, lingering closes and idle connections. */
     void checkTimeouts(long nowMillis) {
         if (exchange != null) {
             return;
         }
         if (isWriteInProgress()) {
-            // A caller that takes nothing any more would keep its answer here for ever.
+            // A caller that stops reading would otherwise keep its response in memory for ever.
             closeIf(writeStalledMillis() > server.limits().idleTimeoutMillis());
             return;
         }
@@ -149,18 +149,18 @@
         if (closing) {
             closeIf(elapsedMillis > LINGER_MILLIS);
         } else if (requestStarted && elapsedMillis > server.limits().headerTimeoutMillis()) {
-            reject(REQUEST_TIMEOUT, "the request did not come in whole");
+            reject(REQUEST_TIMEOUT, "the request was not received completely");
         } else if (elapsedMillis > server.limits().idleTimeoutMillis()) {
             closeIfIdle();
         }
     }
 
     /**
-     * Closes it if there is no request, not even an unread one.
+     * Closes the connection if it has no request, not even an unread one.
      *
-     * <p>Failure: a request has come while the loop was at something else, and the connection is closed by what was read
-     * before. Symptom: a close with unread bytes is a reset, and the caller gets no answer. What the kernel holds is read
-     * first, and a connection that was used by it is kept; a request still on its way can't be known, and has not run.
+     * <p>A request may have arrived while the loop was busy. Closing with unread bytes resets the connection, and the
+     * caller gets no response. So pending input is read first, and a connection that had any is kept. A request that
+     * is still in transit can't be detected, but has not run either.
      */
     void closeIfIdle() {
         if (isIdle()) {
@@ -234,11 +234,11 @@
     }
 
     /**
-     * Closes the way out, and leaves the rest to the caller's close or to {@link #checkTimeouts}.
+     * Shuts down the output only; the input is closed by the caller or by {@link #checkTimeouts}.
      *
-     * <p>Failure: a connection is closed while bytes of its caller are unread or on their way: the rest of a body that was
-     * refused, or a request that crosses the close. Symptom: the kernel resets it, and the caller loses the answer that
-     * was sent before. With the way in still open there is nothing to reset for.
+     * <p>If a connection is closed while input is unread or in transit, such as the rest of a rejected body or a
+     * request that crosses the close, the kernel resets it and the caller loses the response sent before. While the
+     * input stays open, no reset occurs.
      */
     private void shutdownOutput() {
         phaseStartMillis = EventLoop.nowMillis();
@@ -320,6 +320,6 @@
     @Override
     public void badMessage(HttpException failure) {
         int status = failure.getCode() >= BAD_REQUEST ? failure.getCode() : BAD_REQUEST;
-        reject(status, "the request can't be read: " + failure.getReason());
+        reject(status, "the request can't be parsed: " + failure.getReason());
     }
 }
--- a/src/main/java/io/waxwingquay/net/ServerExchange.java
+++ b/src/main/java/io/waxwingquay/net/ServerExchange.java
@@ -5,7 +5,7 @@
 import org.eclipse.jetty.http.HttpFields;
 
 /**
- * One request of a caller and the way back to it. Whatever is sent after the caller has gone is dropped.
+ * A request from a caller together with its response. Output after the caller has disconnected is discarded.
  */
 public final class ServerExchange {
 
@@ -24,16 +24,16 @@
     }
 
     /**
-     * The request.
+     * Returns the request.
      *
-     * @return the whole request.
+     * @return the complete request.
      */
     public ServerRequest request() {
         return request;
     }
 
     /**
-     * Sets what is done when the caller closes before its answer is complete.
+     * Sets the action for a caller that disconnects before its response is complete.
      *
      * @param action called at most once, on the loop.
      */
@@ -42,19 +42,19 @@
     }
 
     /**
-     * Whether nothing of an answer has been sent yet.
+     * Returns whether no response has been started.
      *
-     * @return whether a whole answer can still be sent.
+     * @return whether a complete response can still be sent.
      */
     public boolean isUnanswered() {
         return state == State.WAITING;
     }
 
     /**
-     * Sends a whole answer.
+     * Sends a complete response.
      *
-     * @param status the status.
-     * @param fields header fields; the framing is added.
+     * @param status the HTTP status.
+     * @param fields the header fields, without framing, which is added.
      * @param body the body.
      */
     public void respond(int status, HttpFields fields, byte[] body) {
@@ -77,11 +77,11 @@
     }
 
     /**
-     * Sends an answer of this process.
+     * Sends a complete response with a plain-text body.
      *
-     * @param status the status.
-     * @param fields header fields.
-     * @param text the body, a sentence.
+     * @param status the HTTP status.
+     * @param fields the header fields.
+     * @param text the body.
      */
     public void respond(int status, HttpFields fields, String text) {
         HttpFields.Mutable all = HttpFields.build(fields).put("Content-Type", "text/plain;charset=utf-8");
@@ -89,10 +89,10 @@
     }
 
     /**
-     * Begins an answer whose length is not known.
+     * Starts a chunked response whose length is not known.
      *
-     * @param status the status.
-     * @param fields header fields; the framing is added.
+     * @param status the HTTP status.
+     * @param fields the header fields, without framing, which is added.
      */
     public void begin(int status, HttpFields fields) {
         if (state != State.WAITING) {
@@ -106,9 +106,9 @@
     }
 
     /**
-     * Sends a part of an answer that was begun.
+     * Sends a part of the body of a chunked response.
      *
-     * @param bytes the part; taken in before this returns.
+     * @param bytes the part; consumed before this method returns.
      */
     public void write(ByteBuffer bytes) {
         if (state != State.STREAMING || !bytes.hasRemaining()) {
@@ -121,7 +121,7 @@
         connection.send(buffer.flip());
     }
 
-    /** Ends an answer that was begun, as a complete one. */
+    /** Ends a chunked response as a complete one. */
     public void finish() {
         if (state != State.STREAMING) {
             return;
@@ -131,7 +131,7 @@
         connection.onResponseComplete(closesConnection());
     }
 
-    /** Closes the connection, so that the answer can't be taken for a complete one. */
+    /** Closes the connection, so that the response can't be mistaken for a complete one. */
     public void abort() {
         if (state != State.ENDED) {
             state = State.ENDED;
@@ -140,9 +140,9 @@
     }
 
     /**
-     * What the caller has not taken yet.
+     * Returns how much of the response the caller has not accepted yet.
      *
-     * @return bytes that wait here.
+     * @return the number of queued bytes.
      */
     public long unsentBytes() {
         return connection.unsentBytes();
--- a/src/main/java/io/waxwingquay/net/ServerHandler.java
+++ b/src/main/java/io/waxwingquay/net/ServerHandler.java
@@ -1,15 +1,15 @@
 package io.waxwingquay.net;
 
 /**
- * Answers requests.
+ * Handles the requests of an {@link HttpServer}.
  */
 @FunctionalInterface
 public interface ServerHandler {
 
     /**
-     * Takes a request; it is answered now or later, through the exchange.
+     * Handles a request; the response may be sent during this call or later.
      *
-     * @param exchange the request and the way back.
+     * @param exchange the request and its response.
      */
     void handle(ServerExchange exchange);
 }
--- a/src/main/java/io/waxwingquay/net/ServerRequest.java
+++ b/src/main/java/io/waxwingquay/net/ServerRequest.java
@@ -3,18 +3,18 @@
 import org.eclipse.jetty.http.HttpFields;
 
 /**
- * A whole request of a caller.
+ * A complete request from a caller.
  *
  * @param method the method.
- * @param target the request target, as it was sent.
- * @param fields the header fields, as they were sent.
+ * @param target the request target, as received.
+ * @param fields the header fields, as received.
  * @param body the body without its framing; empty if there is none.
- * @param arrivedMillis when its last byte was read, by the steady clock.
+ * @param arrivedMillis when its last byte was read, in monotonic time.
  */
 public record ServerRequest(String method, String target, HttpFields fields, byte[] body, long arrivedMillis) {
 
     /**
-     * The path of the target.
+     * Returns the path of the request target.
      *
      * @return the target without its query.
      */
--- a/src/main/java/io/waxwingquay/net/TimerQueue.java
+++ b/src/main/java/io/waxwingquay/net/TimerQueue.java
@@ -5,7 +5,7 @@
 import java.util.PriorityQueue;
 import org.eclipse.jetty.util.thread.Scheduler;
 
-/** Tasks to come, by the steady clock; those due at the same time run in the order in which they were added. */
+/** A queue of tasks ordered by monotonic due time; tasks due at the same time run in the order of their addition. */
 final class TimerQueue {
 
     private final PriorityQueue<Timer> timers = new PriorityQueue<>();
@@ -17,7 +17,7 @@
         return timer;
     }
 
-    /** Takes out what is due. */
+    /** Removes and returns the tasks that are due. */
     List<Runnable> removeDue(long nowMillis) {
         List<Runnable> tasks = new ArrayList<>();
         while (!timers.isEmpty() && timers.peek().dueMillis <= nowMillis) {
@@ -27,7 +27,7 @@
         return tasks;
     }
 
-    /** How long until the next one is due; the largest number if there is none. */
+    /** Returns the delay until the next task is due, or {@link Long#MAX_VALUE} if there is none. */
     long waitMillis(long nowMillis) {
         while (!timers.isEmpty() && timers.peek().cancelled) {
             timers.poll();
@@ -35,7 +35,7 @@
         return timers.isEmpty() ? Long.MAX_VALUE : Math.max(0, timers.peek().dueMillis - nowMillis);
     }
 
-    /** One task to come. */
+    /** A scheduled task. */
     static final class Timer implements Comparable<Timer>, Scheduler.Task {
 
         private final long dueMillis;
--- a/src/main/java/io/waxwingquay/platform/TableCopy.java
+++ b/src/main/java/io/waxwingquay/platform/TableCopy.java
@@ -9,8 +9,8 @@
 import java.util.Optional;
 
 /**
- * The rows of one table as this process read them last, in the store's own form, so that a process which the store turns
- * away can read them here in the same way.
+ * The rows of one table as this process read them last, in the store's own form, so that a process which the store
+ * turns away can read them here in the same way.
  */
 final class TableCopy {
 
