--- a/src/test/java/io/waxwingquay/hosted/HostedDeployment.java
+++ b/src/test/java/io/waxwingquay/hosted/HostedDeployment.java
@@ -125,7 +125,9 @@
         return entry.shutdown();
     }
 
-    /** Tells the entry to stop; when it says that it may exit, all that it has open ends, as at the end of a process. */
+    /**
+     * Tells the entry to stop; when it says that it may exit, all that it has open ends, as at the end of a process.
+     */
     CompletableFuture<Void> exit() {
         return entry.shutdown().thenRunAsync(processLoop::close);
     }
--- a/src/test/java/io/waxwingquay/hosted/HostedPathTest.java
+++ b/src/test/java/io/waxwingquay/hosted/HostedPathTest.java
@@ -410,8 +410,8 @@
     }
 
     /**
-     * A replica that ends, with all that it runs, when it begins to run one request; it is back at once. Others wait for
-     * their answers until the first crash, and then take a moment each.
+     * A replica that ends, with all that it runs, when it begins to run one request; it is back at once. Others wait
+     * for their answers until the first crash, and then take a moment each.
      */
     private final class CrashOnPoison implements Behaviour {
 
--- a/src/test/java/io/waxwingquay/net/ClientPoolTest.java
+++ b/src/test/java/io/waxwingquay/net/ClientPoolTest.java
@@ -24,7 +24,7 @@
 
 class ClientPoolTest {
 
-    private static final int RESET = 0;
+    private static final int RESET_LINGER_SECONDS = 0;
 
     private EventLoop loop;
     private ServerSocket server;
@@ -52,14 +52,14 @@
         assertEquals("end 200 all of it", Await.value(answer));
     }
 
-    // A replica breaks off an answer that has no length, by a reset. Taken for an orderly end, the caller would get
-    // a part that looks whole: a booking confirmed by half a body.
+    // Guards against a truncated response that counts as complete, because a reset is read as an orderly end of a
+    // response without a content length.
     @Test
     void resetDoesNotEndAnAnswerWithoutALength() throws Exception {
         CompletableFuture<String> answer = ask();
         try (Socket socket = server.accept()) {
             reply(socket, "HTTP/1.1 200 OK\r\n\r\na part");
-            socket.setSoLinger(true, RESET);
+            socket.setSoLinger(true, RESET_LINGER_SECONDS);
         }
         assertEquals("failed sent=true", Await.value(answer));
     }
@@ -73,35 +73,34 @@
         assertEquals("failed sent=true", Await.value(answer));
     }
 
-    // Nobody listens: the request certainly did not run, whatever its kind, and may go elsewhere.
+    // Guards against a request that can't be retried although its connection was refused, so that it certainly has
+    // not run.
     @Test
-    void refusedConnectionSaysThatNothingWasSent() throws Exception {
+    void refusedConnectionReportsThatNothingWasSent() throws Exception {
         server.close();
         assertEquals("failed sent=false", Await.value(ask()));
     }
 
-    // A second answer follows the first on the same connection. Left there it would be taken for the answer to the
-    // next request; so that connection is not used again.
+    // Guards against surplus bytes after a response that are read as the response to the next request.
     @Test
-    void connectionWithSurplusBytesIsNotUsedAgain() throws Exception {
+    void connectionWithSurplusBytesIsNotReused() throws Exception {
         CompletableFuture<String> first = ask();
         String whole = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
         try (Socket socket = server.accept()) {
             reply(socket, whole + "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nother");
             assertEquals("end 200 ok", Await.value(first));
             CompletableFuture<String> second = ask();
-            try (Socket fresh = server.accept()) {
-                reply(fresh, whole);
+            try (Socket newSocket = server.accept()) {
+                reply(newSocket, whole);
                 assertEquals("end 200 ok", Await.value(second));
             }
         }
     }
 
-    // An engine's machine stands still with a request in its buffers; the caller leaves and the request is given
-    // up. An orderly close would be read after the request, seconds later, and the engine would begin work for
-    // nobody. A reset takes what was not read yet with it.
+    // Guards against an unresponsive engine that later runs a cancelled request from its receive buffer. An orderly
+    // close is read after that request, seconds later; a reset discards what has not been read.
     @Test
-    void requestThatIsGivenUpIsTakenBackByAReset() throws Exception {
+    void cancelledRequestIsDiscardedByAReset() throws Exception {
         CompletableFuture<ClientCall> call = new CompletableFuture<>();
         HttpFields fields = HttpFields.build().put("Host", "x.test");
         ClientRequest request = new ClientRequest("GET", "/", fields, new byte[0], true);
@@ -109,17 +108,17 @@
         try (Socket socket = server.accept()) {
             InputStream in = socket.getInputStream();
             assertTrue(in.read() >= 0);
-            ClientCall given = Await.value(call);
-            loop.execute(given::cancel);
+            ClientCall sent = Await.value(call);
+            loop.execute(sent::cancel);
             assertThrows(SocketException.class, () -> in.readAllBytes());
         }
     }
 
-    // A replica closes an idle connection just as a payment is handed to it: the end lies unread in the kernel, as
-    // the loop is at something else. The payment was sent into it, failed as one that may have run, and its caller
-    // could not send it again. Whether a connection has ended is looked at when the request is there.
+    // Guards against a non-idempotent request sent over an idle connection that the replica has just closed, whose
+    // end is still unread because the loop is busy. The request would fail as one that may have run, and could not be
+    // retried.
     @Test
-    void requestThatMayNotRepeatIsNotSentOverAConnectionThatHasEnded() throws Exception {
+    void nonIdempotentRequestIsNotSentOverAClosedConnection() throws Exception {
         CompletableFuture<String> first = ask();
         Socket socket = server.accept();
         reply(socket, "HTTP/1.1 200 OK\r\nKeep-Alive: timeout=60\r\nContent-Length: 2\r\n\r\nok");
@@ -130,18 +129,18 @@
             pool.send(request(false), new RecordingListener(second));
         });
         CompletableFuture<Void> served = CompletableFuture.runAsync(() -> Await.closing(() -> {
-            try (Socket fresh = server.accept()) {
-                reply(fresh, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok");
+            try (Socket newSocket = server.accept()) {
+                reply(newSocket, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok");
             }
         }));
         assertEquals("end 200 ok", Await.value(second));
         Await.value(served);
     }
 
-    // A replica goes while a connection to it is being opened, and the request that it was for has been given up.
-    // The connection came into a closed pool and stayed: the replica had one taken that nobody would use.
+    // Guards against a connection leak: a connection that is established after its request was cancelled and its pool
+    // closed would stay open at the replica, unused.
     @Test
-    void connectionThatComesAfterTheCloseIsClosed() throws Exception {
+    void connectionEstablishedAfterCloseIsClosed() throws Exception {
         loop.execute(() -> {
             pool.send(request(true), new RecordingListener(new CompletableFuture<>()))
                     .cancel();
@@ -153,9 +152,9 @@
         }
     }
 
-    // Guards against a request that reaches a replica after it has left, because it waited for its connection.
+    // Guards against a request that reaches a replica after its departure, because it waited for its connection.
     @Test
-    void requestThatWaitsForAConnectionIsNotSentAfterTheClose() throws Exception {
+    void requestWaitingForAConnectionIsNotSentAfterClose() throws Exception {
         CompletableFuture<String> answer = new CompletableFuture<>();
         loop.execute(() -> {
             pool.send(request(false), new RecordingListener(answer));
--- a/src/test/java/io/waxwingquay/net/ServerConnectionTest.java
+++ b/src/test/java/io/waxwingquay/net/ServerConnectionTest.java
@@ -19,7 +19,7 @@
 
     private static final InetSocketAddress ANY_PORT = new InetSocketAddress("127.0.0.1", 0);
 
-    /** More than the kernel takes from a process for a peer that reads nothing. */
+    /** More than the kernel buffers for a peer that reads nothing. */
     private static final int LONG_BODY_BYTES = 32 * 1024 * 1024;
 
     private final CompletableFuture<Void> answered = new CompletableFuture<>();
@@ -45,21 +45,20 @@
         loop.close();
     }
 
-    // A caller takes a long answer slowly. It was given before the process was told to stop, and is still leaving
-    // when the connections without a request are closed: the caller got the first part of its answer and then
-    // nothing. A connection is idle only when its last answer has left.
+    // Guards against a truncated response at shutdown: a connection whose caller reads a long response slowly must
+    // not be closed as idle before the response has been sent.
     @Test
-    void connectionIsNotIdleWhileItsAnswerLeaves() throws Exception {
+    void connectionIsNotIdleWhileItsResponseIsBeingSent() throws Exception {
         try (Socket socket = requestLongBody()) {
             onLoop(server::closeIdle);
             assertEquals(LONG_BODY_BYTES, readBodyBytes(socket));
         }
     }
 
-    // As before, but the operator's limit for idle connections passes while the answer leaves: the time counted
-    // from the answer's making, though its caller takes it all the while.
+    // Guards against an idle timeout that is counted from the creation of a response, and that passes while the
+    // caller is still reading it.
     @Test
-    void answerThatLeavesSlowlyOutlivesTheLimitOfIdleConnections() throws Exception {
+    void responseSentSlowlyOutlastsTheIdleTimeout() throws Exception {
         try (Socket socket = requestLongBody()) {
             ServerConnection connection = Await.value(accepted);
             long laterMillis = EventLoop.nowMillis() + 2 * ServerLimits.DEFAULT.idleTimeoutMillis();
@@ -68,11 +67,10 @@
         }
     }
 
-    // A caller uses a kept connection again while the loop is at something else. Its request lies in the kernel
-    // when the idle connections are looked at, and the connection was closed on what had been read before: a reset
-    // in place of an answer. What has come is read before a connection is closed as idle.
+    // Guards against a reset in place of a response: a request that arrived while the loop was busy is still unread
+    // when the idle timeout of its connection is checked.
     @Test
-    void requestThatHasComeIsReadBeforeItsConnectionIsClosedAsIdle() throws Exception {
+    void pendingRequestIsReadBeforeItsConnectionIsClosedAsIdle() throws Exception {
         try (Socket socket = new Socket("127.0.0.1", port)) {
             socket.setSoTimeout(30_000);
             ServerConnection connection = Await.value(accepted);
@@ -86,10 +84,10 @@
         }
     }
 
-    // The same, and the answer says nothing of a close: the connection has just been used, and its caller goes on with
-    // it.
+    // Guards against closing a connection after such a request, although the response does not announce the close and
+    // the caller goes on using the connection.
     @Test
-    void connectionIsKeptWhenItsRequestIsReadAtTheLimitOfIdleConnections() throws Exception {
+    void connectionStaysOpenWhenARequestIsReadAtTheIdleTimeout() throws Exception {
         try (Socket socket = new Socket("127.0.0.1", port)) {
             socket.setSoTimeout(30_000);
             ServerConnection connection = Await.value(accepted);
@@ -104,9 +102,9 @@
         }
     }
 
-    // The same when the process leaves: it closes what is idle every 50 ms, and a request that had come was reset away.
+    // Guards against the same reset at shutdown, when idle connections are closed every 50 ms.
     @Test
-    void requestThatHasComeIsReadBeforeItsConnectionIsClosedByALeavingProcess() throws Exception {
+    void pendingRequestIsReadBeforeItsConnectionIsClosedAtShutdown() throws Exception {
         try (Socket socket = new Socket("127.0.0.1", port)) {
             socket.setSoTimeout(30_000);
             Await.value(accepted);
@@ -119,11 +117,10 @@
         }
     }
 
-    // A caller sends on while its first request is at a replica, more than is kept here. The connection was closed
-    // for that: the request had been passed on, and its caller got no answer. Nothing more is read until there is
-    // room.
+    // Guards against closing the connection of a caller that pipelines more than the buffer holds: its first request
+    // has already been forwarded and would get no response. Reading has to pause instead.
     @Test
-    void callerWhoSendsFarAheadGetsEveryAnswer() throws Exception {
+    void callerThatPipelinesMoreThanTheBufferGetsEveryResponse() throws Exception {
         try (Socket socket = new Socket("127.0.0.1", port)) {
             socket.setSoTimeout(30_000);
             String padding = "X-Padding: " + "x".repeat(3_000) + "\r\n";
@@ -145,11 +142,10 @@
         }
     }
 
-    // A caller sends a body that is too long, and is told so before it has sent all. The connection was closed with
-    // bytes unread, which makes the kernel reset it: the answer is lost on its way, and the caller sees a broken
-    // connection. The way out is closed first, and what still comes is dropped until the caller closes.
+    // Guards against a lost 413 response: closing a connection with unread input makes the kernel reset it. Only the
+    // output is shut down, and further input is discarded until the caller closes.
     @Test
-    void answerToARequestThatWasNotReadWholeEndsInOrder() throws Exception {
+    void responseToAPartlyReadRequestEndsWithoutAReset() throws Exception {
         onLoop(() -> server.updateLimits(new ServerLimits(32_768, 10, 60_000, 120_000)));
         try (Socket socket = new Socket("127.0.0.1", port)) {
             socket.setSoTimeout(30_000);
@@ -161,10 +157,9 @@
         Await.until(() -> connectionCount() == 0);
     }
 
-    // The caller of the answer that ends its connection never closes its own side. The connection must not stay for
-    // that.
+    // Guards against a connection leak when a caller never closes its side after the last response.
     @Test
-    void connectionIsClosedThoughItsCallerDoesNotClose() throws Exception {
+    void connectionIsClosedEvenIfItsCallerDoesNotClose() throws Exception {
         try (Socket socket = new Socket("127.0.0.1", port)) {
             write(socket, "GET / HTTP/1.1\r\nHost: x.test\r\nConnection: close\r\n\r\n");
             Await.value(answered);
