--- a/src/main/java/io/waxwingquay/hosted/AdminServer.java
+++ b/src/main/java/io/waxwingquay/hosted/AdminServer.java
@@ -18,7 +18,7 @@
 import java.util.function.Supplier;
 import org.eclipse.jetty.http.HttpFields;
 
-/** Metrics and the state dump of a process, for operators. */
+/** An HTTP server with the metrics, the state dump and the table copies of a process. */
 final class AdminServer {
 
     private static final int OK = 200;
@@ -43,7 +43,7 @@
         dump = newDump;
     }
 
-    /** Sets what answers other processes that read the platform's tables here. */
+    /** Sets the source of table copies, from which other processes read the platform's tables by request target. */
     void tableCopies(Function<String, Optional<byte[]>> newCopies) {
         tableCopies = newCopies;
     }
@@ -60,7 +60,8 @@
                     .apply(exchange.request().target())
                     .ifPresentOrElse(
                             body -> exchange.respond(OK, HttpFields.EMPTY, body),
-                            () -> exchange.respond(NOT_FOUND, HttpFields.EMPTY, "there are /metrics and /dump"));
+                            () -> exchange.respond(
+                                    NOT_FOUND, HttpFields.EMPTY, "not found; the pages are /metrics and /dump"));
         }
     }
 
--- a/src/main/java/io/waxwingquay/hosted/GracefulShutdown.java
+++ b/src/main/java/io/waxwingquay/hosted/GracefulShutdown.java
@@ -8,29 +8,29 @@
 import java.util.function.LongSupplier;
 
 /**
- * How an entry leaves without cutting a request.
+ * The graceful shutdown of an entry, which lets the requests in progress finish.
  *
- * <p>Failure: an entry that is told to stop stops listening at once. Symptom: callers whom the platform still sends
- * here are refused, and requests on kept connections are cut. So it is not ready from the first moment, but takes
- * requests until the platform has looked twice and sends nobody any more, each answer ending its connection; then
- * idle ones are closed, what could not end in time is refused, and it exits when no request is under way and no
- * connection is open, or just before it would be killed.
+ * <p>If an entry stopped listening as soon as it is told to stop, callers that the platform still routes to it would
+ * be refused, and requests on persistent connections would be aborted. Instead it reports not ready at once, but
+ * accepts requests until the platform has checked its readiness twice and routes no caller to it any more; each
+ * response closes its connection. After that it closes idle connections and rejects requests that can't finish in
+ * time. It exits when no request is in progress and no connection is open, or just before the platform would kill it.
  *
- * <p>Failure: while all entries leave, the platform sends callers to them all the same, and a request comes between
- * the look that finds nothing under way and the exit. Symptom: it is passed on, and cut. So that look also ends
- * admission: nothing can come under way afterwards, however long the exit itself takes.
+ * <p>While all entries shut down, the platform routes callers to them although none is ready. A request could then
+ * arrive between the check that finds no request in progress and the exit, be forwarded, and be aborted by the exit.
+ * So that check also ends admission: no request can start afterwards, however long the exit itself takes.
  */
 final class GracefulShutdown {
 
-    /** The platform looks once a second and passes a process over after two misses. */
+    /** The platform checks readiness once a second and skips a process after two failed checks. */
     private static final long READINESS_LAG_MILLIS = 2_600L;
 
     private static final long IDLE_CHECK_MILLIS = 50L;
 
-    /** Left of the grace time for the exit itself. */
+    /** Part of the grace period that is reserved for the exit itself. */
     private static final long EXIT_RESERVE_MILLIS = 500L;
 
-    /** Time for the last answers to leave. */
+    /** Time to send the last responses. */
     private static final long FLUSH_MILLIS = 60L;
 
     private static final System.Logger LOG = System.getLogger("waxwingquay.hosted");
@@ -56,7 +56,7 @@
         return started.get();
     }
 
-    /** Begins to leave; a second signal changes nothing, as the grace time goes on from the first. */
+    /** Starts the shutdown; a second signal has no effect, as the grace period is counted from the first. */
     CompletableFuture<Void> start() {
         if (started.compareAndSet(false, true)) {
             long exitDeadlineMillis = clockMillis.getAsLong() + graceMillis - EXIT_RESERVE_MILLIS;
@@ -79,7 +79,7 @@
         if (requests.activeCount() == 0 && server.connectionCount() == 0) {
             stopAdmission();
         } else if (clockMillis.getAsLong() > exitDeadlineMillis) {
-            // After a stall answers lie unread; they are read before this is run.
+            // After a stall the answers of replicas may still be unread; they are read before the scheduled task runs.
             loop.schedule(0, this::stopAdmission);
         } else {
             loop.schedule(IDLE_CHECK_MILLIS, () -> exitWhenIdle(exitDeadlineMillis));
@@ -92,7 +92,7 @@
         loop.schedule(FLUSH_MILLIS, this::complete);
     }
 
-    /** A request that the exit cuts ends without a line of its own, so that its id is told here. */
+    /** Logs the ids of the requests that the exit aborts, as these get no log line of their own. */
     private void complete() {
         LOG.log(System.Logger.Level.INFO, "hosted: exits unanswered={0}", requests.activeIds());
         completion.complete(null);
--- a/src/main/java/io/waxwingquay/hosted/HostSettings.java
+++ b/src/main/java/io/waxwingquay/hosted/HostSettings.java
@@ -5,21 +5,21 @@
 import java.util.Optional;
 
 /**
- * What a process is told about its VM and the deployment.
+ * The settings of a process: its VM, the addresses it uses, and the limits of the deployment.
  *
- * @param vmName the VM's name.
- * @param dataCentre its data centre.
- * @param host its IP number.
- * @param peerPort the port for datagrams between our processes; the same on every VM.
- * @param adminPort the port for metrics and the state dump.
- * @param callerAddress where callers' requests are taken, on VMs that take them.
- * @param readinessAddress where the platform asks whether this process is ready, on the same VMs.
- * @param engineAddress the engine beside this process, on VMs that have one.
+ * @param vmName the name of the VM.
+ * @param dataCentre the data centre of the VM.
+ * @param host the IP address of the VM.
+ * @param peerPort the port for datagrams between processes of this system; the same on every VM.
+ * @param adminPort the port for metrics, the state dump and table copies; the same on every VM.
+ * @param callerAddress the address that accepts requests from callers, on VMs that accept them.
+ * @param readinessAddress the address of the platform's readiness check, on the same VMs.
+ * @param engineAddress the address of the engine beside this process, on VMs that have one.
  * @param service the service that this engine belongs to.
- * @param storeAddress the platform's store.
- * @param firstStart whether the whole system starts for the first time, so that no process did anything before.
- * @param seedHosts IP numbers of a few VMs that may take callers' requests; some may be gone.
- * @param bounds the figures that the deployment holds its processes to.
+ * @param storeAddress the address of the platform's store.
+ * @param firstStart whether the whole system starts for the first time, so that no process has an earlier incarnation.
+ * @param seedHosts the IP addresses of a few VMs that may run an entry; some may be gone.
+ * @param bounds the limits that the deployment sets for its processes.
  */
 public record HostSettings(
         String vmName,
@@ -37,14 +37,14 @@
         Bounds bounds) {
 
     /**
-     * The figures that the deployment holds its processes to.
+     * The limits that the deployment sets for its processes.
      *
-     * @param drainMillis how soon after it says so a leaving replica gets no new work.
-     * @param graceMillis time between SIGTERM and SIGKILL.
-     * @param retryBudgetRatio retries allowed for each request, over all processes.
-     * @param retryBudgetSlack retries allowed besides, over all processes and one window.
+     * @param drainMillis the time within which a replica that reports draining must no longer receive new work.
+     * @param graceMillis the time between SIGTERM and SIGKILL.
+     * @param retryBudgetRatio the number of retries allowed per request, over all processes.
+     * @param retryBudgetSlack the number of retries allowed in addition, over all processes and one window.
      * @param loadWindowMillis the window in which loads from the weight store are counted.
-     * @param loadBurstFactor how far over the rate they may go in one window, as a factor.
+     * @param loadBurstFactor the factor by which loads in one window may exceed the permitted rate.
      */
     public record Bounds(
             long drainMillis,
--- a/src/main/java/io/waxwingquay/hosted/HostedEntry.java
+++ b/src/main/java/io/waxwingquay/hosted/HostedEntry.java
@@ -31,33 +31,36 @@
 import org.eclipse.jetty.http.HttpFields;
 
 /**
- * The process that takes callers' requests.
+ * The entry process, which accepts requests from callers and forwards them to replicas.
  */
 public final class HostedEntry implements HostedProcess {
 
-    /** The processes beside engines are told this often what is asked for here. */
+    /** Interval at which this entry sends its demand to the side processes. */
     private static final long UPDATE_INTERVAL_MILLIS = 250L;
 
-    /** A change that can't wait is told at once, but no more often than this. */
+    /** Delay before an urgent change is sent; it also limits how often urgent changes are sent. */
     private static final long URGENT_UPDATE_DELAY_MILLIS = 40L;
 
-    /** Until it is heard how many entries there are, each takes no more than this part of what they share. */
+    /** Number of entries among which shared limits are divided until the actual number is known. */
     private static final int ASSUMED_ENTRY_COUNT = 8;
 
-    /** Well within the two seconds in which a new configuration must be in force. */
+    /** Batching delay for configuration changes; well within the two seconds in which one must be in force. */
     private static final long CONFIGURATION_BATCH_MILLIS = 300L;
 
     /**
-     * What engines hold is heard from beside them; the list is for who comes and leaves, in this part of the time
-     * allowed.
+     * Fraction of the drain time that is used as batching delay for changes of the replica list. The list only has to
+     * show which replicas join and leave; the models that engines hold are reported by the side processes.
      */
     private static final double REPLICA_BATCH_FRACTION = 1.0 / 3;
 
-    /** A configuration is told of within its gathering and a datagram's way; one that is not by then was missed. */
+    /**
+     * A new configuration is read within the batching delay plus the delivery of an update; one that is still unread
+     * after this time has been missed.
+     */
     private static final long MAX_CONFIGURATION_LAG_MILLIS = 700L;
 
     /**
-     * Entries read a change of the list within the time of gathering and this; one that has not by then has missed
+     * Entries read a change of the replica list within its batching delay plus this margin; a later one has missed
      * it.
      */
     private static final long REPLICA_LAG_MARGIN_MILLIS = 100L;
@@ -136,8 +139,8 @@
     /**
      * Starts the process; called on the loop.
      *
-     * @param loop where everything runs.
-     * @param settings what it is told.
+     * @param loop the event loop on which everything runs.
+     * @param settings the settings of the process.
      * @return the running process.
      */
     public static HostedEntry start(EventLoop loop, HostSettings settings) {
@@ -180,7 +183,7 @@
         return forwarder.manifest().map(Manifest::version).orElse(0L);
     }
 
-    /** Our processes answer for their copies at the same port on every VM. */
+    /** Returns the address of the admin server on a VM; its port is the same on every VM. */
     private HostPort adminAddressOf(String host) {
         return new HostPort(host, settings.adminPort());
     }
@@ -229,14 +232,14 @@
                                 update.setTables(versions).setSuspects(suspectPage.isEmpty() ? null : suspectPage))));
     }
 
-    /** Our processes take datagrams at the same port on every VM. */
+    /** Returns the address of the side process beside an engine; the port for datagrams is the same on every VM. */
     private HostPort sideAddressOf(HostPort engine) {
         return new HostPort(engine.host(), settings.peerPort());
     }
 
     private static HostPort required(Optional<HostPort> address, String element) {
         return address.orElseThrow(() -> new IllegalArgumentException(
-                element + ": is missing; this role takes callers' requests and tells whether it is ready"));
+                element + ": is missing; this role accepts callers' requests and reports its readiness"));
     }
 
     private static InetSocketAddress socketAddress(HostPort address) {
@@ -272,7 +275,7 @@
         }
     }
 
-    /** Puts each new configuration in force. */
+    /** Applies each new configuration. */
     private final class ConfigurationListener implements TableWatch.Listener<Manifest> {
 
         /** {@inheritDoc} */
--- a/src/main/java/io/waxwingquay/hosted/HostedProcess.java
+++ b/src/main/java/io/waxwingquay/hosted/HostedProcess.java
@@ -3,14 +3,14 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * A running process.
+ * A running process of this system.
  */
 public interface HostedProcess {
 
     /**
-     * Begins to leave: takes less and less new work, ends what is under way.
+     * Starts a graceful shutdown: stops accepting new work step by step, and finishes the work in progress.
      *
-     * @return completes when the process may exit.
+     * @return a future that completes when the process may exit.
      */
     CompletableFuture<Void> shutdown();
 }
--- a/src/main/java/io/waxwingquay/hosted/HostedSide.java
+++ b/src/main/java/io/waxwingquay/hosted/HostedSide.java
@@ -20,12 +20,16 @@
 import java.util.random.RandomGenerator;
 
 /**
- * The process beside an engine. It alone gives orders to it, for all the engine's life, so that there is nothing to
- * agree on and nothing that lapses while the platform's store is away.
+ * The side process beside an engine. It is the only process that gives orders to that engine, for the whole lifetime of
+ * the engine, so that no agreement on ownership and no lease is needed that could expire while the platform's store is
+ * unavailable.
  */
 public final class HostedSide implements HostedProcess {
 
-    /** Pause before the configuration is read again; it is needed only when models are added or dropped. */
+    /**
+     * Interval at which the configuration is read if it is missing or outdated; it changes only with the set of
+     * models.
+     */
     private static final long CONFIGURATION_CHECK_MILLIS = 1_000L;
 
     private static final System.Logger LOG = System.getLogger("waxwingquay.hosted");
@@ -58,8 +62,8 @@
     /**
      * Starts the process; called on the loop.
      *
-     * @param loop where everything runs.
-     * @param settings what it is told.
+     * @param loop the event loop on which everything runs.
+     * @param settings the settings of the process.
      * @return the running process.
      */
     public static HostedSide start(EventLoop loop, HostSettings settings) {
@@ -71,7 +75,7 @@
     /** {@inheritDoc} */
     @Override
     public CompletableFuture<Void> shutdown() {
-        LOG.log(System.Logger.Level.INFO, "hosted: side leaves node={0}", settings.vmName());
+        LOG.log(System.Logger.Level.INFO, "hosted: side shuts down node={0}", settings.vmName());
         return CompletableFuture.completedFuture(null);
     }
 
@@ -87,7 +91,7 @@
         LOG.log(System.Logger.Level.INFO, "hosted: side started node={0} service={1}", settings.vmName(), service);
     }
 
-    /** Rows of earlier lives stay listed for some seconds. */
+    /** Takes the models of earlier incarnations from their rows, which stay listed for some seconds. */
     private void readEarlierModels(WatchedTable.Page<ReplicaRecord> page) {
         List<ReplicaRecord> records = page.rows().stream()
                 .map(WatchedTable.Row::value)
@@ -115,7 +119,7 @@
         });
     }
 
-    /** With the store away here, an entry that is heard has what is needed. */
+    /** Reads the configuration from an entry that sends updates, as the store is unavailable here. */
     private void readCopy() {
         Optional<HostPort> holder = keeper.configurationHost().map(host -> new HostPort(host, settings.adminPort()));
         if (holder.isEmpty()) {
--- a/src/main/java/io/waxwingquay/hosted/package-info.java
+++ b/src/main/java/io/waxwingquay/hosted/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The processes that run on the prepared platform, put together from its settings: one that takes callers' requests and
- * one beside each engine.
+ * The processes that run on the prepared platform, assembled from its settings: the entry, which accepts callers'
+ * requests, and the side process beside each engine.
  */
 package io.waxwingquay.hosted;
--- a/src/main/java/io/waxwingquay/platform/HeaderCodec.java
+++ b/src/main/java/io/waxwingquay/platform/HeaderCodec.java
@@ -9,40 +9,46 @@
 import java.util.regex.Pattern;
 import org.eclipse.jetty.http.HttpFields;
 
-/** The platform's header fields. */
+/** Reads and writes the platform's header fields. */
 public final class HeaderCodec implements MessageCodec {
 
-    /** One attempt of a client; a repeat by this system keeps it. */
+    /** Id of one attempt of a client; a retry by this system keeps it. */
     private static final String ATTEMPT_ID = "Attempt-Id";
 
-    /** Milliseconds, from when the message is sent; not an instant. */
+    /** Remaining time in milliseconds, counted from the sending of the message; not an instant. */
     private static final String DEADLINE_REMAINING = "Deadline-Remaining";
 
-    /** MODEL or MODEL/ADAPTER. */
+    /** Requested model, as MODEL or MODEL/ADAPTER. */
     private static final String MODEL = "Model";
 
-    /** Tokens of the prompt, then the most tokens to generate. */
+    /** Number of prompt tokens and maximum number of tokens to generate, separated by a comma. */
     private static final String TOKEN_COUNTS = "Token-Counts";
 
-    /** ID:TOKENS pairs in order; the last is the request's own or its session's, the others are shared. */
+    /**
+     * Prompt parts as ID:TOKENS pairs in order; the last belongs to the request or its session, the others are
+     * shared.
+     */
     private static final String PROMPT_PREFIX = "Prompt-Prefix";
 
     private static final String LAST_EVENT_ID = "Last-Event-Id";
     private static final String TARGET_REPLICA = "Target-Replica";
     private static final String REQUEST_PRIORITY = "Request-Priority";
 
-    /** Who answered; on a misdirected request this is the replica that has the address now. */
+    /** Id of the replica that answered; for a misdirected request, of the replica that now has the address. */
     private static final String REPLICA_ID = "Replica-Id";
 
-    /** Present, whatever its value, when the replica promises that the request has not run. */
+    /** Present, with any value, if the replica guarantees that the request has not run. */
     private static final String NOT_EXECUTED = "Not-Executed";
 
-    /** Requests a second, a decimal number, from all machines together; not a limit on connections or on load. */
+    /**
+     * Limit in requests per second over all senders together, as a decimal number; it limits neither connections nor
+     * load.
+     */
     private static final String SERVER_LIMIT = "Server-Limit";
 
     private static final String RETRY_AFTER = "Retry-After";
 
-    /** Fields that are the system's to set; one that a client sent must not reach a replica. */
+    /** Fields that only this system may set; those sent by a client must not reach a replica. */
     private static final List<String> RESERVED_FIELDS = List.of(
             TARGET_REPLICA,
             REQUEST_PRIORITY,
@@ -55,7 +61,7 @@
             "Kv-From",
             "Kv-Fetch");
 
-    /** Those that a client sends alike with each attempt at one request. */
+    /** Fields whose values a client keeps for each attempt of one request. */
     private static final List<String> IDENTITY_FIELDS = List.of("Host", MODEL, PROMPT_PREFIX);
 
     private static final int MISDIRECTED_REQUEST = 421;
@@ -131,7 +137,7 @@
         return fields;
     }
 
-    /** What is no number, or less than none, names no limit. */
+    /** Parses a limit; a value that is not a finite, non-negative number sets none. */
     private static OptionalDouble parseLimit(String text) {
         if (text == null || text.isBlank()) {
             return OptionalDouble.empty();
@@ -151,7 +157,7 @@
         try {
             return Optional.of(Long.parseLong(text.trim()));
         } catch (NumberFormatException failure) {
-            // What can't be read is treated as not said; the replica sees the caller's own text.
+            // A value that can't be parsed is treated as absent; the replica receives the caller's original text.
             return Optional.empty();
         }
     }
--- a/src/main/java/io/waxwingquay/platform/HttpEngineControl.java
+++ b/src/main/java/io/waxwingquay/platform/HttpEngineControl.java
@@ -10,15 +10,15 @@
 import java.util.concurrent.CompletableFuture;
 import org.eclipse.jetty.http.HttpFields;
 
-/** The engine on the same VM. */
+/** Controls the engine on the same VM over HTTP. */
 final class HttpEngineControl implements EngineControl {
 
-    /** An engine on the same VM answers within milliseconds; later answers are of no use. */
+    /** Timeout of calls; an engine on the same VM answers within milliseconds, and late answers are useless. */
     private static final long TIMEOUT_MILLIS = 300L;
 
     /**
-     * Each engine is ordered by the one process beside it for all its life, so that numbers of holders never compete;
-     * the same number after a restart is right, as it is the same holder.
+     * Fencing token. It is constant, as the side process is the only holder that gives orders to its engine, for the
+     * whole lifetime of the engine, and is still the same holder after a restart.
      */
     private static final long FENCE = 1L;
 
@@ -39,12 +39,13 @@
     public CompletableFuture<EngineReport> report() {
         return engine.get("/report", 0).thenApply(reply -> {
             if (reply.status() != OK) {
-                throw new StoreException("the engine answered a question with " + reply.status());
+                throw new StoreException(
+                        "the engine answered the request for its report with status " + reply.status());
             }
             try {
                 return ReplicaReader.report(Json.read(reply.body()));
             } catch (IOException failure) {
-                throw new StoreException("the engine's report can't be read: " + failure);
+                throw new StoreException("the engine's report can't be parsed: " + failure);
             }
         });
     }
--- a/src/main/java/io/waxwingquay/platform/Json.java
+++ b/src/main/java/io/waxwingquay/platform/Json.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import java.util.Optional;
 
-/** Reads JSON bodies, leniently where a field may be missing or of another type. */
+/** Reads and writes JSON; a field that is missing or of another type reads as absent. */
 final class Json {
 
     static final JsonMapper MAPPER = new JsonMapper();
--- a/src/main/java/io/waxwingquay/platform/ManifestReader.java
+++ b/src/main/java/io/waxwingquay/platform/ManifestReader.java
@@ -10,7 +10,7 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** Reads the operator's configuration. */
+/** Decodes the operator's configuration from the platform's manifest. */
 final class ManifestReader {
 
     private static final double MILLIS_PER_SECOND = 1_000.0;
@@ -53,7 +53,7 @@
                 node.path("resumable").asBoolean(false)));
     }
 
-    /** A kind that is not known here is treated with the most care: it runs at most once. */
+    /** Maps the kind of a route; an unknown kind is handled as the strictest one, which runs at most once. */
     private static Route.Kind kind(String text) {
         return switch (text) {
             case "safe" -> Route.Kind.SAFE;
--- a/src/main/java/io/waxwingquay/platform/PlatformClient.java
+++ b/src/main/java/io/waxwingquay/platform/PlatformClient.java
@@ -14,10 +14,10 @@
 import java.util.concurrent.CompletableFuture;
 import org.eclipse.jetty.http.HttpFields;
 
-/** Calls one server of the platform and collects whole replies; all on the loop. */
+/** An HTTP client for one server of the platform that collects complete replies. All of it runs on the loop. */
 final class PlatformClient {
 
-    /** The most connections: the two tables that are followed, and calls beside them. */
+    /** Maximum number of connections: two for the watched tables, the others for further calls. */
     private static final int MAX_CONNECTIONS = 8;
 
     private final EventLoop loop;
@@ -46,7 +46,7 @@
     private CompletableFuture<Reply> send(ClientRequest request, long waitMillis) {
         ReplyCollector collector = new ReplyCollector(request.target());
         ClientCall call = pool.send(request, collector);
-        // A connection on which an answer was lost delivers nothing any more, so the time-out closes it.
+        // A connection on which a reply was lost will not deliver anything else, so the timeout closes it.
         Cancellable timer = loop.schedule(waitMillis + timeoutMillis, () -> {
             if (!collector.future.isDone()) {
                 call.cancel();
@@ -59,9 +59,9 @@
     }
 
     /**
-     * A whole reply.
+     * A complete reply.
      *
-     * @param status the status.
+     * @param status the HTTP status.
      * @param body the body.
      */
     record Reply(int status, byte[] body) {}
--- a/src/main/java/io/waxwingquay/platform/PreparedPlatform.java
+++ b/src/main/java/io/waxwingquay/platform/PreparedPlatform.java
@@ -10,17 +10,17 @@
 import java.util.Optional;
 
 /**
- * What the platform offers to one process. All of it runs on the loop.
+ * The services of the prepared platform to one process: its store and the engine. All of it runs on the loop.
  */
 public final class PreparedPlatform {
 
-    /** The path at which the platform asks whether a process is ready. */
+    /** The path of the platform's readiness check. */
     public static final String READINESS_PATH = "/readyz";
 
-    /** Well above a slow answer of the store, so that a slow store is not taken for a lost one. */
+    /** Timeout of calls to the store; well above its slow answers, so that a slow store does not count as lost. */
     private static final long STORE_TIMEOUT_MILLIS = 1_500L;
 
-    /** Other processes of ours answer from memory; one that does not is asked no longer. */
+    /** Timeout of calls to other processes of this system, which answer from memory. */
     private static final long COPY_TIMEOUT_MILLIS = 600L;
 
     private static final String CONFIGURATION_TABLE = "op";
@@ -34,10 +34,10 @@
             Map.of(CONFIGURATION_TABLE, new TableCopy(), REPLICA_TABLE, new TableCopy());
 
     /**
-     * The platform as one process reaches it.
+     * Creates a connection to the platform.
      *
-     * @param loop where everything runs.
-     * @param storeAddress the platform's store.
+     * @param loop the event loop on which everything runs.
+     * @param storeAddress the address of the platform's store.
      */
     public PreparedPlatform(EventLoop loop, HostPort storeAddress) {
         this.loop = loop;
@@ -45,7 +45,7 @@
     }
 
     /**
-     * The operator's table, of which the configuration is one row.
+     * Returns the operator's table, in which the configuration is one row.
      *
      * @return the table.
      */
@@ -54,10 +54,10 @@
     }
 
     /**
-     * The operator's table as another process read it.
+     * Returns the operator's table as last read by another process.
      *
-     * @param peer where that process answers for its copies.
-     * @return the table; it can be read, not followed.
+     * @param peer the address of that process's admin server.
+     * @return the table; it can be read but not watched.
      */
     public WatchedTable<Manifest> configurationTableAt(HostPort peer) {
         return configurationTable(new PlatformClient(loop, peer, COPY_TIMEOUT_MILLIS));
@@ -72,7 +72,7 @@
     }
 
     /**
-     * The list in which replicas enter themselves.
+     * Returns the table in which replicas register themselves.
      *
      * @return the table.
      */
@@ -81,10 +81,10 @@
     }
 
     /**
-     * The list of replicas as another process read it.
+     * Returns the replica table as last read by another process.
      *
-     * @param peer where that process answers for its copies.
-     * @return the table; it can be read, not followed.
+     * @param peer the address of that process's admin server.
+     * @return the table; it can be read but not watched.
      */
     public WatchedTable<ReplicaRecord> replicaTableAt(HostPort peer) {
         return replicaTable(new PlatformClient(loop, peer, COPY_TIMEOUT_MILLIS));
@@ -95,10 +95,10 @@
     }
 
     /**
-     * Answers another process that reads a table here.
+     * Returns this process's copy of a table for another process, in the store's own format.
      *
-     * @param target the path and query that it asks for.
-     * @return the rows as this process read them last; empty if nothing of the kind is known here.
+     * @param target the requested path and query.
+     * @return the encoded rows as last read by this process; empty if the target is no known table or was never read.
      */
     public Optional<byte[]> encodedCopy(String target) {
         if (!target.startsWith(READ_PATH)) {
@@ -110,11 +110,11 @@
     }
 
     /**
-     * The engine on this VM.
+     * Returns the control of the engine on this VM.
      *
-     * @param address where it is.
+     * @param address the engine's address.
      * @param holder the name under which this process gives orders.
-     * @return its control.
+     * @return the engine's control.
      */
     public EngineControl engineControl(HostPort address, String holder) {
         return new HttpEngineControl(loop, address, holder);
--- a/src/main/java/io/waxwingquay/platform/ReplicaReader.java
+++ b/src/main/java/io/waxwingquay/platform/ReplicaReader.java
@@ -10,12 +10,12 @@
 import java.util.OptionalLong;
 import java.util.Set;
 
-/** Reads what replicas say of themselves, in the store and when they are asked. */
+/** Decodes the state of replicas, from their rows in the store and from their own reports. */
 final class ReplicaReader {
 
     private ReplicaReader() {}
 
-    /** Empty for an entry of another writer: a state that is not known, or a field missing or of another type. */
+    /** Decodes a row; empty if its state is unknown, or if a required field is missing or of another type. */
     static Optional<ReplicaRecord> row(String id, JsonNode node) {
         Optional<String> state = Json.text(node, "state");
         Optional<String> service = Json.text(node, "service");
@@ -40,7 +40,7 @@
                 models(node)));
     }
 
-    /** The answer to a question for its load. */
+    /** Decodes an engine's report of its load. */
     static EngineReport report(JsonNode node) {
         JsonNode atHand = node.path("at_hand");
         return new EngineReport(
--- a/src/main/java/io/waxwingquay/platform/SettingsFile.java
+++ b/src/main/java/io/waxwingquay/platform/SettingsFile.java
@@ -15,12 +15,12 @@
 import java.util.OptionalInt;
 
 /**
- * Reads the settings that the platform writes. Fields that are not known here are passed over, as new ones may come;
- * those that are needed and missing are refused by name, all of them together.
+ * Reads the settings file that the platform writes. Unknown fields are ignored for forward compatibility; missing
+ * required fields are reported by name, all of them together.
  */
 public final class SettingsFile {
 
-    /** The variable in which the platform names the file. */
+    /** The environment variable in which the platform passes the path of the file. */
     public static final String VARIABLE = "WAXWINGQUAY_CONFIG";
 
     private static final long MILLIS_PER_SECOND = 1_000L;
@@ -37,8 +37,8 @@
      *
      * @param file the file.
      * @return the settings.
-     * @throws IOException if it can't be read.
-     * @throws SettingsException if a needed field is missing or wrong.
+     * @throws IOException if the file can't be read.
+     * @throws SettingsException if a required field is missing or malformed.
      */
     public static HostSettings read(Path file) throws IOException {
         SettingsFile reader = new SettingsFile(new TomlMapper().readTree(Files.readAllBytes(file)));
@@ -73,7 +73,7 @@
                 bounds(root.path("bounds")));
     }
 
-    /** The platform lists where a few processes are controlled; here only on which VMs they are. */
+    /** Returns the hosts of the seeds, whose control addresses the platform lists; the ports are not used. */
     private List<String> seeds() {
         return Json.texts(root, "seeds").stream()
                 .filter(seed -> seed.indexOf(':') > 0)
@@ -94,7 +94,7 @@
     private double requiredNumber(JsonNode node, String field) {
         Optional<Double> value = Json.number(node, field);
         if (value.isEmpty()) {
-            addProblem("bounds." + field, "is missing or no number");
+            addProblem("bounds." + field, "is missing or not a number");
         }
         return value.orElse(0.0);
     }
--- a/src/main/java/io/waxwingquay/platform/StoreTable.java
+++ b/src/main/java/io/waxwingquay/platform/StoreTable.java
@@ -12,13 +12,13 @@
 import java.util.function.BiFunction;
 
 /**
- * One table of the platform's store.
+ * A table of the platform's store.
  *
- * @param <T> what its rows hold.
+ * @param <T> the type of a decoded row.
  */
 final class StoreTable<T> implements WatchedTable<T> {
 
-    /** The store gives at most this many rows an answer. */
+    /** Maximum number of rows that the store returns in one reply. */
     private static final int PAGE_ROWS = 500;
 
     private static final int OK = 200;
@@ -70,19 +70,19 @@
                 copy.replaceAll(version, rowsSoFar);
                 return CompletableFuture.completedFuture(new Page<>(version, rows(rowsSoFar)));
             }
-            // Keys are in byte order; the next page begins right after the last key.
+            // Keys are in byte order; the next page starts directly after the last key.
             return readFrom(rowsSoFar.get(rowsSoFar.size() - 1).path("key").asText() + "%00", rowsSoFar);
         });
     }
 
     private JsonNode body(PlatformClient.Reply reply) {
         if (reply.status() != OK) {
-            throw new StoreException("table " + name + " was answered " + reply.status());
+            throw new StoreException("table " + name + " was answered with status " + reply.status());
         }
         try {
             return Json.read(reply.body());
         } catch (IOException failure) {
-            throw new StoreException("table " + name + " was answered with bytes that can't be read: " + failure);
+            throw new StoreException("table " + name + " was answered with a body that can't be parsed: " + failure);
         }
     }
 
@@ -105,11 +105,11 @@
             byte[] bytes = Base64.getDecoder().decode(Json.text(row, "value").orElse(""));
             Optional<T> value = decoder.apply(key, Json.read(bytes));
             if (value.isEmpty()) {
-                LOG.log(System.Logger.Level.INFO, "platform: row passed over table={0} key={1}", name, key);
+                LOG.log(System.Logger.Level.INFO, "platform: row ignored table={0} key={1}", name, key);
             }
             return value;
         } catch (IOException | IllegalArgumentException failure) {
-            LOG.log(System.Logger.Level.INFO, "platform: row can''t be read table={0} key={1}", name, key);
+            LOG.log(System.Logger.Level.INFO, "platform: row can''t be decoded table={0} key={1}", name, key);
             return Optional.empty();
         }
     }
--- a/src/main/java/io/waxwingquay/platform/TableCopy.java
+++ b/src/main/java/io/waxwingquay/platform/TableCopy.java
@@ -9,15 +9,15 @@
 import java.util.Optional;
 
 /**
- * The rows of one table as this process read them last, in the store's own form, so that a process which the store
- * turns away can read them here in the same way.
+ * A copy of one table as last read by this process, in the store's own format, so that a process which can't reach the
+ * store can read it here in the same way.
  */
 final class TableCopy {
 
     private final Map<String, JsonNode> rows = new LinkedHashMap<>();
     private long version;
 
-    /** All rows were read as of a version; an older reading changes nothing. */
+    /** Replaces all rows with those read as of a version; an older version has no effect. */
     void replaceAll(long newVersion, List<JsonNode> newRows) {
         if (newVersion < version) {
             return;
@@ -26,7 +26,7 @@
         applyChanges(newVersion, newRows);
     }
 
-    /** Rows have changed, or were dropped. */
+    /** Applies changed and deleted rows; an older version has no effect. */
     void applyChanges(long newVersion, List<JsonNode> changes) {
         if (newVersion < version) {
             return;
@@ -41,7 +41,7 @@
         }));
     }
 
-    /** One page with all rows; empty before the table was read. */
+    /** Encodes all rows as one page; empty before the table was read. */
     Optional<byte[]> encode() {
         if (version == 0) {
             return Optional.empty();
--- a/src/main/java/io/waxwingquay/platform/package-info.java
+++ b/src/main/java/io/waxwingquay/platform/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Names, formats and calls of the prepared platform, and nothing that decides: settings, the store's tables, the
- * operator's configuration, what replicas say of themselves, and their orders. Everything is decoded once, here, into
- * the product's own types; no other package knows a name of the platform.
+ * Adapters to the prepared platform: its settings, the tables of its store, the operator's configuration, the reports
+ * of replicas and the orders to engines. The package translates names and formats only and takes no decisions.
+ * Everything is decoded here, once, into this system's own types; no other package uses names of the platform.
  */
 package io.waxwingquay.platform;
