--- a/src/test/java/io/waxwingquay/hosted/GracefulShutdownTest.java
+++ b/src/test/java/io/waxwingquay/hosted/GracefulShutdownTest.java
@@ -20,7 +20,7 @@
 
     private static final long GRACE_MILLIS = 8_000L;
 
-    /** Left of the grace time for the exit itself. */
+    /** Part of the grace period that is reserved for the exit itself. */
     private static final long EXIT_RESERVE_MILLIS = 500L;
 
     private static final long STALL_MILLIS = 400L;
@@ -42,8 +42,8 @@
         loop.close();
     }
 
-    // A process is told to stop twice. The second signal began the departure anew, so that the exit came seconds after
-    // the platform had killed the process, and all that was under way was cut without a word.
+    // Guards against a second stop signal that restarts the shutdown, so that the exit comes only after the platform
+    // has killed the process and all requests in progress are aborted without a response.
     @Test
     void secondSignalDoesNotDelayTheExit() throws Exception {
         CompletableFuture<Void> first = shutdown.start();
@@ -53,10 +53,10 @@
         assertEquals(1, requests.drainMillis.size());
     }
 
-    // The loop stands still when the signal comes. The grace time was counted from when the loop got round to it, so
-    // that requests were taken that the platform's kill would cut.
+    // Guards against a grace period that is counted from when a stalled loop handles the signal, so that requests are
+    // accepted that the platform's kill would abort.
     @Test
-    void graceTimeIsCountedFromTheSignal() throws Exception {
+    void gracePeriodIsCountedFromTheSignal() throws Exception {
         CountDownLatch released = new CountDownLatch(1);
         loop.execute(() -> Await.quietly(released));
         CompletableFuture<Void> done = shutdown.start();
@@ -66,7 +66,7 @@
         assertEquals(List.of(GRACE_MILLIS - EXIT_RESERVE_MILLIS - STALL_MILLIS), requests.drainMillis);
     }
 
-    /** No request is open. */
+    /** Reports no open request and records the drain times that it is given. */
     private static final class NoOpenRequests implements OpenRequests {
 
         private final List<Long> drainMillis = new CopyOnWriteArrayList<>();
--- a/src/test/java/io/waxwingquay/hosted/HostedDeployment.java
+++ b/src/test/java/io/waxwingquay/hosted/HostedDeployment.java
@@ -16,7 +16,9 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.CountDownLatch;
 
-/** An entry and a side process on loopback, with stand-ins of the store, of two engines and of two plain replicas. */
+/**
+ * An entry and two side processes on loopback, with stand-ins of the store, of two engines and of two plain replicas.
+ */
 final class HostedDeployment implements AutoCloseable {
 
     private static final String MANIFEST =
@@ -86,14 +88,14 @@
         store.put("servers", id, replica.row(service, "z", state));
     }
 
-    /** Starts another entry that the store turns away, and that is told of the first as a seed. */
+    /** Starts a second entry that can't reach the store and has the first entry as a seed. */
     void startEntryWithoutStore() throws Exception {
         StoreStandin unreachableStore = StoreStandin.start(standinLoop, new HostPort(SECOND_HOST, basePort));
         unreachableStore.away(true);
         startSecond(unreachableStore.address());
     }
 
-    /** Starts another entry that reads the same store, and waits until it is ready. */
+    /** Starts a second entry that uses the same store, and waits until it answers. */
     void startSecondEntry() throws Exception {
         startSecond(store.address());
         Await.until(() -> askSecond("/p/1", "second", "x").status() == 200);
@@ -125,14 +127,12 @@
         return entry.shutdown();
     }
 
-    /**
-     * Tells the entry to stop; when it says that it may exit, all that it has open ends, as at the end of a process.
-     */
+    /** Shuts the entry down; once it may exit, all of its connections are closed, as at the end of a process. */
     CompletableFuture<Void> exit() {
         return entry.shutdown().thenRunAsync(processLoop::close);
     }
 
-    /** Does something while the entry and the sides stand still. */
+    /** Runs an action while the loop of the entry and the side processes is stalled. */
     void whileStalled(Action action) throws Exception {
         CompletableFuture<Void> stalled = new CompletableFuture<>();
         CountDownLatch released = new CountDownLatch(1);
@@ -148,7 +148,7 @@
         }
     }
 
-    /** Runs a task on the stand-ins' loop after a while. */
+    /** Schedules a task on the loop of the stand-ins. */
     void schedule(long millis, Runnable task) {
         standinLoop.schedule(millis, task);
     }
@@ -242,12 +242,12 @@
     }
 
     /**
-     * An answer as it came.
+     * A response as received.
      *
-     * @param status the status; 0 if there was none.
-     * @param head the whole head.
+     * @param status the HTTP status; 0 if the connection ended without a complete head.
+     * @param head the complete head.
      * @param body the body.
-     * @param complete whether its framing says that it is whole.
+     * @param complete whether the framing marks the body as complete.
      */
     record Answer(int status, String head, String body, boolean complete) {
 
@@ -300,7 +300,7 @@
         }
     }
 
-    /** What a test does. */
+    /** An action of a test. */
     @FunctionalInterface
     interface Action {
 
--- a/src/test/java/io/waxwingquay/hosted/HostedExitTest.java
+++ b/src/test/java/io/waxwingquay/hosted/HostedExitTest.java
@@ -15,10 +15,10 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** What callers see of an entry that was told to stop. */
+/** Tests the responses of an entry that shuts down. */
 class HostedExitTest {
 
-    /** More than one caller can ask in the grace time. */
+    /** More requests than one caller can send one after the other within the grace period. */
     private static final int MAX_REQUESTS = 10_000;
 
     private HostedDeployment deployment;
@@ -33,9 +33,10 @@
         deployment.close();
     }
 
-    // The process is told to stop. It is not ready from then on, answers what still comes, and goes when all is done.
+    // Guards against an entry that refuses callers as soon as it is told to stop, while the platform still routes to
+    // it.
     @Test
-    void leavingEntryAnswersWhatStillComes() throws Exception {
+    void entryAnswersRequestsThatArriveDuringShutdown() throws Exception {
         CompletableFuture<Void> exited = deployment.leave();
         assertEquals(503, deployment.readyStatus());
         Answer answer = deployment.ask("POST", "/p/1", "a16", "", "late");
@@ -44,10 +45,10 @@
         Await.value(exited);
     }
 
-    // A request waits for a model that does not come, and the process is told to stop. Were it kept until the exit,
-    // its connection would end without a word; refused in time it goes elsewhere.
+    // Guards against a request that waits for an unavailable model until the exit, and whose connection is then closed
+    // without a response. Rejected in time, it can be sent to another entry.
     @Test
-    void leavingEntryRefusesWhatStillWaits() throws Exception {
+    void waitingRequestIsRejectedDuringShutdown() throws Exception {
         CompletableFuture<Answer> waiting = CompletableFuture.supplyAsync(() -> {
             try {
                 return deployment.ask("POST", "/s/1", "a23", "Model: nowhere\r\n", "");
@@ -57,24 +58,20 @@
         });
         Await.until(() -> deployment.dump().contains("active=1"));
         Await.value(deployment.leave());
-        assertTrue(deployment.dump().contains("active=0"), "it left with a request that waits");
+        assertTrue(deployment.dump().contains("active=0"), "the entry exited with a waiting request");
         assertEquals(503, Await.value(waiting).status());
     }
 
-    // All entries are told to stop within seconds, so that callers still reach one that leaves. It finds nothing under
-    // way,
-    // decides to go, and is gone some 60 ms later. Payments that came in between were passed on, ran, and their
-    // connections
-    // ended without a word: the log said "hosted: left active=0", told of a request that came after it and was
-    // answered, and
-    // had no line of those that were cut.
+    // Guards against requests that are admitted between the check that finds no request in progress and the exit,
+    // some 60 ms later. They were forwarded and ran, but their connections ended without a response or a log line.
+    // This happens while all entries shut down, as callers then still reach them.
     @Test
-    void leavingEntryAnswersAllThatItPassesOn() throws Exception {
+    void everyRequestForwardedDuringShutdownIsAnswered() throws Exception {
         setPlainBehaviour((engine, caller) -> deployment.schedule(20, () -> Behaviour.ECHO.run(engine, caller)));
         CompletableFuture<Void> exited = deployment.exit();
         List<String> answered = new ArrayList<>();
         for (int number = 0; !exited.isDone(); number++) {
-            assertTrue(number < MAX_REQUESTS, "the entry does not leave");
+            assertTrue(number < MAX_REQUESTS, "the entry does not exit");
             String id = "a24-" + number;
             if (isAnswered(id)) {
                 answered.add(id);
@@ -85,11 +82,10 @@
         assertEquals(List.of(), unanswered);
     }
 
-    // A call that may not be repeated is still at its replica when the grace time ends. It may have run; its caller
-    // gets a
-    // status that promises nothing, not a connection that ends without a word.
+    // Guards against closing the connection without a response when a non-idempotent request is still running at the
+    // end of the grace period. As it may have run, it is answered with a status that leaves this open.
     @Test
-    void requestWithoutAnAnswerAtTheExitIsToldThatItMayHaveRun() throws Exception {
+    void unansweredRequestIsReportedAsPossiblyRunAtExit() throws Exception {
         setPlainBehaviour((engine, caller) -> {});
         CompletableFuture<Answer> asked = CompletableFuture.supplyAsync(() -> {
             try {
--- a/src/test/java/io/waxwingquay/hosted/HostedPathTest.java
+++ b/src/test/java/io/waxwingquay/hosted/HostedPathTest.java
@@ -49,15 +49,15 @@
     }
 
     @Test
-    void answerComesBackWithItsSealAndBody() throws Exception {
+    void responseKeepsItsSealAndBody() throws Exception {
         Answer answer = deployment.ask("POST", "/p/1", "a1", "", "hello");
         assertEquals(200, answer.status());
         assertEquals("hello", answer.body());
         assertTrue(answer.head().contains("Server-Seal: seal-of-p"));
     }
 
-    // A replica runs a payment and its answer is lost. Were it sent to the other replica, the family would pay
-    // twice; the caller gets a status that promises nothing.
+    // Guards against a non-idempotent request that runs twice, because it is retried at another replica after its
+    // answer was lost. The caller gets a status that leaves open whether it has run.
     @Test
     void nonIdempotentRequestWhoseAnswerIsLostRunsOnce() throws Exception {
         setPlainBehaviour(ABORT);
@@ -66,9 +66,10 @@
         assertEquals(List.of("a2"), runs());
     }
 
-    // A replica says that it did not run the payment. Only then may another one get it.
+    // Guards against giving up on a non-idempotent request that its replica guarantees not to have run; only such a
+    // request is retried elsewhere.
     @Test
-    void nonIdempotentRequestThatDidNotRunGoesElsewhere() throws Exception {
+    void nonIdempotentRequestThatDidNotRunIsRetriedElsewhere() throws Exception {
         deployment.plain1.behaviour(REJECT);
         deployment.plain2.behaviour(REJECT);
         Answer refused = deployment.ask("POST", "/once/1", "a3", "", "pay");
@@ -77,9 +78,9 @@
         assertEquals(2, runs().size());
     }
 
-    // A lookup is cut off at one replica. It may be repeated, so the caller sees nothing of it.
+    // Guards against a failure that reaches the caller although its request is idempotent and can be retried.
     @Test
-    void idempotentRequestGoesOnElsewhere() throws Exception {
+    void idempotentRequestIsRetriedElsewhere() throws Exception {
         deployment.plain1.behaviour(ABORT);
         deployment.plain2.behaviour(Behaviour.ECHO);
         for (int number = 0; number < 4; number++) {
@@ -90,7 +91,7 @@
     }
 
     @Test
-    void replicasOwnFailureKeepsItsStatusAndSeal() throws Exception {
+    void failureResponseOfAReplicaKeepsItsStatusAndSeal() throws Exception {
         setPlainBehaviour(FAIL);
         Answer answer = deployment.ask("POST", "/once/1", "a5", "", "pay");
         assertEquals(500, answer.status());
@@ -98,10 +99,10 @@
         assertTrue(answer.head().contains("Server-Seal: "));
     }
 
-    // An engine breaks off in the middle of an event. The caller must get each event once, whole and in order, from
-    // whichever engine made it, and an end only when all are there.
+    // Guards against lost, repeated or partial events when an engine aborts a stream within an event and another engine
+    // resumes it. The end must follow only after all events.
     @Test
-    void brokenStreamGoesOnWhereItEnded() throws Exception {
+    void abortedStreamIsResumedWhereItEnded() throws Exception {
         deployment.engine1.behaviour(Behaviour.stream(6, 3));
         deployment.engine2.behaviour(Behaviour.stream(6, 0));
         for (int number = 0; number < 3; number++) {
@@ -111,10 +112,10 @@
         }
     }
 
-    // The only engine with the model takes longer than usual for a first event. Were the request given up there,
-    // its caller would get a failure in place of its answer.
+    // Guards against a failure in place of a late response: the only engine with the model takes longer than usual
+    // for the first event, and the request must not be abandoned there.
     @Test
-    void slowReplicaIsNotGivenUpWithoutAnother() throws Exception {
+    void slowReplicaIsNotAbandonedWithoutAnAlternative() throws Exception {
         deployment.store.remove("servers", "e2");
         Await.until(() -> {
             int before = deployment.engine2.ran().size();
@@ -129,9 +130,9 @@
         assertEquals(events(2), answer.body());
     }
 
-    // Both engines break off. What the caller has is a part, so the end must not look like one.
+    // Guards against a truncated stream that looks complete, after both engines have aborted it.
     @Test
-    void streamThatCannotGoOnDoesNotLookComplete() throws Exception {
+    void streamThatCannotBeResumedDoesNotLookComplete() throws Exception {
         deployment.engine1.behaviour(Behaviour.stream(6, 3));
         deployment.engine2.behaviour(Behaviour.stream(6, 4));
         Answer answer = deployment.ask("POST", "/s/1", "a7", MODEL, "");
@@ -148,13 +149,13 @@
     }
 
     @Test
-    void unknownRouteIsRefusedForGood() throws Exception {
+    void unknownRouteIsAnsweredWithNotFound() throws Exception {
         assertEquals(404, deployment.ask("GET", "/nowhere/1", "a9", "", "").status());
     }
 
-    // A replica tells that it leaves. It still answers, but a request sent there may be cut when it goes.
+    // Guards against requests to a draining replica. It still answers, but may abort them when it exits.
     @Test
-    void leavingReplicaGetsNoNewWork() throws Exception {
+    void drainingReplicaGetsNoNewWork() throws Exception {
         deployment.register(deployment.plain1, "p1", "plain", "draining");
         Await.until(() -> {
             int before = deployment.plain1.ran().size();
@@ -166,9 +167,10 @@
         assertEquals(200, deployment.ask("POST", "/p/1", "a11", "", "x").status());
     }
 
-    // The store goes away and drops what it held. Requests go on as before, from what is known.
+    // Guards against requests that fail while the store is unavailable and has lost its rows; the last known state is
+    // used.
     @Test
-    void storeThatIsAwayStopsNoRequest() throws Exception {
+    void requestsAreServedWhileTheStoreIsUnavailable() throws Exception {
         deployment.store.away(true);
         deployment.store.remove("servers", "p1");
         deployment.store.remove("servers", "p2");
@@ -178,18 +180,18 @@
         assertEquals(200, deployment.readyStatus());
     }
 
-    // The store turns one VM away and serves the others. An entry that starts there would refuse every caller,
-    // though the next VM knows all that it needs.
+    // Guards against an entry that starts where the store is unreachable and rejects every caller, although another
+    // entry has all the data that it needs.
     @Test
-    void entryThatTheStoreTurnsAwayTakesWhatAnotherEntryKnows() throws Exception {
+    void entryWithoutTheStoreReadsTheCopyOfAnotherEntry() throws Exception {
         deployment.startEntryWithoutStore();
         Await.until(() -> deployment.askSecond("/p/1", "a17").status() == 200);
     }
 
-    // Later the operator changes a route. The entry that the store turns away hears that there is a newer version,
-    // and must put it in force too, or its callers go by what is no more.
+    // Guards against an outdated configuration at an entry that can't reach the store: an update announces a newer
+    // version, which has to be applied too.
     @Test
-    void entryThatTheStoreTurnsAwayFollowsANewerConfiguration() throws Exception {
+    void entryWithoutTheStoreAppliesANewerConfiguration() throws Exception {
         deployment.startEntryWithoutStore();
         Await.until(() -> deployment.askSecond("/p/1", "a18").status() == 200);
         deployment.configure(2, "/q/");
@@ -197,9 +199,9 @@
         assertEquals(404, deployment.askSecond("/p/1", "a20").status());
     }
 
-    // A request hides another in its body. The replica must see one request, with that body.
+    // Guards against request smuggling: a request that is hidden in the body of another must not run.
     @Test
-    void requestInABodyIsNoRequest() throws Exception {
+    void requestInABodyIsNotRun() throws Exception {
         String hidden = HostedDeployment.request("POST", "/once/2", "hidden", "", "");
         Answer answer = deployment.ask("POST", "/once/1", "a13", "", hidden);
         assertEquals(hidden, answer.body());
@@ -207,7 +209,7 @@
     }
 
     @Test
-    void keptConnectionTakesOneRequestAfterTheOther() throws Exception {
+    void persistentConnectionServesConsecutiveRequests() throws Exception {
         try (Socket socket = deployment.connect()) {
             for (int number = 0; number < 3; number++) {
                 String request = HostedDeployment.request("POST", "/p/1", "a14-" + number, "", "body " + number);
@@ -218,9 +220,9 @@
         }
     }
 
-    // A caller leaves while an engine works for it. The engine's own channel must close, or it works on for nobody.
+    // Guards against wasted work of an engine whose caller has disconnected; its connection has to be closed too.
     @Test
-    void workEndsWhenItsCallerLeaves() throws Exception {
+    void workEndsWhenItsCallerDisconnects() throws Exception {
         CompletableFuture<Void> left = new CompletableFuture<>();
         Behaviour endless = (engine, caller) -> caller.onDisconnect(() -> left.complete(null));
         deployment.engine1.behaviour(endless);
@@ -234,11 +236,11 @@
         Await.value(left);
     }
 
-    // A caller sends a payment and leaves before a connection to a replica stands. The payment was not sent yet,
-    // but it went out once the connection stood, and a replica ran it for nobody. What has left may have run and is
-    // left to end; what has not is not sent any more.
+    // Guards against a non-idempotent request that is sent after its caller has disconnected, because the connection
+    // to the replica was not established before. A request that has been sent may have run, and continues; any other
+    // is dropped.
     @Test
-    void paymentThatHasNotLeftIsNotSentForACallerWhoLeft() throws Exception {
+    void unsentRequestIsNotSentAfterItsCallerDisconnects() throws Exception {
         deployment.whileStalled(() -> {
             try (Socket socket = deployment.connect()) {
                 String request = HostedDeployment.request("POST", "/once/1", "a24", "", "pay");
@@ -255,31 +257,29 @@
         assertEquals(List.of(), runs().stream().filter("a24"::equals).toList());
     }
 
-    // Both engines' machines stand still while they hold a stream that may not be run twice. Its caller leaves
-    // after two seconds without an event, and an engine that stands still can't be told: it works on for nobody
-    // when it wakes. So the caller is answered before it leaves, with a status that promises nothing.
+    // Guards against a caller that disconnects, after two seconds without an event, from a stream that may not run
+    // twice and is held by an unresponsive engine. The engine can't be notified and would resume useless work later.
+    // So the caller is answered before that, with a status that leaves open whether the request has run.
     @Test
-    void requestAtAFrozenEngineIsGivenUpBeforeItsCallerLeaves() throws Exception {
+    void requestAtAnUnresponsiveEngineIsAnsweredBeforeItsCallerDisconnects() throws Exception {
         freezeEngines();
         assertEquals(502, deployment.ask("POST", "/live/1", "a25", MODEL, "").status());
     }
 
-    // The engines stand still, and so do the processes beside them that are asked for an adapter. The request was
-    // never sent, and held until its time limit; it has not run, and its caller is told so while it can still come
-    // back.
+    // Guards against holding a request until its deadline when the engines and the side processes that are asked to
+    // load its adapter are unresponsive. It has not run, and is rejected while its caller can still retry.
     @Test
-    void requestWhoseAdapterDoesNotComeIsRefused() throws Exception {
+    void requestWhoseAdapterIsNotLoadedIsRejected() throws Exception {
         freezeEngines();
         Answer answer = deployment.ask("POST", "/live/1", "a28", "Model: m/a2\r\n", "");
         assertEquals(503, answer.status());
         assertTrue(answer.body().contains("adapter a2 does not come"), answer.body());
     }
 
-    // An engine answers while the entry stands still. When it wakes, the entry looked at the time before it read what
-    // had
-    // come: the engine had been silent for too long, and its answer was thrown away.
+    // Guards against discarding an answer that arrived while the entry was stalled. After the stall, the entry
+    // checked the silence of the engine before it read the input.
     @Test
-    void answerThatCameWhileTheEntryStoodStillIsPassedOn() throws Exception {
+    void answerReceivedDuringAStallIsForwarded() throws Exception {
         Await.until(() -> deployment.dump().contains("engines_heard=2"));
         Behaviour soon = (engine, caller) ->
                 deployment.schedule(300, () -> Behaviour.stream(2, 0).run(engine, caller));
@@ -294,24 +294,23 @@
         });
         Await.until(() -> deployment.engine1.ran().contains("a31")
                 || deployment.engine2.ran().contains("a31"));
-        long stoodMillis = EventLoop.nowMillis();
-        deployment.whileStalled(() -> Await.until(() -> EventLoop.nowMillis() - stoodMillis >= 2_200));
+        long stalledSinceMillis = EventLoop.nowMillis();
+        deployment.whileStalled(() -> Await.until(() -> EventLoop.nowMillis() - stalledSinceMillis >= 2_200));
         assertEquals(200, Await.value(asked).status());
     }
 
-    /** Both engines stand still, after each has been heard. */
+    /** Makes both engines unresponsive after an update of each has been received. */
     private void freezeEngines() throws Exception {
         Await.until(() -> deployment.dump().contains("engines_heard=2"));
         deployment.engine1.freeze(true);
         deployment.engine2.freeze(true);
     }
 
-    // A request ends each replica that begins to run it, and its caller sends it again and again, each time as a
-    // new attempt. Were each attempt judged by itself, the deployment would lose a replica for each send. Two
-    // replicas end; from then on it is turned away before it reaches one, with a status that promises that this
-    // attempt did not run. The others, who ran beside it, are answered.
+    // Guards against losing a replica for each attempt of a request that crashes every replica which starts to run
+    // it. After two crashes the request is quarantined: further attempts are rejected as not run. The suspects that
+    // ran beside it are answered.
     @Test
-    void requestThatCrashesReplicasReachesTwoOfThem() throws Exception {
+    void requestThatCrashesReplicasReachesOnlyTwoOfThem() throws Exception {
         CrashOnPoison crashes = new CrashOnPoison();
         setPlainBehaviour(crashes);
         List<CompletableFuture<Answer>> bystanders = new ArrayList<>();
@@ -331,11 +330,10 @@
         }
     }
 
-    // The same request comes through an entry that started after the crashes and that the store turns away. It
-    // knows nothing of them but what the processes beside engines tell it; that has to be enough, or each entry
-    // would cost two replicas more.
+    // Guards against losing two more replicas for each entry that starts after the crashes and can't reach the store.
+    // The updates of side processes have to tell it of the suspect.
     @Test
-    void entryThatStartsLaterRefusesWhatHasCrashedReplicas() throws Exception {
+    void entryStartedLaterRejectsAQuarantinedRequest() throws Exception {
         CrashOnPoison crashes = new CrashOnPoison();
         setPlainBehaviour(crashes);
         deployment.ask("POST", "/p/1", "a26-0", "", POISON);
@@ -347,9 +345,9 @@
         assertEquals(2, crashes.count.get());
     }
 
-    // The same for a stream that no engine has given an event of.
+    // Guards against the same loss of engines by a stream that crashes them before its first event.
     @Test
-    void streamThatCrashesEnginesReachesTwoOfThem() throws Exception {
+    void streamThatCrashesEnginesReachesOnlyTwoOfThem() throws Exception {
         deployment.engine1.behaviour(ABORT);
         deployment.engine2.behaviour(ABORT);
         assertEquals(502, deployment.ask("POST", "/s/1", "a27-0", MODEL, "").status());
@@ -359,11 +357,10 @@
                 2, deployment.engine1.ran().size() + deployment.engine2.ran().size());
     }
 
-    // Two replicas break off in the middle of their answers and are sound again. They did not go when they began to
-    // run the request, as a part of an answer had come; were it refused, its caller would wait ten minutes for
-    // nothing.
+    // Guards against a quarantine of ten minutes for a request whose answers were aborted by two replicas that are
+    // healthy again. They did not crash when they started the request, as parts of the answers had arrived.
     @Test
-    void requestWhoseAnswersBrokeOffIsNotRefused() throws Exception {
+    void requestWhoseAnswersWereAbortedIsNotQuarantined() throws Exception {
         setPlainBehaviour((engine, caller) -> {
             caller.begin(200, HttpFields.build(engine.fields(caller)).put("Content-Type", "text/plain"));
             caller.write(ByteBuffer.wrap("a part".getBytes(StandardCharsets.UTF_8)));
@@ -410,8 +407,8 @@
     }
 
     /**
-     * A replica that ends, with all that it runs, when it begins to run one request; it is back at once. Others wait
-     * for their answers until the first crash, and then take a moment each.
+     * Crashes a replica, with all requests that it runs, when it starts the poison request; the replica is back at
+     * once. Other requests are answered shortly after the first crash or their start, whichever is later.
      */
     private final class CrashOnPoison implements Behaviour {
 
--- a/src/test/java/io/waxwingquay/hosted/LeavingReplicaTest.java
+++ b/src/test/java/io/waxwingquay/hosted/LeavingReplicaTest.java
@@ -25,9 +25,9 @@
         deployment.close();
     }
 
-    // Guards against requests to a replica that left without notice while entries regained the store.
+    // Guards against requests to a replica that departed without notice while entries regained the store.
     @Test
-    void replicaThatLeavesAsTheStoreIsRegainedGetsNothingFromAnyEntry() throws Exception {
+    void replicaUnlistedWhenTheStoreReturnsGetsNoRequests() throws Exception {
         deployment.store.away(true);
         deployment.store.remove("servers", "p1");
         deployment.store.away(false);
--- a/src/test/java/io/waxwingquay/hosted/SharedLimitTest.java
+++ b/src/test/java/io/waxwingquay/hosted/SharedLimitTest.java
@@ -14,10 +14,10 @@
 
     private static final int REQUESTS = 30;
 
-    /** So little that each entry's part is a small fraction of a request while the test runs. */
+    /** Low enough that each entry's share stays a small fraction of a request during the test. */
     private static final String LIMIT_PER_SECOND = "0.02";
 
-    /** One for each entry, and the part of a second that a slow machine adds. */
+    /** One request per entry, and what the limit adds on a slow machine. */
     private static final int MAX_REQUESTS = 5;
 
     private HostedDeployment deployment;
@@ -33,9 +33,9 @@
         deployment.close();
     }
 
-    // Guards against entries that together send a replica more than it says that it takes.
+    // Guards against entries that together exceed the limit which a replica announces.
     @Test
-    void replicaThatNamesALimitGetsNoMoreFromAllEntriesTogether() throws Exception {
+    void entriesTogetherKeepTheLimitThatAReplicaAnnounces() throws Exception {
         deployment.plain1.behaviour((engine, caller) -> caller.respond(
                 200, HttpFields.build(engine.fields(caller)).put("Server-Limit", LIMIT_PER_SECOND), "ok"));
         announceLimitToBothEntries();
@@ -46,12 +46,13 @@
             assertEquals(200, deployment.askSecond("/p/1", "c2-" + number, "x").status());
         }
         int sent = deployment.plain1.ran().size() - before;
-        assertTrue(sent <= MAX_REQUESTS, "it got " + sent);
+        assertTrue(sent <= MAX_REQUESTS, "requests sent to the limited replica: " + sent);
     }
 
-    // Guards against holding callers who could come back when all replicas of their service are at their limits.
+    // Guards against queueing requests whose callers could retry later while all replicas of the service are at their
+    // limits.
     @Test
-    void requestBeyondTheLimitsOfAllReplicasIsRefusedAtOnce() throws Exception {
+    void requestBeyondTheLimitsOfAllReplicasIsRejectedAtOnce() throws Exception {
         Behaviour limited = (engine, caller) -> caller.respond(
                 200, HttpFields.build(engine.fields(caller)).put("Server-Limit", LIMIT_PER_SECOND), "ok");
         deployment.plain1.behaviour(limited);
--- a/src/test/java/io/waxwingquay/platform/HeaderCodecTest.java
+++ b/src/test/java/io/waxwingquay/platform/HeaderCodecTest.java
@@ -16,7 +16,7 @@
     private final HeaderCodec codec = new HeaderCodec();
 
     @Test
-    void readsWhatACallerAsks() {
+    void readsTheFieldsOfACaller() {
         MessageCodec.Ask ask = codec.read(HttpFields.build()
                 .put("Attempt-Id", "9c")
                 .put("Deadline-Remaining", "1500")
@@ -32,7 +32,7 @@
     }
 
     @Test
-    void readsTheLimitThatAReplicaNames() {
+    void readsTheLimitThatAReplicaAnnounces() {
         assertEquals(OptionalDouble.of(3.7), limit("3.7"));
         assertEquals(OptionalDouble.empty(), limit("-1"));
         assertEquals(OptionalDouble.empty(), limit("NaN"));
@@ -44,10 +44,10 @@
         return codec.reply(200, HttpFields.build().put("Server-Limit", text)).limitPerSecond();
     }
 
-    // A client sends fields that are the system's to set. A replica that saw them would hold memory, skip its queue or
-    // go on from another request's memory, as the client pleases.
+    // Guards against client requests that set fields reserved for this system. A replica that received them would pin
+    // memory, skip its queue or resume from the memory of another request at the client's will.
     @Test
-    void dropsWhatIsTheSystemsToSet() {
+    void removesReservedFieldsOfAClient() {
         HttpFields out = codec.toReplica(
                 HttpFields.build()
                         .put("Host", "x.test")
@@ -76,7 +76,7 @@
     }
 
     @Test
-    void onlyAReplicasOwnWordSaysThatItDidNotRun() {
+    void onlyAReplicaCanReportThatARequestDidNotRun() {
         HttpFields none = HttpFields.build().put("Attempt-Id", "9c");
         assertTrue(codec.reply(503, HttpFields.build().put("Not-Executed", "1")).didNotRun());
         assertTrue(codec.reply(421, none).didNotRun());
@@ -85,7 +85,7 @@
     }
 
     @Test
-    void refusalSaysWhenToComeBackInSeconds() {
+    void rejectionHasARetryAfterDelayInSeconds() {
         assertEquals("1.250", codec.refusal(Optional.of(1_250L)).get("Retry-After"));
     }
 }
--- a/src/test/java/io/waxwingquay/platform/ReplicaReaderTest.java
+++ b/src/test/java/io/waxwingquay/platform/ReplicaReaderTest.java
@@ -31,8 +31,7 @@
         assertEquals(List.of(new ReplicaRecord.ResidentModel("m", List.of("a1"))), record.models());
     }
 
-    // Rows may come from another writer. One that can't be understood names no replica, and must not keep the others
-    // from being read.
+    // Guards against a failure to read the table because of one malformed row, which may come from another writer.
     @ParameterizedTest
     @ValueSource(
             strings = {
@@ -44,7 +43,7 @@
                 "{\"service\":\"s\",\"address\":\"nowhere\",\"slots\":4,\"state\":\"ready\"}",
                 "{\"service\":\"s\",\"address\":\"10.0.0.9:80\",\"slots\":\"four\",\"state\":\"ready\"}"
             })
-    void passesOverAForeignRow(String json) throws IOException {
+    void ignoresAMalformedRow(String json) throws IOException {
         assertEquals(Optional.empty(), row(json));
     }
 
--- a/src/test/java/io/waxwingquay/platform/SettingsFileTest.java
+++ b/src/test/java/io/waxwingquay/platform/SettingsFileTest.java
@@ -40,7 +40,7 @@
     private Path directory;
 
     @Test
-    void readsWhatItNeedsAndPassesOverWhatIsNew() throws IOException {
+    void readsKnownFieldsAndIgnoresUnknownOnes() throws IOException {
         HostSettings settings = read(WHOLE);
         assertEquals(Optional.of(new HostPort("10.1.0.40", 8145)), settings.engineAddress());
         assertEquals(new HostPort("10.200.1.7", 8142), settings.storeAddress());
@@ -50,7 +50,7 @@
     }
 
     @Test
-    void namesEveryNeededFieldThatIsMissing() {
+    void namesEveryMissingRequiredField() {
         String lacking = WHOLE.replace("node = \"side-1\"\n", "")
                 .replace("drain_ms = 2000\n", "")
                 .replace("address = \"10.200.1.7:8142\"", "");
