--- a/src/main/java/io/waxwingquay/hosted/GracefulShutdown.java
+++ b/src/main/java/io/waxwingquay/hosted/GracefulShutdown.java
@@ -77,16 +77,16 @@
     private void exitWhenIdle(long exitDeadlineMillis) {
         server.closeIdle();
         if (requests.activeCount() == 0 && server.connectionCount() == 0) {
-            stopAdmission();
+            beginExit();
         } else if (clockMillis.getAsLong() > exitDeadlineMillis) {
             // After a stall the answers of replicas may still be unread; they are read before the scheduled task runs.
-            loop.schedule(0, this::stopAdmission);
+            loop.schedule(0, this::beginExit);
         } else {
             loop.schedule(IDLE_CHECK_MILLIS, () -> exitWhenIdle(exitDeadlineMillis));
         }
     }
 
-    private void stopAdmission() {
+    private void beginExit() {
         LOG.log(System.Logger.Level.INFO, "hosted: left active={0}", requests.activeCount());
         requests.endAdmission();
         loop.schedule(FLUSH_MILLIS, this::complete);
--- a/src/main/java/io/waxwingquay/hosted/AdminServer.java
+++ b/src/main/java/io/waxwingquay/hosted/HostedAdminServer.java
@@ -19,7 +19,7 @@
 import org.eclipse.jetty.http.HttpFields;
 
 /** An HTTP server with the metrics, the state dump and the table copies of a process. */
-final class AdminServer {
+final class HostedAdminServer {
 
     private static final int OK = 200;
     private static final int NOT_FOUND = 404;
@@ -35,7 +35,7 @@
     private Supplier<String> dump = () -> "";
     private Function<String, Optional<byte[]>> tableCopies = target -> Optional.empty();
 
-    AdminServer(EventLoop loop, HostPort address) {
+    HostedAdminServer(EventLoop loop, HostPort address) {
         HttpServer.listen(loop, new InetSocketAddress(address.host(), address.port()), this::handle);
     }
 
--- a/src/main/java/io/waxwingquay/hosted/HostedEntry.java
+++ b/src/main/java/io/waxwingquay/hosted/HostedEntry.java
@@ -60,8 +60,8 @@
     private static final long MAX_CONFIGURATION_LAG_MILLIS = 700L;
 
     /**
-     * Entries read a change of the replica list within its batching delay plus this margin; a later one has missed
-     * it.
+     * Entries read a change of the replica list within its batching delay plus this margin; one that is still unread
+     * after this time has been missed.
      */
     private static final long REPLICA_LAG_MARGIN_MILLIS = 100L;
 
@@ -78,7 +78,7 @@
     private final ReplicaDirectory replicas;
     private final SharedSuspects suspects;
     private final PeerChannel peers;
-    private final AdminServer adminServer;
+    private final HostedAdminServer adminServer;
     private final GracefulShutdown gracefulShutdown;
     private final PreparedPlatform platform;
     private final TableWatch<Manifest> configurationWatch;
@@ -90,7 +90,7 @@
     private HostedEntry(EventLoop loop, HostSettings settings) {
         this.settings = settings;
         this.loop = loop;
-        this.adminServer = new AdminServer(loop, new HostPort(settings.host(), settings.adminPort()));
+        this.adminServer = new HostedAdminServer(loop, new HostPort(settings.host(), settings.adminPort()));
         this.peers = new PeerChannel(loop, new HostPort(settings.host(), settings.peerPort()), this::onDatagram);
         RandomGenerator random = RandomGenerator.of("L64X128MixRandom");
         this.suspects = new SharedSuspects(EventLoop::nowMillis, random);
--- a/src/main/java/io/waxwingquay/hosted/HostedSide.java
+++ b/src/main/java/io/waxwingquay/hosted/HostedSide.java
@@ -27,8 +27,8 @@
 public final class HostedSide implements HostedProcess {
 
     /**
-     * Interval at which the configuration is read if it is missing or outdated; it changes only with the set of
-     * models.
+     * Interval at which the configuration is read again if it is missing or outdated. A new one is needed only when
+     * models are added or removed.
      */
     private static final long CONFIGURATION_CHECK_MILLIS = 1_000L;
 
@@ -91,7 +91,7 @@
         LOG.log(System.Logger.Level.INFO, "hosted: side started node={0} service={1}", settings.vmName(), service);
     }
 
-    /** Takes the models of earlier incarnations from their rows, which stay listed for some seconds. */
+    /** Reads the models of earlier incarnations from their rows, which stay listed for some seconds. */
     private void readEarlierModels(WatchedTable.Page<ReplicaRecord> page) {
         List<ReplicaRecord> records = page.rows().stream()
                 .map(WatchedTable.Row::value)
--- a/src/main/java/io/waxwingquay/net/ClientPool.java
+++ b/src/main/java/io/waxwingquay/net/ClientPool.java
@@ -69,7 +69,7 @@
             return call;
         }
         if (connections.size() + connectingCount >= maxConnections) {
-            loop.execute(() -> call.fail("all " + maxConnections + " connections are taken"));
+            loop.execute(() -> call.fail("all " + maxConnections + " connections are in use"));
             return call;
         }
         pendingCalls.add(call);
--- a/src/main/java/io/waxwingquay/platform/HttpEngineControl.java
+++ b/src/main/java/io/waxwingquay/platform/HttpEngineControl.java
@@ -43,7 +43,7 @@
                         "the engine answered the request for its report with status " + reply.status());
             }
             try {
-                return ReplicaReader.report(Json.read(reply.body()));
+                return ReplicaReader.report(JsonFields.read(reply.body()));
             } catch (IOException failure) {
                 throw new StoreException("the engine's report can't be parsed: " + failure);
             }
@@ -53,14 +53,14 @@
     /** {@inheritDoc} */
     @Override
     public CompletableFuture<Answer> give(Order order) {
-        ObjectNode body = Json.MAPPER.createObjectNode();
+        ObjectNode body = JsonFields.MAPPER.createObjectNode();
         body.put("op", order.load() ? "load" : "unload");
         body.put("model", order.model());
         order.adapter().ifPresent(adapter -> body.put("adapter", adapter));
         body.put("precondition", order.afterOrders());
         body.put("holder", holder);
         body.put("fence", FENCE);
-        return engine.post("/order", HttpFields.EMPTY, Json.write(body))
+        return engine.post("/order", HttpFields.EMPTY, JsonFields.write(body))
                 .thenApply(reply -> answer(reply.status()))
                 .exceptionally(failure -> Answer.UNKNOWN);
     }
--- a/src/main/java/io/waxwingquay/platform/Json.java
+++ b/src/main/java/io/waxwingquay/platform/JsonFields.java
@@ -9,11 +9,11 @@
 import java.util.Optional;
 
 /** Reads and writes JSON; a field that is missing or of another type reads as absent. */
-final class Json {
+final class JsonFields {
 
     static final JsonMapper MAPPER = new JsonMapper();
 
-    private Json() {}
+    private JsonFields() {}
 
     static JsonNode read(byte[] bytes) throws IOException {
         return MAPPER.readTree(bytes);
--- a/src/main/java/io/waxwingquay/platform/ManifestReader.java
+++ b/src/main/java/io/waxwingquay/platform/ManifestReader.java
@@ -21,35 +21,35 @@
         if (!node.isObject() || !node.path("version").isNumber()) {
             return Optional.empty();
         }
-        List<Route> routes = Json.list(node, "routes").stream()
+        List<Route> routes = JsonFields.list(node, "routes").stream()
                 .map(ManifestReader::route)
                 .flatMap(Optional::stream)
                 .toList();
         Map<String, Manifest.Service> services = new HashMap<>();
-        Json.list(node, "services").forEach(serviceNode -> service(serviceNode)
+        JsonFields.list(node, "services").forEach(serviceNode -> service(serviceNode)
                 .ifPresent(service -> services.put(service.name(), service)));
         return Optional.of(new Manifest(
                 node.get("version").longValue(), routes, Map.copyOf(services), limits(node.path("limits"))));
     }
 
     private static Optional<Route> route(JsonNode node) {
-        Optional<String> host = Json.text(node, "host");
-        Optional<String> prefix = Json.text(node, "prefix");
+        Optional<String> host = JsonFields.text(node, "host");
+        Optional<String> prefix = JsonFields.text(node, "prefix");
         List<Route.Share> shares = shares(node);
         if (host.isEmpty() || prefix.isEmpty() || shares.isEmpty()) {
             return Optional.empty();
         }
         return Optional.of(new Route(
-                Json.text(node, "name").orElse(prefix.get()),
+                JsonFields.text(node, "name").orElse(prefix.get()),
                 host.get(),
                 prefix.get(),
-                kind(Json.text(node, "kind").orElse("")),
-                Json.longOr(node, "timeout_ms", 30_000L),
-                Json.longOr(node, "target_latency_ms", 1_000L),
-                Json.longOr(node, "gap_aim_ms", 0L),
-                (int) Json.longOr(node, "priority", 0L),
+                kind(JsonFields.text(node, "kind").orElse("")),
+                JsonFields.longOr(node, "timeout_ms", 30_000L),
+                JsonFields.longOr(node, "target_latency_ms", 1_000L),
+                JsonFields.longOr(node, "gap_aim_ms", 0L),
+                (int) JsonFields.longOr(node, "priority", 0L),
                 shares,
-                (int) Json.longOr(node, "max_attempts", 1L),
+                (int) JsonFields.longOr(node, "max_attempts", 1L),
                 node.path("resumable").asBoolean(false)));
     }
 
@@ -63,15 +63,15 @@
     }
 
     private static List<Route.Share> shares(JsonNode node) {
-        List<Route.Share> split = Json.list(node, "traffic_split").stream()
-                .filter(part -> Json.text(part, "service").isPresent())
-                .map(part -> new Route.Share(part.get("service").textValue(), Json.doubleOr(part, "weight", 0.0)))
+        List<Route.Share> split = JsonFields.list(node, "traffic_split").stream()
+                .filter(part -> JsonFields.text(part, "service").isPresent())
+                .map(part -> new Route.Share(part.get("service").textValue(), JsonFields.doubleOr(part, "weight", 0.0)))
                 .filter(share -> share.weight() > 0)
                 .toList();
         if (!split.isEmpty()) {
             return split;
         }
-        return Json.text(node, "service")
+        return JsonFields.text(node, "service")
                 .map(service -> List.of(new Route.Share(service, 1.0)))
                 .orElse(List.of());
     }
@@ -80,42 +80,42 @@
         Optional<Engine> engine = Optional.ofNullable(node.get("engine"))
                 .filter(JsonNode::isObject)
                 .map(ManifestReader::engine);
-        return Json.text(node, "name")
-                .map(name -> new Manifest.Service(name, (int) Json.longOr(node, "max_conns", 100L), engine));
+        return JsonFields.text(node, "name")
+                .map(name -> new Manifest.Service(name, (int) JsonFields.longOr(node, "max_conns", 100L), engine));
     }
 
     private static Engine engine(JsonNode node) {
-        List<Engine.Model> models = Json.list(node, "models").stream()
+        List<Engine.Model> models = JsonFields.list(node, "models").stream()
                 .map(ManifestReader::model)
                 .flatMap(Optional::stream)
                 .toList();
         return new Engine(
-                (int) Json.longOr(node, "slots", 1L),
-                Json.longOr(node, "kv_tokens", 0L),
-                Json.doubleOr(node, "weights_mb", 0.0),
-                (int) Json.longOr(node, "adapter_slots", 0L),
-                Json.doubleOr(node, "loads_per_s", 0.0),
+                (int) JsonFields.longOr(node, "slots", 1L),
+                JsonFields.longOr(node, "kv_tokens", 0L),
+                JsonFields.doubleOr(node, "weights_mb", 0.0),
+                (int) JsonFields.longOr(node, "adapter_slots", 0L),
+                JsonFields.doubleOr(node, "loads_per_s", 0.0),
                 models);
     }
 
     private static Optional<Engine.Model> model(JsonNode node) {
-        double loadSeconds = Json.doubleOr(node, "load_s", 0.0);
-        double diskSeconds = Json.doubleOr(node, "disk_s", loadSeconds);
-        return Json.text(node, "name")
+        double loadSeconds = JsonFields.doubleOr(node, "load_s", 0.0);
+        double diskSeconds = JsonFields.doubleOr(node, "disk_s", loadSeconds);
+        return JsonFields.text(node, "name")
                 .map(name -> new Engine.Model(
                         name,
-                        Json.doubleOr(node, "weights_mb", 0.0),
+                        JsonFields.doubleOr(node, "weights_mb", 0.0),
                         Math.round(loadSeconds * MILLIS_PER_SECOND),
                         Math.round(diskSeconds * MILLIS_PER_SECOND),
-                        Math.round(Json.doubleOr(node, "warm_s", diskSeconds) * MILLIS_PER_SECOND),
-                        Json.doubleOr(node, "adapter_mb", 0.0)));
+                        Math.round(JsonFields.doubleOr(node, "warm_s", diskSeconds) * MILLIS_PER_SECOND),
+                        JsonFields.doubleOr(node, "adapter_mb", 0.0)));
     }
 
     private static ServerLimits limits(JsonNode node) {
         return new ServerLimits(
-                (int) Json.longOr(node, "max_header_bytes", ServerLimits.DEFAULT.maxHeaderBytes()),
-                (int) Json.longOr(node, "max_body_bytes", ServerLimits.DEFAULT.maxBodyBytes()),
-                Json.longOr(node, "header_timeout_ms", ServerLimits.DEFAULT.headerTimeoutMillis()),
-                Json.longOr(node, "idle_timeout_ms", ServerLimits.DEFAULT.idleTimeoutMillis()));
+                (int) JsonFields.longOr(node, "max_header_bytes", ServerLimits.DEFAULT.maxHeaderBytes()),
+                (int) JsonFields.longOr(node, "max_body_bytes", ServerLimits.DEFAULT.maxBodyBytes()),
+                JsonFields.longOr(node, "header_timeout_ms", ServerLimits.DEFAULT.headerTimeoutMillis()),
+                JsonFields.longOr(node, "idle_timeout_ms", ServerLimits.DEFAULT.idleTimeoutMillis()));
     }
 }
--- a/src/main/java/io/waxwingquay/platform/ReplicaReader.java
+++ b/src/main/java/io/waxwingquay/platform/ReplicaReader.java
@@ -17,9 +17,9 @@
 
     /** Decodes a row; empty if its state is unknown, or if a required field is missing or of another type. */
     static Optional<ReplicaRecord> row(String id, JsonNode node) {
-        Optional<String> state = Json.text(node, "state");
-        Optional<String> service = Json.text(node, "service");
-        Optional<HostPort> address = Json.text(node, "address").flatMap(ReplicaReader::address);
+        Optional<String> state = JsonFields.text(node, "state");
+        Optional<String> service = JsonFields.text(node, "service");
+        Optional<HostPort> address = JsonFields.text(node, "address").flatMap(ReplicaReader::address);
         boolean isKnownState = state.filter(word -> word.equals("ready") || word.equals("draining"))
                 .isPresent();
         if (id.isEmpty() || !isKnownState || service.isEmpty() || address.isEmpty() || !isInteger(node, "slots")) {
@@ -28,11 +28,11 @@
         JsonNode remaining = node.get("remaining_ms");
         return Optional.of(new ReplicaRecord(
                 id,
-                Json.longOr(node, "born", 0L),
+                JsonFields.longOr(node, "born", 0L),
                 service.get(),
                 address.get(),
-                Json.text(node, "zone").orElse(""),
-                (int) Json.longOr(node, "slots", 1L),
+                JsonFields.text(node, "zone").orElse(""),
+                (int) JsonFields.longOr(node, "slots", 1L),
                 state.get().equals("draining"),
                 remaining != null && remaining.isNumber()
                         ? OptionalLong.of(remaining.longValue())
@@ -44,32 +44,35 @@
     static EngineReport report(JsonNode node) {
         JsonNode atHand = node.path("at_hand");
         return new EngineReport(
-                Json.longOr(node, "born", 0L),
-                Json.longOr(node, "seq", 0L),
+                JsonFields.longOr(node, "born", 0L),
+                JsonFields.longOr(node, "seq", 0L),
                 node.path("busy").asBoolean(false),
-                (int) Json.longOr(node, "running", 0L),
-                (int) Json.longOr(node, "waiting", 0L),
-                Json.longOr(node, "kv_used", 0L),
-                Json.longOr(node, "kv_total", 0L),
+                (int) JsonFields.longOr(node, "running", 0L),
+                (int) JsonFields.longOr(node, "waiting", 0L),
+                JsonFields.longOr(node, "kv_used", 0L),
+                JsonFields.longOr(node, "kv_total", 0L),
                 models(node),
                 Set.copyOf(new HashSet<>(loadingAdapters(node))),
-                Set.copyOf(new HashSet<>(Json.texts(atHand, "in_memory"))),
-                Set.copyOf(new HashSet<>(Json.texts(atHand, "on_disk"))),
-                Json.text(node, "state").filter("draining"::equals).isPresent());
+                Set.copyOf(new HashSet<>(JsonFields.texts(atHand, "in_memory"))),
+                Set.copyOf(new HashSet<>(JsonFields.texts(atHand, "on_disk"))),
+                JsonFields.text(node, "state").filter("draining"::equals).isPresent());
     }
 
-    /** Adapters under way, written MODEL/NAME@VERSION; here without the version, which a request can't ask for. */
+    /**
+     * Returns the adapters being loaded, listed as MODEL/NAME@VERSION, without the version, which requests don't
+     * name.
+     */
     private static List<String> loadingAdapters(JsonNode node) {
-        return Json.texts(node, "coming").stream()
+        return JsonFields.texts(node, "coming").stream()
                 .map(name -> name.indexOf('@') < 0 ? name : name.substring(0, name.indexOf('@')))
                 .toList();
     }
 
     private static List<ReplicaRecord.ResidentModel> models(JsonNode node) {
-        return Json.list(node, "models").stream()
-                .filter(model -> Json.text(model, "name").isPresent())
+        return JsonFields.list(node, "models").stream()
+                .filter(model -> JsonFields.text(model, "name").isPresent())
                 .map(model -> new ReplicaRecord.ResidentModel(
-                        model.get("name").textValue(), adapterNames(Json.list(model, "adapters"))))
+                        model.get("name").textValue(), adapterNames(JsonFields.list(model, "adapters"))))
                 .toList();
     }
 
@@ -77,7 +80,7 @@
         return adapters.stream()
                 .map(each -> each.isTextual()
                         ? each.textValue()
-                        : Json.text(each, "name").orElse(""))
+                        : JsonFields.text(each, "name").orElse(""))
                 .map(name -> name.indexOf('@') < 0 ? name : name.substring(0, name.indexOf('@')))
                 .filter(name -> !name.isEmpty())
                 .toList();
--- a/src/main/java/io/waxwingquay/platform/SettingsFile.java
+++ b/src/main/java/io/waxwingquay/platform/SettingsFile.java
@@ -66,7 +66,7 @@
                 callers,
                 readiness,
                 address(root, "app", "app"),
-                Json.text(root, "service"),
+                JsonFields.text(root, "service"),
                 requiredAddress(address(root.path("platform"), "platform.address", "address"), "platform.address"),
                 root.path("bootstrap").asBoolean(false),
                 seeds(),
@@ -75,7 +75,7 @@
 
     /** Returns the hosts of the seeds, whose control addresses the platform lists; the ports are not used. */
     private List<String> seeds() {
-        return Json.texts(root, "seeds").stream()
+        return JsonFields.texts(root, "seeds").stream()
                 .filter(seed -> seed.indexOf(':') > 0)
                 .map(seed -> seed.substring(0, seed.indexOf(':')))
                 .toList();
@@ -87,12 +87,12 @@
                 (long) (requiredNumber(node, "grace_s") * MILLIS_PER_SECOND),
                 requiredNumber(node, "retry_budget_ratio"),
                 requiredNumber(node, "budget_slack"),
-                (long) (Json.doubleOr(node, "ceiling_window_s", 5.0) * MILLIS_PER_SECOND),
-                Json.doubleOr(node, "ceiling_over", 1.0));
+                (long) (JsonFields.doubleOr(node, "ceiling_window_s", 5.0) * MILLIS_PER_SECOND),
+                JsonFields.doubleOr(node, "ceiling_over", 1.0));
     }
 
     private double requiredNumber(JsonNode node, String field) {
-        Optional<Double> value = Json.number(node, field);
+        Optional<Double> value = JsonFields.number(node, field);
         if (value.isEmpty()) {
             addProblem("bounds." + field, "is missing or not a number");
         }
@@ -100,7 +100,7 @@
     }
 
     private String requiredText(JsonNode node, String field) {
-        Optional<String> value = Json.text(node, field);
+        Optional<String> value = JsonFields.text(node, field);
         if (value.isEmpty()) {
             addProblem(field, "is missing; write it as text in quotes");
         }
@@ -109,7 +109,7 @@
 
     private Optional<HostPort> address(JsonNode node, String element, String field) {
         try {
-            return Json.text(node, field).map(HostPort::of);
+            return JsonFields.text(node, field).map(HostPort::of);
         } catch (IllegalArgumentException failure) {
             addProblem(element, failure.getMessage());
             return Optional.empty();
--- a/src/main/java/io/waxwingquay/platform/StoreTable.java
+++ b/src/main/java/io/waxwingquay/platform/StoreTable.java
@@ -52,8 +52,8 @@
                 throw new StoreException.HistoryLost(name);
             }
             JsonNode body = body(reply);
-            List<JsonNode> changes = Json.list(body, "rows");
-            long newVersion = Json.longOr(body, "ver", version);
+            List<JsonNode> changes = JsonFields.list(body, "rows");
+            long newVersion = JsonFields.longOr(body, "ver", version);
             copy.applyChanges(newVersion, changes);
             return new Page<>(newVersion, rows(changes));
         });
@@ -64,9 +64,9 @@
                 "/rows-get?table=" + name + "&part=&limit=" + PAGE_ROWS + (from.isEmpty() ? "" : "&from=" + from);
         return store.get(target, 0).thenCompose(reply -> {
             JsonNode body = body(reply);
-            rowsSoFar.addAll(Json.list(body, "rows"));
+            rowsSoFar.addAll(JsonFields.list(body, "rows"));
             if (!body.path("has_more").asBoolean(false) || rowsSoFar.isEmpty()) {
-                long version = Json.longOr(body, "ver", 0L);
+                long version = JsonFields.longOr(body, "ver", 0L);
                 copy.replaceAll(version, rowsSoFar);
                 return CompletableFuture.completedFuture(new Page<>(version, rows(rowsSoFar)));
             }
@@ -80,7 +80,7 @@
             throw new StoreException("table " + name + " was answered with status " + reply.status());
         }
         try {
-            return Json.read(reply.body());
+            return JsonFields.read(reply.body());
         } catch (IOException failure) {
             throw new StoreException("table " + name + " was answered with a body that can't be parsed: " + failure);
         }
@@ -88,7 +88,7 @@
 
     private List<Row<T>> rows(List<JsonNode> nodes) {
         return nodes.stream()
-                .filter(row -> Json.text(row, "key").isPresent())
+                .filter(row -> JsonFields.text(row, "key").isPresent())
                 .map(row -> row(row.get("key").textValue(), row))
                 .toList();
     }
@@ -102,8 +102,9 @@
 
     private Optional<T> value(String key, JsonNode row) {
         try {
-            byte[] bytes = Base64.getDecoder().decode(Json.text(row, "value").orElse(""));
-            Optional<T> value = decoder.apply(key, Json.read(bytes));
+            byte[] bytes =
+                    Base64.getDecoder().decode(JsonFields.text(row, "value").orElse(""));
+            Optional<T> value = decoder.apply(key, JsonFields.read(bytes));
             if (value.isEmpty()) {
                 LOG.log(System.Logger.Level.INFO, "platform: row ignored table={0} key={1}", name, key);
             }
--- a/src/main/java/io/waxwingquay/platform/TableCopy.java
+++ b/src/main/java/io/waxwingquay/platform/TableCopy.java
@@ -32,7 +32,7 @@
             return;
         }
         version = newVersion;
-        changes.forEach(row -> Json.text(row, "key").ifPresent(key -> {
+        changes.forEach(row -> JsonFields.text(row, "key").ifPresent(key -> {
             if (row.path("deleted").asBoolean(false)) {
                 rows.remove(key);
             } else {
@@ -46,11 +46,11 @@
         if (version == 0) {
             return Optional.empty();
         }
-        ObjectNode page = Json.MAPPER.createObjectNode();
+        ObjectNode page = JsonFields.MAPPER.createObjectNode();
         ArrayNode list = page.putArray("rows");
         rows.values().forEach(list::add);
         page.put("ver", version);
         page.put("has_more", false);
-        return Optional.of(Json.write(page));
+        return Optional.of(JsonFields.write(page));
     }
 }
--- a/src/test/java/io/waxwingquay/hosted/HostedDeployment.java
+++ b/src/test/java/io/waxwingquay/hosted/HostedDeployment.java
@@ -50,10 +50,10 @@
     private final EventLoop processLoop = EventLoop.start("inside");
     private final int basePort = FreePorts.adjacent(PORT_COUNT, HOSTS);
     final StoreStandin store = StoreStandin.start(standinLoop, new HostPort("127.0.0.1", basePort));
-    final EngineStandin engine1 = engine("e1", "127.0.0.2", List.of("m"));
-    final EngineStandin engine2 = engine("e2", "127.0.0.3", List.of("m"));
-    final EngineStandin plain1 = engine("p1", "127.0.0.4", List.of());
-    final EngineStandin plain2 = engine("p2", "127.0.0.5", List.of());
+    final EngineStandin engine1 = startEngine("e1", "127.0.0.2", List.of("m"));
+    final EngineStandin engine2 = startEngine("e2", "127.0.0.3", List.of("m"));
+    final EngineStandin plain1 = startEngine("p1", "127.0.0.4", List.of());
+    final EngineStandin plain2 = startEngine("p2", "127.0.0.5", List.of());
     private final HostedProcess entry;
 
     HostedDeployment() throws Exception {
@@ -65,9 +65,10 @@
         CompletableFuture<HostedProcess> started = new CompletableFuture<>();
         processLoop.execute(() -> {
             try {
-                HostedSide.start(processLoop, side("127.0.0.2"));
-                HostedSide.start(processLoop, side("127.0.0.3"));
-                started.complete(HostedEntry.start(processLoop, entry("127.0.0.1", store.address(), List.of())));
+                HostedSide.start(processLoop, sideSettings("127.0.0.2"));
+                HostedSide.start(processLoop, sideSettings("127.0.0.3"));
+                started.complete(
+                        HostedEntry.start(processLoop, entrySettings("127.0.0.1", store.address(), List.of())));
             } catch (RuntimeException failure) {
                 started.completeExceptionally(failure);
             }
@@ -102,7 +103,7 @@
     }
 
     private void startSecond(HostPort storeAddress) throws Exception {
-        HostSettings settings = entry(SECOND_HOST, storeAddress, List.of("127.0.0.1"));
+        HostSettings settings = entrySettings(SECOND_HOST, storeAddress, List.of("127.0.0.1"));
         CompletableFuture<HostedProcess> started = new CompletableFuture<>();
         processLoop.execute(() -> started.complete(HostedEntry.start(processLoop, settings)));
         Await.value(started);
@@ -123,12 +124,12 @@
         return dump(SECOND_HOST);
     }
 
-    CompletableFuture<Void> leave() {
+    CompletableFuture<Void> shutdownEntry() {
         return entry.shutdown();
     }
 
     /** Shuts the entry down; once it may exit, all of its connections are closed, as at the end of a process. */
-    CompletableFuture<Void> exit() {
+    CompletableFuture<Void> exitEntry() {
         return entry.shutdown().thenRunAsync(processLoop::close);
     }
 
@@ -149,8 +150,8 @@
     }
 
     /** Schedules a task on the loop of the stand-ins. */
-    void schedule(long millis, Runnable task) {
-        standinLoop.schedule(millis, task);
+    void schedule(long delayMillis, Runnable task) {
+        standinLoop.schedule(delayMillis, task);
     }
 
     int readyStatus() throws IOException {
@@ -169,9 +170,9 @@
         }
     }
 
-    Answer ask(String method, String path, String id, String more, String body) throws IOException {
+    Answer ask(String method, String path, String id, String extraFields, String body) throws IOException {
         try (Socket socket = connect()) {
-            return exchange(socket, request(method, path, id, more, body));
+            return exchange(socket, request(method, path, id, extraFields, body));
         }
     }
 
@@ -181,9 +182,10 @@
         return socket;
     }
 
-    static String request(String method, String path, String id, String more, String body) {
+    static String request(String method, String path, String id, String extraFields, String body) {
         return method + " " + path + " HTTP/1.1\r\nHost: x.test\r\nAttempt-Id: " + id
-                + "\r\nDeadline-Remaining: 20000\r\n" + more + "Content-Length: " + body.length() + "\r\n\r\n" + body;
+                + "\r\nDeadline-Remaining: 20000\r\n" + extraFields + "Content-Length: " + body.length() + "\r\n\r\n"
+                + body;
     }
 
     static Answer exchange(Socket socket, String request) throws IOException {
@@ -198,12 +200,12 @@
         standinLoop.close();
     }
 
-    private EngineStandin engine(String id, String host, List<String> models) {
+    private EngineStandin startEngine(String id, String host, List<String> models) {
         return EngineStandin.start(
                 standinLoop, id, new HostPort(host, basePort + 1), models, EngineStandin.Behaviour.ECHO);
     }
 
-    private HostSettings entry(String host, HostPort storeAddress, List<String> seeds) {
+    private HostSettings entrySettings(String host, HostPort storeAddress, List<String> seeds) {
         return new HostSettings(
                 "entry-" + host,
                 "z",
@@ -220,7 +222,7 @@
                 bounds());
     }
 
-    private HostSettings side(String host) {
+    private HostSettings sideSettings(String host) {
         return new HostSettings(
                 "side-" + host,
                 "z",
@@ -263,33 +265,33 @@
             String text = head.toString();
             int status = Integer.parseInt(text.substring(9, 12));
             return text.contains("Transfer-Encoding: chunked")
-                    ? chunked(status, text, in)
-                    : new Answer(status, text, sized(text, in), true);
+                    ? readChunked(status, text, in)
+                    : new Answer(status, text, readSized(text, in), true);
         }
 
-        private static String sized(String head, InputStream in) throws IOException {
+        private static String readSized(String head, InputStream in) throws IOException {
             int from = head.indexOf("Content-Length: ") + 16;
             int length = Integer.parseInt(head.substring(from, head.indexOf("\r\n", from)));
             return new String(in.readNBytes(length), StandardCharsets.ISO_8859_1);
         }
 
-        private static Answer chunked(int status, String head, InputStream in) throws IOException {
+        private static Answer readChunked(int status, String head, InputStream in) throws IOException {
             StringBuilder body = new StringBuilder();
             while (true) {
-                String size = line(in);
+                String size = readLine(in);
                 if (size.isEmpty()) {
                     return new Answer(status, head, body.toString(), false);
                 }
                 int length = Integer.parseInt(size, 16);
                 body.append(new String(in.readNBytes(length), StandardCharsets.ISO_8859_1));
-                line(in);
+                readLine(in);
                 if (length == 0) {
                     return new Answer(status, head, body.toString(), true);
                 }
             }
         }
 
-        private static String line(InputStream in) throws IOException {
+        private static String readLine(InputStream in) throws IOException {
             StringBuilder line = new StringBuilder();
             for (int next = in.read(); next >= 0 && next != '\n'; next = in.read()) {
                 if (next != '\r') {
--- a/src/test/java/io/waxwingquay/hosted/HostedExitTest.java
+++ b/src/test/java/io/waxwingquay/hosted/HostedExitTest.java
@@ -37,7 +37,7 @@
     // it.
     @Test
     void entryAnswersRequestsThatArriveDuringShutdown() throws Exception {
-        CompletableFuture<Void> exited = deployment.leave();
+        CompletableFuture<Void> exited = deployment.shutdownEntry();
         assertEquals(503, deployment.readyStatus());
         Answer answer = deployment.ask("POST", "/p/1", "a16", "", "late");
         assertEquals(200, answer.status());
@@ -57,7 +57,7 @@
             }
         });
         Await.until(() -> deployment.dump().contains("active=1"));
-        Await.value(deployment.leave());
+        Await.value(deployment.shutdownEntry());
         assertTrue(deployment.dump().contains("active=0"), "the entry exited with a waiting request");
         assertEquals(503, Await.value(waiting).status());
     }
@@ -68,7 +68,7 @@
     @Test
     void everyRequestForwardedDuringShutdownIsAnswered() throws Exception {
         setPlainBehaviour((engine, caller) -> deployment.schedule(20, () -> Behaviour.ECHO.run(engine, caller)));
-        CompletableFuture<Void> exited = deployment.exit();
+        CompletableFuture<Void> exited = deployment.exitEntry();
         List<String> answered = new ArrayList<>();
         for (int number = 0; !exited.isDone(); number++) {
             assertTrue(number < MAX_REQUESTS, "the entry does not exit");
@@ -77,7 +77,7 @@
                 answered.add(id);
             }
         }
-        List<String> unanswered = new ArrayList<>(runs());
+        List<String> unanswered = new ArrayList<>(plainRuns());
         unanswered.removeAll(answered);
         assertEquals(List.of(), unanswered);
     }
@@ -94,8 +94,8 @@
                 throw new UncheckedIOException(failure);
             }
         });
-        Await.until(() -> runs().contains("a30"));
-        CompletableFuture<Void> exited = deployment.exit();
+        Await.until(() -> plainRuns().contains("a30"));
+        CompletableFuture<Void> exited = deployment.exitEntry();
         assertEquals(502, Await.value(asked).status());
         Await.value(exited);
     }
@@ -113,7 +113,7 @@
         deployment.plain2.behaviour(behaviour);
     }
 
-    private List<String> runs() {
+    private List<String> plainRuns() {
         List<String> all = new ArrayList<>(deployment.plain1.ran());
         all.addAll(deployment.plain2.ran());
         return all;
--- a/src/test/java/io/waxwingquay/hosted/HostedPathTest.java
+++ b/src/test/java/io/waxwingquay/hosted/HostedPathTest.java
@@ -63,7 +63,7 @@
         setPlainBehaviour(ABORT);
         Answer answer = deployment.ask("POST", "/once/1", "a2", "", "pay");
         assertEquals(502, answer.status());
-        assertEquals(List.of("a2"), runs());
+        assertEquals(List.of("a2"), plainRuns());
     }
 
     // Guards against giving up on a non-idempotent request that its replica guarantees not to have run; only such a
@@ -75,7 +75,7 @@
         Answer refused = deployment.ask("POST", "/once/1", "a3", "", "pay");
         assertEquals(503, refused.status());
         assertTrue(refused.head().contains("Retry-After: "), refused.head());
-        assertEquals(2, runs().size());
+        assertEquals(2, plainRuns().size());
     }
 
     // Guards against a failure that reaches the caller although its request is idempotent and can be retried.
@@ -205,7 +205,7 @@
         String hidden = HostedDeployment.request("POST", "/once/2", "hidden", "", "");
         Answer answer = deployment.ask("POST", "/once/1", "a13", "", hidden);
         assertEquals(hidden, answer.body());
-        assertEquals(List.of("a13"), runs());
+        assertEquals(List.of("a13"), plainRuns());
     }
 
     @Test
@@ -223,17 +223,17 @@
     // Guards against wasted work of an engine whose caller has disconnected; its connection has to be closed too.
     @Test
     void workEndsWhenItsCallerDisconnects() throws Exception {
-        CompletableFuture<Void> left = new CompletableFuture<>();
-        Behaviour endless = (engine, caller) -> caller.onDisconnect(() -> left.complete(null));
-        deployment.engine1.behaviour(endless);
-        deployment.engine2.behaviour(endless);
+        CompletableFuture<Void> disconnected = new CompletableFuture<>();
+        Behaviour unanswered = (engine, caller) -> caller.onDisconnect(() -> disconnected.complete(null));
+        deployment.engine1.behaviour(unanswered);
+        deployment.engine2.behaviour(unanswered);
         try (Socket socket = deployment.connect()) {
             String request = HostedDeployment.request("POST", "/s/1", "a15", MODEL, "");
             socket.getOutputStream().write(request.getBytes(StandardCharsets.ISO_8859_1));
             Await.until(() ->
                     deployment.engine1.ran().size() + deployment.engine2.ran().size() > 0);
         }
-        Await.value(left);
+        Await.value(disconnected);
     }
 
     // Guards against a non-idempotent request that is sent after its caller has disconnected, because the connection
@@ -254,7 +254,7 @@
                             .ask("POST", "/once/1", "a25-" + number, "", "pay")
                             .status());
         }
-        assertEquals(List.of(), runs().stream().filter("a24"::equals).toList());
+        assertEquals(List.of(), plainRuns().stream().filter("a24"::equals).toList());
     }
 
     // Guards against a caller that disconnects, after two seconds without an event, from a stream that may not run
@@ -281,11 +281,11 @@
     @Test
     void answerReceivedDuringAStallIsForwarded() throws Exception {
         Await.until(() -> deployment.dump().contains("engines_heard=2"));
-        Behaviour soon = (engine, caller) ->
+        Behaviour delayed = (engine, caller) ->
                 deployment.schedule(300, () -> Behaviour.stream(2, 0).run(engine, caller));
-        deployment.engine1.behaviour(soon);
-        deployment.engine2.behaviour(soon);
-        CompletableFuture<Answer> asked = CompletableFuture.supplyAsync(() -> {
+        deployment.engine1.behaviour(delayed);
+        deployment.engine2.behaviour(delayed);
+        CompletableFuture<Answer> response = CompletableFuture.supplyAsync(() -> {
             try {
                 return deployment.ask("POST", "/live/1", "a31", MODEL, "");
             } catch (IOException failure) {
@@ -296,7 +296,7 @@
                 || deployment.engine2.ran().contains("a31"));
         long stalledSinceMillis = EventLoop.nowMillis();
         deployment.whileStalled(() -> Await.until(() -> EventLoop.nowMillis() - stalledSinceMillis >= 2_200));
-        assertEquals(200, Await.value(asked).status());
+        assertEquals(200, Await.value(response).status());
     }
 
     /** Makes both engines unresponsive after an update of each has been received. */
@@ -317,12 +317,12 @@
         for (int number = 0; number < 6; number++) {
             bystanders.add(askAsync("/p/1", "b25-" + number, "innocent " + number));
         }
-        Await.until(() -> runs().size() == 6);
+        Await.until(() -> plainRuns().size() == 6);
         for (int number = 0; number < 6; number++) {
             deployment.ask("POST", "/p/1", "a25-" + number, "", POISON);
         }
         Answer last = deployment.ask("POST", "/p/1", "a25-6", "", POISON);
-        assertEquals(2, crashes.count.get());
+        assertEquals(2, crashes.crashCount.get());
         assertEquals(503, last.status());
         assertTrue(last.head().contains("Retry-After: "), last.head());
         for (CompletableFuture<Answer> bystander : bystanders) {
@@ -337,12 +337,12 @@
         CrashOnPoison crashes = new CrashOnPoison();
         setPlainBehaviour(crashes);
         deployment.ask("POST", "/p/1", "a26-0", "", POISON);
-        assertEquals(2, crashes.count.get());
+        assertEquals(2, crashes.crashCount.get());
         deployment.startEntryWithoutStore();
         Await.until(() -> deployment.dumpSecond().contains("suspects=1"));
         Await.until(() -> deployment.askSecond("/p/1", "a26-1", "innocent").status() == 200);
         assertEquals(503, deployment.askSecond("/p/1", "a26-2", POISON).status());
-        assertEquals(2, crashes.count.get());
+        assertEquals(2, crashes.crashCount.get());
     }
 
     // Guards against the same loss of engines by a stream that crashes them before its first event.
@@ -388,7 +388,7 @@
         deployment.plain2.behaviour(behaviour);
     }
 
-    private List<String> runs() {
+    private List<String> plainRuns() {
         List<String> all = new ArrayList<>(deployment.plain1.ran());
         all.addAll(deployment.plain2.ran());
         return all;
@@ -414,14 +414,14 @@
 
         private static final long ANSWER_MILLIS = 20L;
 
-        private final AtomicInteger count = new AtomicInteger();
+        private final AtomicInteger crashCount = new AtomicInteger();
         private final Map<EngineStandin, List<ServerExchange>> running = new HashMap<>();
 
         @Override
         public void run(EngineStandin engine, ServerExchange caller) {
             List<ServerExchange> runningHere = running.computeIfAbsent(engine, each -> new ArrayList<>());
             if (new String(caller.request().body(), StandardCharsets.UTF_8).equals(POISON)) {
-                boolean isFirst = count.incrementAndGet() == 1;
+                boolean isFirst = crashCount.incrementAndGet() == 1;
                 runningHere.forEach(ServerExchange::abort);
                 runningHere.clear();
                 caller.abort();
@@ -431,7 +431,7 @@
                 return;
             }
             runningHere.add(caller);
-            if (count.get() > 0) {
+            if (crashCount.get() > 0) {
                 answerSoon(engine, caller);
             }
         }
--- a/src/test/java/io/waxwingquay/platform/ReplicaReaderTest.java
+++ b/src/test/java/io/waxwingquay/platform/ReplicaReaderTest.java
@@ -49,10 +49,11 @@
 
     @Test
     void readsAReport() throws IOException {
-        EngineReport report = ReplicaReader.report(Json.read(("{\"models\":[{\"name\":\"m\",\"adapters\":[\"a1\"]}],"
-                        + "\"at_hand\":{\"in_memory\":[\"n\"],\"on_disk\":[\"m\",\"n\"]},\"busy\":true,\"seq\":5,"
-                        + "\"running\":3,\"waiting\":2,\"coming\":[\"m/a2@1\"],\"state\":\"ready\"}")
-                .getBytes(StandardCharsets.UTF_8)));
+        EngineReport report =
+                ReplicaReader.report(JsonFields.read(("{\"models\":[{\"name\":\"m\",\"adapters\":[\"a1\"]}],"
+                                + "\"at_hand\":{\"in_memory\":[\"n\"],\"on_disk\":[\"m\",\"n\"]},\"busy\":true,\"seq\":5,"
+                                + "\"running\":3,\"waiting\":2,\"coming\":[\"m/a2@1\"],\"state\":\"ready\"}")
+                        .getBytes(StandardCharsets.UTF_8)));
         assertEquals(5, report.ordersTaken());
         assertTrue(report.ordering());
         assertEquals(Set.of("m/a2"), report.comingAdapters());
@@ -61,6 +62,6 @@
     }
 
     private static Optional<ReplicaRecord> row(String json) throws IOException {
-        return ReplicaReader.row("r1", Json.read(json.getBytes(StandardCharsets.UTF_8)));
+        return ReplicaReader.row("r1", JsonFields.read(json.getBytes(StandardCharsets.UTF_8)));
     }
 }
