--- a/src/main/java/io/waxwingquay/net/HttpServer.java
+++ b/src/main/java/io/waxwingquay/net/HttpServer.java
@@ -77,11 +77,11 @@
         return draining;
     }
 
-    void opened(ServerConnection connection) {
+    void onOpened(ServerConnection connection) {
         connections.add(connection);
     }
 
-    void closed(ServerConnection connection) {
+    void onClosed(ServerConnection connection) {
         connections.remove(connection);
     }
 
--- a/src/main/java/io/waxwingquay/net/ServerConnection.java
+++ b/src/main/java/io/waxwingquay/net/ServerConnection.java
@@ -48,7 +48,7 @@
         super(endPoint, loop);
         this.server = server;
         this.parser = new HttpParser(this, server.limits().maxHeaderBytes());
-        server.opened(this);
+        server.onOpened(this);
     }
 
     /**
@@ -76,7 +76,7 @@
 
     @Override
     void onInputEnd(Throwable cause) {
-        server.closed(this);
+        server.onClosed(this);
         if (exchange != null) {
             ServerExchange abandoned = exchange;
             exchange = null;
--- a/src/main/java/io/waxwingquay/platform/PreparedPlatform.java
+++ b/src/main/java/io/waxwingquay/platform/PreparedPlatform.java
@@ -34,7 +34,7 @@
             Map.of(CONFIGURATION_TABLE, new TableCopy(), REPLICA_TABLE, new TableCopy());
 
     /**
-     * Creates a connection to the platform.
+     * Creates the platform access of a process.
      *
      * @param loop the event loop on which everything runs.
      * @param storeAddress the address of the platform's store.
