--- a/src/main/java/io/waxwingquay/hosted/HostedEntry.java
+++ b/src/main/java/io/waxwingquay/hosted/HostedEntry.java
@@ -31,32 +31,41 @@
 import org.eclipse.jetty.http.HttpFields;
 
 /**
- * The process that takes callers' requests.
+ * The entry process, which accepts requests from callers and forwards them to replicas.
  */
 public final class HostedEntry implements HostedProcess {
 
-    /** The processes beside engines are told this often what is asked for here. */
-    private static final long TELL_MILLIS = 250L;
+    /** Interval at which this entry sends its demand to the side processes. */
+    private static final long UPDATE_INTERVAL_MILLIS = 250L;
 
-    /** A change that can't wait is told at once, but no more often than this. */
-    private static final long TELL_SOON_MILLIS = 40L;
+    /** Delay before an urgent change is sent; it also limits how often urgent changes are sent. */
+    private static final long URGENT_UPDATE_DELAY_MILLIS = 40L;
 
-    /** Until it is heard how many entries there are, each takes no more than this part of what they share. */
-    private static final int ASSUMED_ENTRIES = 8;
+    /** Number of entries among which shared limits are divided until the actual number is known. */
+    private static final int ASSUMED_ENTRY_COUNT = 8;
 
-    /** Well within the two seconds in which a new configuration must be in force. */
-    private static final long CONFIGURATION_GATHER_MILLIS = 300L;
+    /** Batching delay for configuration changes; well within the two seconds in which one must be in force. */
+    private static final long CONFIGURATION_BATCH_MILLIS = 300L;
 
-    /** What engines hold is heard from beside them; the list is for who comes and leaves, in this part of the time allowed. */
-    private static final double REPLICA_GATHER_SHARE = 1.0 / 3;
+    /**
+     * Fraction of the drain time that is used as batching delay for changes of the replica list. The list only has to
+     * show which replicas join and leave; the models that engines hold are reported by the side processes.
+     */
+    private static final double REPLICA_BATCH_FRACTION = 1.0 / 3;
 
-    /** A configuration is told of within its gathering and a datagram's way; one that is not by then was missed. */
-    private static final long CONFIGURATION_PATIENCE_MILLIS = 700L;
+    /**
+     * A new configuration is read within the batching delay plus the delivery of an update; one that is still unread
+     * after this time has been missed.
+     */
+    private static final long MAX_CONFIGURATION_LAG_MILLIS = 700L;
 
-    /** Entries read a change of the list within the time of gathering and this; one that has not by then has missed it. */
-    private static final long REPLICA_MARGIN_MILLIS = 100L;
+    /**
+     * Entries read a change of the replica list within its batching delay plus this margin; one that is still unread
+     * after this time has been missed.
+     */
+    private static final long REPLICA_LAG_MARGIN_MILLIS = 100L;
 
-    private static final long COPY_LOOK_MILLIS = 200L;
+    private static final long COPY_CHECK_MILLIS = 200L;
 
     private static final int OK = 200;
     private static final int UNAVAILABLE = 503;
@@ -69,65 +78,69 @@
     private final ReplicaDirectory replicas;
     private final SharedSuspects suspects;
     private final PeerChannel peers;
-    private final AdminPages admin;
-    private final Departure departure;
+    private final HostedAdminServer adminServer;
+    private final GracefulShutdown gracefulShutdown;
     private final PreparedPlatform platform;
-    private final TableWatch<Manifest> manifestWatch;
+    private final TableWatch<Manifest> configurationWatch;
     private final TableWatch<ReplicaRecord> replicaWatch;
-    private final PeerTableReader<Manifest> manifestCopies;
+    private final PeerTableReader<Manifest> configurationCopies;
     private final PeerTableReader<ReplicaRecord> replicaCopies;
-    private boolean tellingSoon;
+    private boolean urgentUpdateScheduled;
 
     private HostedEntry(EventLoop loop, HostSettings settings) {
         this.settings = settings;
         this.loop = loop;
-        this.admin = new AdminPages(loop, new HostPort(settings.host(), settings.adminPort()));
-        this.peers = new PeerChannel(loop, new HostPort(settings.host(), settings.peerPort()), this::received);
+        this.adminServer = new HostedAdminServer(loop, new HostPort(settings.host(), settings.adminPort()));
+        this.peers = new PeerChannel(loop, new HostPort(settings.host(), settings.peerPort()), this::onDatagram);
         RandomGenerator random = RandomGenerator.of("L64X128MixRandom");
         this.suspects = new SharedSuspects(EventLoop::nowMillis, random);
         this.forwarder = new Forwarder(
                 loop,
                 forwardSettings(settings),
                 new HeaderCodec(),
-                admin.forwardMeters(),
-                new Telling(),
-                new Suspects(suspects, EventLoop::nowMillis, this::suspectsChanged),
+                adminServer.forwardMeters(),
+                new PeerMessages(),
+                new Suspects(suspects, EventLoop::nowMillis, this::onSuspectsChanged),
                 random);
         this.replicas = new ReplicaDirectory(EventLoop::nowMillis, forwarder.replicas());
-        HostPort callers = needed(settings.callers(), "listen.front");
-        HostPort readiness = needed(settings.readiness(), "listen.ready");
-        this.server = HttpServer.listen(loop, socket(callers), forwarder);
-        HttpServer.listen(loop, socket(readiness), this::readiness);
-        this.departure =
-                new Departure(loop, server, forwarder, settings.bounds().graceMillis(), EventLoop::nowMillis);
-        this.platform = new PreparedPlatform(loop, settings.store());
-        this.manifestWatch = new TableWatch<>(
-                loop, "configuration", platform.manifests(), CONFIGURATION_GATHER_MILLIS, new Configurations());
-        this.replicaWatch = new TableWatch<>(loop, "replicas", platform.replicas(), replicaGatherMillis(), replicas);
-        this.manifestCopies = new PeerTableReader<>(
+        HostPort callerAddress = required(settings.callerAddress(), "listen.front");
+        HostPort readinessAddress = required(settings.readinessAddress(), "listen.ready");
+        this.server = HttpServer.listen(loop, socketAddress(callerAddress), forwarder);
+        HttpServer.listen(loop, socketAddress(readinessAddress), this::answerReadiness);
+        this.gracefulShutdown =
+                new GracefulShutdown(loop, server, forwarder, settings.bounds().graceMillis(), EventLoop::nowMillis);
+        this.platform = new PreparedPlatform(loop, settings.storeAddress());
+        this.configurationWatch = new TableWatch<>(
+                loop,
+                "configuration",
+                platform.configurationTable(),
+                CONFIGURATION_BATCH_MILLIS,
+                new ConfigurationListener());
+        this.replicaWatch = new TableWatch<>(loop, "replicas", platform.replicaTable(), replicaBatchMillis(), replicas);
+        this.configurationCopies = new PeerTableReader<>(
                 "configuration",
-                () -> manifestWatch.isReachable() ? CONFIGURATION_PATIENCE_MILLIS : 0,
-                platform::manifestsAt,
+                () -> configurationWatch.isReachable() ? MAX_CONFIGURATION_LAG_MILLIS : 0,
+                platform::configurationTableAt,
                 this::configurationVersion,
-                manifestWatch::adopt);
+                configurationWatch::adopt);
         this.replicaCopies = new PeerTableReader<>(
                 "replicas",
-                () -> replicaWatch.isReachable() ? replicaGatherMillis() + REPLICA_MARGIN_MILLIS : 0,
-                platform::replicasAt,
+                () -> replicaWatch.isReachable() ? replicaBatchMillis() + REPLICA_LAG_MARGIN_MILLIS : 0,
+                platform::replicaTableAt,
                 replicaWatch::version,
                 replicaWatch::adopt);
-        admin.copies(platform::copy);
-        admin.dump(() -> "active=" + forwarder.activeCount() + " engines_heard=" + forwarder.heardCount() + " suspects="
-                + suspects.countSuspected() + " missing=" + replicas.unlistedIds() + " replicas="
+        adminServer.tableCopies(platform::encodedCopy);
+        adminServer.dump(() -> "active=" + forwarder.activeCount() + " engines_heard=" + forwarder.heardCount()
+                + " suspects=" + suspects.countSuspected() + " missing=" + replicas.unlistedIds() + " replicas="
                 + replicas.replicas());
-        loop.execute(this::begin);
+        loop.execute(this::startTasks);
     }
 
     /**
      * Starts the process; called on the loop.
      *
-     * @param loop where everything runs.
-     * @param settings what it is told.
+     * @param loop the event loop on which everything runs.
+     * @param settings the settings of the process.
      * @return the running process.
      */
     public static HostedEntry start(EventLoop loop, HostSettings settings) {
@@ -136,29 +149,33 @@
 
     /** {@inheritDoc} */
     @Override
-    public CompletableFuture<Void> leave() {
-        return departure.begin();
+    public CompletableFuture<Void> shutdown() {
+        return gracefulShutdown.start();
     }
 
-    private void begin() {
-        manifestWatch.start();
+    private void startTasks() {
+        configurationWatch.start();
         replicaWatch.start();
-        List<HostPort> seeds = settings.seeds().stream()
+        List<HostPort> seeds = settings.seedHosts().stream()
                 .filter(host -> !host.equals(settings.host()))
-                .map(this::copiesAt)
+                .map(this::adminAddressOf)
                 .toList();
-        manifestCopies.addSeeds(seeds);
+        configurationCopies.addSeeds(seeds);
         replicaCopies.addSeeds(seeds);
-        loop.every(COPY_LOOK_MILLIS, () -> {
-            manifestCopies.readIfStale(EventLoop.nowMillis());
+        loop.every(COPY_CHECK_MILLIS, () -> {
+            configurationCopies.readIfStale(EventLoop.nowMillis());
             replicaCopies.readIfStale(EventLoop.nowMillis());
         });
         loop.every(ReplicaDirectory.UNLISTED_GRACE_MILLIS / 8, replicas::removeExpired);
-        loop.every(TELL_MILLIS, this::tell);
-        LOG.log(System.Logger.Level.INFO, "hosted: entry started node={0} zone={1}", settings.node(), settings.zone());
+        loop.every(UPDATE_INTERVAL_MILLIS, this::sendUpdates);
+        LOG.log(
+                System.Logger.Level.INFO,
+                "hosted: entry started node={0} zone={1}",
+                settings.vmName(),
+                settings.dataCentre());
     }
 
-    private void suspectsChanged() {
+    private void onSuspectsChanged() {
         forwarder.tellSoon();
     }
 
@@ -166,27 +183,29 @@
         return forwarder.manifest().map(Manifest::version).orElse(0L);
     }
 
-    /** Our processes answer for their copies at the same port on every VM. */
-    private HostPort copiesAt(String host) {
+    /** Returns the address of the admin server on a VM; its port is the same on every VM. */
+    private HostPort adminAddressOf(String host) {
         return new HostPort(host, settings.adminPort());
     }
 
-    private long replicaGatherMillis() {
-        return (long) (settings.bounds().drainMillis() * REPLICA_GATHER_SHARE);
+    private long replicaBatchMillis() {
+        return (long) (settings.bounds().drainMillis() * REPLICA_BATCH_FRACTION);
     }
 
-    private void readiness(ServerExchange caller) {
-        boolean isAsked = caller.request().path().equals(PreparedPlatform.READINESS_PATH);
-        boolean ready =
-                isAsked && !departure.isUnderWay() && forwarder.manifest().isPresent() && replicas.isComplete();
-        caller.respond(ready ? OK : UNAVAILABLE, HttpFields.EMPTY, ready ? "ready" : "not ready");
+    private void answerReadiness(ServerExchange exchange) {
+        boolean isReadinessPath = exchange.request().path().equals(PreparedPlatform.READINESS_PATH);
+        boolean ready = isReadinessPath
+                && !gracefulShutdown.isStarted()
+                && forwarder.manifest().isPresent()
+                && replicas.isComplete();
+        exchange.respond(ready ? OK : UNAVAILABLE, HttpFields.EMPTY, ready ? "ready" : "not ready");
     }
 
-    private void received(HostPort sender, PeerDatagram datagram) {
+    private void onDatagram(HostPort sender, PeerDatagram datagram) {
         if (datagram.isSetEngine()) {
             forwarder.engineNews(datagram.getEngine());
             suspects.merge(datagram.getEngine().getSuspects());
-            tablesTold(datagram.getEngine());
+            onTableVersions(datagram.getEngine());
         } else if (datagram.isSetAdapterReply()) {
             forwarder.adapterReply(
                     datagram.getAdapterReply().getId(),
@@ -194,69 +213,70 @@
         }
     }
 
-    private void tablesTold(EngineNews news) {
-        if (news.isSetNewestTables() && news.isSetNewestTablesHost()) {
-            HostPort holder = copiesAt(news.getNewestTablesHost());
-            manifestCopies.recordPeerVersion(news.getNewestTables().getConfiguration(), holder);
-            replicaCopies.recordPeerVersion(news.getNewestTables().getReplicaList(), holder);
+    private void onTableVersions(EngineNews update) {
+        if (update.isSetNewestTables() && update.isSetNewestTablesHost()) {
+            HostPort holder = adminAddressOf(update.getNewestTablesHost());
+            configurationCopies.recordPeerVersion(update.getNewestTables().getConfiguration(), holder);
+            replicaCopies.recordPeerVersion(update.getNewestTables().getReplicaList(), holder);
         }
     }
 
-    private void tell() {
-        TableVersions tables = new TableVersions(configurationVersion(), replicaWatch.lastChangeVersion());
-        List<SuspectNews> page = suspects.nextUpdate();
+    private void sendUpdates() {
+        TableVersions versions = new TableVersions(configurationVersion(), replicaWatch.lastChangeVersion());
+        List<SuspectNews> suspectPage = suspects.nextUpdate();
         forwarder
-                .news(settings.node())
-                .forEach((engine, news) -> peers.send(
-                        beside(engine),
-                        PeerDatagram.entry(news.setTables(tables).setSuspects(page.isEmpty() ? null : page))));
+                .news(settings.vmName())
+                .forEach((engine, update) -> peers.send(
+                        sideAddressOf(engine),
+                        PeerDatagram.entry(
+                                update.setTables(versions).setSuspects(suspectPage.isEmpty() ? null : suspectPage))));
     }
 
-    /** Our processes take datagrams at the same port on every VM. */
-    private HostPort beside(HostPort engine) {
+    /** Returns the address of the side process beside an engine; the port for datagrams is the same on every VM. */
+    private HostPort sideAddressOf(HostPort engine) {
         return new HostPort(engine.host(), settings.peerPort());
     }
 
-    private static HostPort needed(Optional<HostPort> address, String element) {
+    private static HostPort required(Optional<HostPort> address, String element) {
         return address.orElseThrow(() -> new IllegalArgumentException(
-                element + ": is missing; this role takes callers' requests and tells whether it is ready"));
+                element + ": is missing; this role accepts callers' requests and reports its readiness"));
     }
 
-    private static InetSocketAddress socket(HostPort address) {
+    private static InetSocketAddress socketAddress(HostPort address) {
         return new InetSocketAddress(address.host(), address.port());
     }
 
     private static ForwardSettings forwardSettings(HostSettings settings) {
         return new ForwardSettings(
-                settings.zone(),
-                settings.bounds().retryShare(),
-                settings.bounds().retrySlack(),
-                ASSUMED_ENTRIES);
+                settings.dataCentre(),
+                settings.bounds().retryBudgetRatio(),
+                settings.bounds().retryBudgetSlack(),
+                ASSUMED_ENTRY_COUNT);
     }
 
-    private final class Telling implements EngineMessages {
+    private final class PeerMessages implements EngineMessages {
 
         /** {@inheritDoc} */
         @Override
         public void askAdapter(HostPort engine, long id, String model, String adapter) {
-            peers.send(beside(engine), PeerDatagram.adapterCall(new AdapterCall(id, model, adapter)));
+            peers.send(sideAddressOf(engine), PeerDatagram.adapterCall(new AdapterCall(id, model, adapter)));
         }
 
         /** {@inheritDoc} */
         @Override
         public void demandChanged() {
-            if (!tellingSoon) {
-                tellingSoon = true;
-                loop.schedule(TELL_SOON_MILLIS, () -> {
-                    tellingSoon = false;
-                    tell();
+            if (!urgentUpdateScheduled) {
+                urgentUpdateScheduled = true;
+                loop.schedule(URGENT_UPDATE_DELAY_MILLIS, () -> {
+                    urgentUpdateScheduled = false;
+                    sendUpdates();
                 });
             }
         }
     }
 
-    /** Puts each new configuration in force. */
-    private final class Configurations implements TableWatch.Listener<Manifest> {
+    /** Applies each new configuration. */
+    private final class ConfigurationListener implements TableWatch.Listener<Manifest> {
 
         /** {@inheritDoc} */
         @Override
@@ -272,7 +292,7 @@
 
         private void apply(Manifest manifest) {
             forwarder.manifest(manifest);
-            server.limit(manifest.limits());
+            server.updateLimits(manifest.limits());
         }
     }
 }
--- a/src/main/java/io/waxwingquay/hosted/HostedSide.java
+++ b/src/main/java/io/waxwingquay/hosted/HostedSide.java
@@ -20,13 +20,17 @@
 import java.util.random.RandomGenerator;
 
 /**
- * The process beside an engine. It alone gives orders to it, for all the engine's life, so that there is nothing to
- * agree on and nothing that lapses while the platform's store is away.
+ * The side process beside an engine. It is the only process that gives orders to that engine, for the whole lifetime of
+ * the engine, so that no agreement on ownership and no lease is needed that could expire while the platform's store is
+ * unavailable.
  */
 public final class HostedSide implements HostedProcess {
 
-    /** Pause before the configuration is read again; it is needed only when models are added or dropped. */
-    private static final long READ_AGAIN_MILLIS = 1_000L;
+    /**
+     * Interval at which the configuration is read again if it is missing or outdated. A new one is needed only when
+     * models are added or removed.
+     */
+    private static final long CONFIGURATION_CHECK_MILLIS = 1_000L;
 
     private static final System.Logger LOG = System.getLogger("waxwingquay.hosted");
 
@@ -35,78 +39,78 @@
     private final String service;
     private final EngineManager keeper;
     private final PreparedPlatform platform;
-    private final WatchedTable<Manifest> manifests;
-    private boolean known;
-    private boolean reading;
+    private final WatchedTable<Manifest> configurationTable;
+    private boolean configurationKnown;
+    private boolean readInProgress;
 
     private HostedSide(EventLoop loop, HostSettings settings, HostPort engine) {
         this.settings = settings;
         this.loop = loop;
         this.service = settings.service().orElse("");
-        this.platform = new PreparedPlatform(loop, settings.store());
-        this.manifests = platform.manifests();
+        this.platform = new PreparedPlatform(loop, settings.storeAddress());
+        this.configurationTable = platform.configurationTable();
         WeightLoadLimiter pace = new WeightLoadLimiter(
-                settings.bounds().loadWindowMillis(), settings.bounds().loadExcess());
+                settings.bounds().loadWindowMillis(), settings.bounds().loadBurstFactor());
         if (!settings.firstStart()) {
             pace.assumeRecentLoad(EventLoop.nowMillis());
         }
         this.keeper = new EngineManager(
-                loop, engine, service, platform.engine(engine, settings.node()), new Datagrams(), pace);
-        loop.execute(this::begin);
+                loop, engine, service, platform.engineControl(engine, settings.vmName()), new PeerSender(), pace);
+        loop.execute(this::startTasks);
     }
 
     /**
      * Starts the process; called on the loop.
      *
-     * @param loop where everything runs.
-     * @param settings what it is told.
+     * @param loop the event loop on which everything runs.
+     * @param settings the settings of the process.
      * @return the running process.
      */
     public static HostedSide start(EventLoop loop, HostSettings settings) {
-        HostPort engine = settings.engine()
+        HostPort engine = settings.engineAddress()
                 .orElseThrow(() -> new IllegalArgumentException("app: is missing; this role runs beside an engine"));
         return new HostedSide(loop, settings, engine);
     }
 
     /** {@inheritDoc} */
     @Override
-    public CompletableFuture<Void> leave() {
-        LOG.log(System.Logger.Level.INFO, "hosted: side leaves node={0}", settings.node());
+    public CompletableFuture<Void> shutdown() {
+        LOG.log(System.Logger.Level.INFO, "hosted: side shuts down node={0}", settings.vmName());
         return CompletableFuture.completedFuture(null);
     }
 
-    private void begin() {
+    private void startTasks() {
         keeper.start();
         readConfiguration();
-        platform.replicas().readAll().thenAccept(this::readEarlierModels);
-        loop.every(READ_AGAIN_MILLIS, () -> {
-            if (!known || keeper.isConfigurationStale()) {
+        platform.replicaTable().readAll().thenAccept(this::readEarlierModels);
+        loop.every(CONFIGURATION_CHECK_MILLIS, () -> {
+            if (!configurationKnown || keeper.isConfigurationStale()) {
                 readConfiguration();
             }
         });
-        LOG.log(System.Logger.Level.INFO, "hosted: side started node={0} service={1}", settings.node(), service);
+        LOG.log(System.Logger.Level.INFO, "hosted: side started node={0} service={1}", settings.vmName(), service);
     }
 
-    /** Rows of earlier lives stay listed for some seconds. */
+    /** Reads the models of earlier incarnations from their rows, which stay listed for some seconds. */
     private void readEarlierModels(WatchedTable.Page<ReplicaRecord> page) {
         List<ReplicaRecord> records = page.rows().stream()
                 .map(WatchedTable.Row::value)
                 .flatMap(Optional::stream)
                 .toList();
         PreviousModels earlier =
-                PreviousModels.fromListing(records, settings.engine().orElseThrow());
+                PreviousModels.fromListing(records, settings.engineAddress().orElseThrow());
         LOG.log(System.Logger.Level.INFO, "hosted: earlier life models={0}", earlier.models());
         keeper.setPreviousModels(earlier);
     }
 
     private void readConfiguration() {
-        if (reading) {
+        if (readInProgress) {
             return;
         }
-        reading = true;
-        manifests.readAll().whenComplete((page, failure) -> {
+        readInProgress = true;
+        configurationTable.readAll().whenComplete((page, failure) -> {
             if (failure == null) {
-                reading = false;
+                readInProgress = false;
                 apply(page);
             } else {
                 LOG.log(System.Logger.Level.WARNING, "hosted: configuration not read cause={0}", failure.getMessage());
@@ -115,16 +119,16 @@
         });
     }
 
-    /** With the store away here, an entry that is heard has what is needed. */
+    /** Reads the configuration from an entry that sends updates, as the store is unavailable here. */
     private void readCopy() {
         Optional<HostPort> holder =
                 keeper.newestConfigurationHost().map(host -> new HostPort(host, settings.adminPort()));
         if (holder.isEmpty()) {
-            reading = false;
+            readInProgress = false;
             return;
         }
-        platform.manifestsAt(holder.get()).readAll().whenComplete((page, failure) -> {
-            reading = false;
+        platform.configurationTableAt(holder.get()).readAll().whenComplete((page, failure) -> {
+            readInProgress = false;
             if (failure == null) {
                 apply(page);
             }
@@ -133,20 +137,20 @@
 
     private void apply(WatchedTable.Page<Manifest> page) {
         page.rows().forEach(row -> row.value().ifPresent(manifest -> {
-            known = true;
+            configurationKnown = true;
             keeper.configure(manifest.engine(service));
         }));
     }
 
-    private final class Datagrams implements EngineManager.Sender {
+    private final class PeerSender implements EngineManager.Sender {
 
-        private final SuspectRelay suspects =
+        private final SuspectRelay suspectRelay =
                 new SuspectRelay(new SharedSuspects(EventLoop::nowMillis, RandomGenerator.of("L64X128MixRandom")));
         private final PeerChannel channel =
-                new PeerChannel(loop, new HostPort(settings.host(), settings.peerPort()), this::received);
+                new PeerChannel(loop, new HostPort(settings.host(), settings.peerPort()), this::onDatagram);
 
-        private void received(HostPort sender, PeerDatagram datagram) {
-            suspects.receive(datagram);
+        private void onDatagram(HostPort sender, PeerDatagram datagram) {
+            suspectRelay.receive(datagram);
             keeper.onDatagram(sender, datagram);
         }
 
@@ -159,7 +163,7 @@
         /** {@inheritDoc} */
         @Override
         public void send(Set<HostPort> targets, PeerDatagram datagram) {
-            suspects.attachTo(datagram);
+            suspectRelay.attachTo(datagram);
             byte[] encoded = channel.encode(datagram);
             targets.forEach(target -> channel.send(target, encoded));
         }
--- a/src/main/java/io/waxwingquay/net/ClientPool.java
+++ b/src/main/java/io/waxwingquay/net/ClientPool.java
@@ -10,159 +10,160 @@
 import java.util.Set;
 
 /**
- * Connections to one server. The one used last is used first, so that a quiet time lets the others go.
+ * A pool of connections to one server. The most recently used connection is reused first, so that surplus connections
+ * become idle and expire when load is low.
  */
 public final class ClientPool implements AutoCloseable {
 
     private final EventLoop loop;
     private final InetSocketAddress address;
-    private final Deque<ClientConnection> idle = new ArrayDeque<>();
-    private final Set<ClientConnection> all = new HashSet<>();
-    private final Deque<Opening> openings = new ArrayDeque<>();
-    private int limit;
-    private int connecting;
+    private final Deque<ClientConnection> idleConnections = new ArrayDeque<>();
+    private final Set<ClientConnection> connections = new HashSet<>();
+    private final Deque<PendingCall> pendingCalls = new ArrayDeque<>();
+    private int maxConnections;
+    private int connectingCount;
 
     /**
-     * A pool without a connection yet.
+     * Creates a pool without connections.
      *
-     * @param loop where everything runs.
-     * @param address the server.
-     * @param limit the most connections at once.
+     * @param loop the event loop on which everything runs.
+     * @param address the server's address.
+     * @param maxConnections the maximum number of concurrent connections.
      */
-    public ClientPool(EventLoop loop, InetSocketAddress address, int limit) {
+    public ClientPool(EventLoop loop, InetSocketAddress address, int maxConnections) {
         this.loop = loop;
         this.address = address;
-        this.limit = limit;
+        this.maxConnections = maxConnections;
     }
 
     /**
-     * Sets the most connections at once; those beyond it end with their requests.
+     * Sets the maximum number of concurrent connections. Connections beyond it are closed once their requests end.
      *
-     * @param newLimit the number.
+     * @param newMaxConnections the number of connections.
      */
-    public void limit(int newLimit) {
-        this.limit = newLimit;
+    public void maxConnections(int newMaxConnections) {
+        this.maxConnections = newMaxConnections;
     }
 
     /**
-     * Whether a request could be sent at once.
+     * Returns whether a request could be sent without waiting for another one to end.
      *
      * @return whether a connection is idle or may be opened.
      */
-    public boolean hasRoom() {
-        return !idle.isEmpty() || all.size() + connecting < limit;
+    public boolean hasCapacity() {
+        return !idleConnections.isEmpty() || connections.size() + connectingCount < maxConnections;
     }
 
     /**
      * Sends a request over an idle connection or a new one.
      *
      * @param request the request.
-     * @param listener told what comes back.
-     * @return the call, to give it up.
+     * @param listener receives the response.
+     * @return the call, by which it can be cancelled.
      */
     public ClientCall send(ClientRequest request, ClientListener listener) {
-        Opening opening = new Opening(request, listener);
-        Optional<ClientConnection> ready = takeIdle(request.mayRepeat());
-        if (ready.isPresent()) {
-            opening.sendOver(ready.get());
-            return opening;
+        PendingCall call = new PendingCall(request, listener);
+        Optional<ClientConnection> idleConnection = takeIdle(request.idempotent());
+        if (idleConnection.isPresent()) {
+            call.sendOver(idleConnection.get());
+            return call;
         }
-        if (all.size() + connecting >= limit) {
-            loop.execute(() -> opening.fail("all " + limit + " connections are taken"));
-            return opening;
+        if (connections.size() + connectingCount >= maxConnections) {
+            loop.execute(() -> call.fail("all " + maxConnections + " connections are in use"));
+            return call;
         }
-        openings.add(opening);
-        connecting++;
+        pendingCalls.add(call);
+        connectingCount++;
         loop.connect(address, endPoint -> new ClientConnection(endPoint, loop, this), failure -> {
-            connecting--;
-            Optional.ofNullable(openings.poll()).ifPresent(first -> first.fail("no connection: " + failure));
+            connectingCount--;
+            Optional.ofNullable(pendingCalls.poll()).ifPresent(first -> first.fail("no connection: " + failure));
         });
-        return opening;
+        return call;
     }
 
     /**
-     * How many requests run or wait here.
+     * Returns the number of requests that run or wait for a connection.
      *
-     * @return the number.
+     * @return the number of requests.
      */
-    public int busy() {
-        return all.size() - idle.size() + connecting;
+    public int busyCount() {
+        return connections.size() - idleConnections.size() + connectingCount;
     }
 
-    /** Gives back the requests that wait for a connection: the server is not to get them any more. */
-    public void withdrawWaiting() {
-        openings.forEach(Opening::withdraw);
+    /** Fails all requests that wait for a connection, so that they are no longer sent to this server. */
+    public void failWaiting() {
+        pendingCalls.forEach(PendingCall::failLater);
     }
 
     /** {@inheritDoc} */
     @Override
     public void close() {
-        withdrawWaiting();
-        new ArrayList<>(idle).forEach(ClientConnection::close);
-        idle.clear();
-        limit = 0;
+        failWaiting();
+        new ArrayList<>(idleConnections).forEach(ClientConnection::close);
+        idleConnections.clear();
+        maxConnections = 0;
     }
 
-    void opened(ClientConnection connection) {
-        connecting--;
-        all.add(connection);
-        Opening first = openings.poll();
+    void onOpened(ClientConnection connection) {
+        connectingCount--;
+        connections.add(connection);
+        PendingCall first = pendingCalls.poll();
         while (first != null && first.cancelled) {
-            first = openings.poll();
+            first = pendingCalls.poll();
         }
         if (first == null) {
-            idle(connection);
+            release(connection);
             return;
         }
         first.sendOver(connection);
     }
 
-    void idle(ClientConnection connection) {
-        if (all.size() > limit) {
-            closed(connection);
+    void release(ClientConnection connection) {
+        if (connections.size() > maxConnections) {
+            onClosed(connection);
             connection.close();
             return;
         }
-        idle.push(connection);
+        idleConnections.push(connection);
     }
 
-    void closed(ClientConnection connection) {
-        all.remove(connection);
-        idle.remove(connection);
+    void onClosed(ClientConnection connection) {
+        connections.remove(connection);
+        idleConnections.remove(connection);
     }
 
-    private Optional<ClientConnection> takeIdle(boolean mayRepeat) {
+    private Optional<ClientConnection> takeIdle(boolean idempotent) {
         long nowMillis = EventLoop.nowMillis();
-        for (ClientConnection connection : List.copyOf(idle)) {
-            if (connection.isUsable(mayRepeat, nowMillis) && (mayRepeat || connection.isAlive())) {
-                idle.remove(connection);
+        for (ClientConnection connection : List.copyOf(idleConnections)) {
+            if (connection.isUsable(idempotent, nowMillis) && (idempotent || connection.readAndCheckOpen())) {
+                idleConnections.remove(connection);
                 return Optional.of(connection);
             }
         }
         return Optional.empty();
     }
 
-    /** A request and, once there is one, its connection. */
-    private final class Opening implements ClientCall {
+    /** A request with the connection that it is sent over, once one is assigned. */
+    private final class PendingCall implements ClientCall {
 
         private final ClientRequest request;
         private final ClientListener listener;
         private ClientConnection connection;
         private boolean cancelled;
 
-        private Opening(ClientRequest request, ClientListener listener) {
+        private PendingCall(ClientRequest request, ClientListener listener) {
             this.request = request;
             this.listener = listener;
         }
 
-        private void sendOver(ClientConnection over) {
-            connection = over;
-            over.send(request, listener);
+        private void sendOver(ClientConnection assigned) {
+            connection = assigned;
+            assigned.send(request, listener);
         }
 
         /** {@inheritDoc} */
         @Override
-        public boolean mayHaveLeft() {
+        public boolean mayHaveBeenSent() {
             return connection != null;
         }
 
@@ -175,17 +176,17 @@
             }
         }
 
-        /** The listener is told later, as it may well ask for another connection. */
-        private void withdraw() {
+        /** Notifies the listener in a later task, as it may request another connection from this pool. */
+        private void failLater() {
             if (!cancelled) {
                 cancelled = true;
-                loop.execute(() -> listener.onFailure(false, "the server is not to be used any more"));
+                loop.execute(() -> listener.onFailure(false, "the server is no longer in use"));
             }
         }
 
-        private void fail(String why) {
+        private void fail(String reason) {
             if (!cancelled) {
-                listener.onFailure(false, why);
+                listener.onFailure(false, reason);
             }
         }
     }
--- a/src/main/java/io/waxwingquay/net/DatagramReader.java
+++ b/src/main/java/io/waxwingquay/net/DatagramReader.java
@@ -7,7 +7,7 @@
 import java.util.function.BiConsumer;
 import org.eclipse.jetty.io.EndPoint;
 
-/** Reads datagrams as they come. */
+/** Reads datagrams and passes each to a receiver. */
 final class DatagramReader extends LoopConnection {
 
     private static final System.Logger LOG = System.getLogger("waxwingquay.net");
@@ -28,20 +28,20 @@
     /** {@inheritDoc} */
     @Override
     public void onFillable() {
-        ByteBuffer buffer = loop().input();
+        ByteBuffer buffer = loop().inputBuffer();
         InetSocketAddress sender = receive(buffer);
         while (sender != null) {
-            take(sender, buffer);
+            deliver(sender, buffer);
             sender = receive(buffer);
         }
         awaitInput();
     }
 
-    private void take(InetSocketAddress sender, ByteBuffer buffer) {
+    private void deliver(InetSocketAddress sender, ByteBuffer buffer) {
         try {
             receiver.accept(sender, buffer);
         } catch (RuntimeException failure) {
-            LOG.log(System.Logger.Level.WARNING, "net: a datagram from {0} can't be read: {1}", sender, failure);
+            LOG.log(System.Logger.Level.WARNING, "net: a datagram from {0} can't be processed: {1}", sender, failure);
         }
     }
 
@@ -52,14 +52,14 @@
             buffer.flip();
             return sender;
         } catch (IOException failure) {
-            LOG.log(System.Logger.Level.DEBUG, "net: no datagram was received: {0}", failure);
+            LOG.log(System.Logger.Level.DEBUG, "net: receiving a datagram failed: {0}", failure);
             return null;
         }
     }
 
     @Override
     void onInput(ByteBuffer bytes) {
-        throw new IllegalStateException("datagrams are read one by one");
+        throw new IllegalStateException("datagrams are not read as a byte stream");
     }
 
     @Override
--- a/src/main/java/io/waxwingquay/net/EventLoop.java
+++ b/src/main/java/io/waxwingquay/net/EventLoop.java
@@ -33,34 +33,37 @@
 import org.eclipse.jetty.util.thread.Scheduler;
 
 /**
- * One thread that serves sockets, timers and posted tasks.
+ * An event loop that serves sockets, timers and posted tasks on a single thread.
  */
 public final class EventLoop implements Executor, AutoCloseable {
 
-    /** Keep-alive probes find a peer that vanished without a reset; three seconds is the platform's own patience. */
+    /**
+     * Keep-alive probes detect a peer that vanished without a reset. With three probes at intervals of one second the
+     * detection takes about as long as the platform's own timeout of three seconds.
+     */
     private static final int KEEP_ALIVE_IDLE_SECONDS = 1;
 
     private static final int KEEP_ALIVE_INTERVAL_SECONDS = 1;
     private static final int KEEP_ALIVE_PROBES = 3;
     private static final int ACCEPT_BACKLOG = 1_024;
-    private static final int SCRATCH_BYTES = 65_536;
+    private static final int BUFFER_BYTES = 65_536;
     private static final long NANOS_PER_MILLI = 1_000_000L;
     private static final System.Logger LOG = System.getLogger("waxwingquay.net");
 
-    private final ByteBuffer input = ByteBuffer.allocateDirect(SCRATCH_BYTES);
-    private final ByteBuffer output = ByteBuffer.allocateDirect(SCRATCH_BYTES);
-    private final Queue<Runnable> posted = new ConcurrentLinkedQueue<>();
+    private final ByteBuffer inputBuffer = ByteBuffer.allocateDirect(BUFFER_BYTES);
+    private final ByteBuffer outputBuffer = ByteBuffer.allocateDirect(BUFFER_BYTES);
+    private final Queue<Runnable> postedTasks = new ConcurrentLinkedQueue<>();
     private final TimerQueue timers = new TimerQueue();
-    private final Map<SocketAddress, Function<EndPoint, Connection>> listeners = new HashMap<>();
-    private final Channels channels;
+    private final Map<SocketAddress, Function<EndPoint, Connection>> connectionFactories = new HashMap<>();
+    private final LoopSelectorManager selectorManager;
     private volatile Thread thread;
 
     private EventLoop(String name) {
-        this.channels = new Channels(new Starter(name), new LoopScheduler());
+        this.selectorManager = new LoopSelectorManager(new LoopExecutor(name), new LoopScheduler());
     }
 
     /**
-     * Starts a loop on a thread of its own.
+     * Starts an event loop on its own thread.
      *
      * @param name the thread's name.
      * @return the running loop.
@@ -68,7 +71,7 @@
     public static EventLoop start(String name) {
         EventLoop loop = new EventLoop(name);
         try {
-            loop.channels.start();
+            loop.selectorManager.start();
         } catch (Exception failure) {
             throw new IllegalStateException("the event loop " + name + " can't start", failure);
         }
@@ -76,7 +79,7 @@
     }
 
     /**
-     * The steady time.
+     * Returns the current monotonic time.
      *
      * @return milliseconds since an arbitrary origin.
      */
@@ -85,22 +88,22 @@
     }
 
     /**
-     * Runs a task on the loop soon; callable from any thread.
+     * Queues a task to run on the loop; callable from any thread.
      *
      * @param task the task.
      */
     @Override
     public void execute(Runnable task) {
-        posted.add(task);
-        channels.wakeUp();
+        postedTasks.add(task);
+        selectorManager.wakeUp();
     }
 
     /**
-     * Runs a task once, on the loop; called on the loop.
+     * Schedules a task to run once on the loop; called on the loop.
      *
-     * @param delayMillis how long from now.
+     * @param delayMillis the delay from now.
      * @param task the task.
-     * @return to give it up.
+     * @return a handle to cancel the task.
      */
     public Cancellable schedule(long delayMillis, Runnable task) {
         TimerQueue.Timer timer = timers.add(nowMillis() + Math.max(0, delayMillis), task);
@@ -108,9 +111,9 @@
     }
 
     /**
-     * Runs a task again and again, on the loop.
+     * Runs a task periodically on the loop; called on the loop.
      *
-     * @param periodMillis the pause between two runs.
+     * @param periodMillis the delay before the first run and between two runs.
      * @param task the task.
      */
     public void every(long periodMillis, Runnable task) {
@@ -123,12 +126,12 @@
     /**
      * Listens for connections.
      *
-     * @param address where.
-     * @param connections makes the connection of an accepted channel.
-     * @return the port listened on.
+     * @param address the address to bind.
+     * @param connectionFactory creates the connection for an accepted channel.
+     * @return the bound port.
      * @throws UncheckedIOException if the address can't be bound.
      */
-    public int listen(InetSocketAddress address, Function<EndPoint, Connection> connections) {
+    public int listen(InetSocketAddress address, Function<EndPoint, Connection> connectionFactory) {
         try {
             ServerSocketChannel server = ServerSocketChannel.open();
             server.setOption(StandardSocketOptions.SO_REUSEADDR, true);
@@ -136,8 +139,8 @@
             server.configureBlocking(false);
             InetSocketAddress local = (InetSocketAddress) server.getLocalAddress();
             execute(() -> {
-                listeners.put(local, connections);
-                channels.acceptor(server);
+                connectionFactories.put(local, connectionFactory);
+                selectorManager.acceptor(server);
             });
             return local.getPort();
         } catch (IOException failure) {
@@ -148,44 +151,48 @@
     /**
      * Opens a connection; called on the loop.
      *
-     * @param address where to.
-     * @param connections makes the connection once the channel stands.
-     * @param failed told why none could be made; no byte has left then.
+     * @param address the address of the peer.
+     * @param connectionFactory creates the connection once the channel is connected.
+     * @param onFailure receives the cause if the channel can't be connected; no byte has been sent in that case.
      */
     public void connect(
-            InetSocketAddress address, Function<EndPoint, Connection> connections, Consumer<Throwable> failed) {
-        Connecting connecting = new Connecting(connections, failed);
+            InetSocketAddress address,
+            Function<EndPoint, Connection> connectionFactory,
+            Consumer<Throwable> onFailure) {
+        ChannelAttachment attachment = new ChannelAttachment(connectionFactory, onFailure);
         SocketChannel channel = null;
         try {
             channel = SocketChannel.open();
             channel.configureBlocking(false);
-            prepare(channel);
+            configure(channel);
             if (channel.connect(address)) {
-                channels.accept(channel, connecting);
+                selectorManager.accept(channel, attachment);
             } else {
-                channels.connect(channel, connecting);
+                selectorManager.connect(channel, attachment);
             }
         } catch (IOException | RuntimeException failure) {
             closeQuietly(channel);
-            failed.accept(failure);
+            onFailure.accept(failure);
         }
     }
 
     /**
      * Opens a datagram socket.
      *
-     * @param address where it is bound.
-     * @param receiver takes each datagram and its sender; the buffer is its own during the call only.
+     * @param address the address to bind.
+     * @param receiver receives each datagram and its sender; the buffer is valid only during the call.
      * @return the socket.
      * @throws UncheckedIOException if the address can't be bound.
      */
-    public DatagramSocket datagrams(InetSocketAddress address, BiConsumer<InetSocketAddress, ByteBuffer> receiver) {
+    public DatagramSocket openDatagramSocket(
+            InetSocketAddress address, BiConsumer<InetSocketAddress, ByteBuffer> receiver) {
         try {
             DatagramChannel channel = DatagramChannel.open();
             channel.bind(address);
             channel.configureBlocking(false);
-            Function<EndPoint, Connection> connections = point -> new DatagramReader(point, this, channel, receiver);
-            execute(() -> channels.accept(channel, new Connecting(connections, failure -> {})));
+            Function<EndPoint, Connection> connectionFactory =
+                    endPoint -> new DatagramReader(endPoint, this, channel, receiver);
+            execute(() -> selectorManager.accept(channel, new ChannelAttachment(connectionFactory, failure -> {})));
             return new DatagramSocket(channel);
         } catch (IOException failure) {
             throw new UncheckedIOException("can't bind datagrams to " + address, failure);
@@ -196,9 +203,9 @@
     @Override
     public void close() {
         try {
-            channels.stop();
+            selectorManager.stop();
         } catch (Exception failure) {
-            LOG.log(System.Logger.Level.WARNING, "net: the event loop did not stop: {0}", failure);
+            LOG.log(System.Logger.Level.WARNING, "net: stopping the event loop failed: {0}", failure);
         }
     }
 
@@ -206,17 +213,17 @@
         return Thread.currentThread() == thread;
     }
 
-    /** One buffer serves all reads, as each is taken in before the next begins. */
-    ByteBuffer input() {
-        return input;
+    /** Returns the buffer shared by all reads; its content is consumed before the next read. */
+    ByteBuffer inputBuffer() {
+        return inputBuffer;
     }
 
-    ByteBuffer output() {
-        output.clear();
-        return output;
+    ByteBuffer outputBuffer() {
+        outputBuffer.clear();
+        return outputBuffer;
     }
 
-    private static void prepare(SocketChannel channel) throws IOException {
+    private static void configure(SocketChannel channel) throws IOException {
         channel.setOption(StandardSocketOptions.TCP_NODELAY, true);
         channel.setOption(StandardSocketOptions.SO_KEEPALIVE, true);
         channel.setOption(ExtendedSocketOptions.TCP_KEEPIDLE, KEEP_ALIVE_IDLE_SECONDS);
@@ -231,22 +238,22 @@
         try {
             channel.close();
         } catch (IOException failure) {
-            LOG.log(System.Logger.Level.DEBUG, "net: a channel that never opened did not close: {0}", failure);
+            LOG.log(System.Logger.Level.DEBUG, "net: closing an unconnected channel failed: {0}", failure);
         }
     }
 
     private void runPosted() {
-        for (Runnable task = posted.poll(); task != null; task = posted.poll()) {
-            guarded(task);
+        for (Runnable task = postedTasks.poll(); task != null; task = postedTasks.poll()) {
+            runGuarded(task);
         }
     }
 
     private void runTimers() {
-        timers.due(nowMillis()).forEach(EventLoop::guarded);
+        timers.removeDue(nowMillis()).forEach(EventLoop::runGuarded);
     }
 
-    /** A fault in one task must not end the thread that serves all others. */
-    private static void guarded(Runnable task) {
+    /** Runs a task and logs its failure, so that one faulty task does not end the thread that serves all others. */
+    private static void runGuarded(Runnable task) {
         try {
             task.run();
         } catch (RuntimeException | Error failure) {
@@ -255,19 +262,22 @@
     }
 
     /**
-     * What becomes of a channel.
+     * The attachment of a channel that is being opened.
      *
-     * @param connections makes its connection.
-     * @param failed told if the channel could not be opened.
+     * @param connectionFactory creates its connection.
+     * @param onFailure receives the cause if the channel could not be opened.
      */
-    private record Connecting(Function<EndPoint, Connection> connections, Consumer<Throwable> failed) {}
+    private record ChannelAttachment(Function<EndPoint, Connection> connectionFactory, Consumer<Throwable> onFailure) {}
 
-    /** Jetty asks for threads; the first call brings the loop itself, all others are tasks for it. */
-    private final class Starter implements Executor {
+    /**
+     * The executor given to Jetty: the first task is the selector loop and gets a thread, all others run on that
+     * loop.
+     */
+    private final class LoopExecutor implements Executor {
 
         private final String name;
 
-        private Starter(String name) {
+        private LoopExecutor(String name) {
             this.name = name;
         }
 
@@ -283,7 +293,7 @@
         }
     }
 
-    /** Gives Jetty's connect time-outs a place among the loop's own timers. */
+    /** Runs Jetty's connect timeouts on the loop's own timer queue. */
     private final class LoopScheduler extends AbstractLifeCycle implements Scheduler {
 
         /** {@inheritDoc} */
@@ -303,14 +313,14 @@
         }
     }
 
-    /** Jetty's selector, with this loop's timers and tasks run between two selections. */
-    private final class Channels extends SelectorManager {
+    /** A Jetty selector manager that runs this loop's timers and posted tasks between two selections. */
+    private final class LoopSelectorManager extends SelectorManager {
 
         private static final long CONNECT_TIMEOUT_MILLIS = 1_000L;
 
         private volatile Selector selector;
 
-        private Channels(Executor executor, Scheduler scheduler) {
+        private LoopSelectorManager(Executor executor, Scheduler scheduler) {
             super(executor, scheduler, 1);
             setConnectTimeout(CONNECT_TIMEOUT_MILLIS);
         }
@@ -338,7 +348,7 @@
                 }
 
                 private int select(Selector nio, long waitMillis) throws IOException {
-                    if (waitMillis == 0 || !posted.isEmpty()) {
+                    if (waitMillis == 0 || !postedTasks.isEmpty()) {
                         return nio.selectNow();
                     }
                     return waitMillis == Long.MAX_VALUE ? nio.select() : nio.select(waitMillis);
@@ -358,7 +368,7 @@
         /** {@inheritDoc} */
         @Override
         public Connection newConnection(SelectableChannel channel, EndPoint endPoint, Object attachment) {
-            return ((Connecting) attachment).connections.apply(endPoint);
+            return ((ChannelAttachment) attachment).connectionFactory.apply(endPoint);
         }
 
         /** {@inheritDoc} */
@@ -366,15 +376,15 @@
         protected void accepted(SelectableChannel channel) throws IOException {
             SocketChannel socket = (SocketChannel) channel;
             socket.configureBlocking(false);
-            prepare(socket);
-            Function<EndPoint, Connection> connections = listeners.get(socket.getLocalAddress());
-            accept(channel, new Connecting(connections, failure -> {}));
+            configure(socket);
+            Function<EndPoint, Connection> connectionFactory = connectionFactories.get(socket.getLocalAddress());
+            accept(channel, new ChannelAttachment(connectionFactory, failure -> {}));
         }
 
         /** {@inheritDoc} */
         @Override
         protected void connectionFailed(SelectableChannel channel, Throwable failure, Object attachment) {
-            ((Connecting) attachment).failed.accept(failure);
+            ((ChannelAttachment) attachment).onFailure.accept(failure);
         }
     }
 }
--- a/src/main/java/io/waxwingquay/net/HttpServer.java
+++ b/src/main/java/io/waxwingquay/net/HttpServer.java
@@ -7,11 +7,11 @@
 import org.eclipse.jetty.http.HttpFields;
 
 /**
- * Takes requests on one address. All of it runs on the loop.
+ * An HTTP server that listens on one address. All methods run on the loop.
  */
 public final class HttpServer {
 
-    private static final long SWEEP_MILLIS = 1_000L;
+    private static final long TIMEOUT_CHECK_MILLIS = 1_000L;
     private static final int INTERNAL_ERROR = 500;
     private static final System.Logger LOG = System.getLogger("waxwingquay.net");
 
@@ -19,7 +19,7 @@
     private final ServerHandler handler;
     private final Set<ServerConnection> connections = new HashSet<>();
     private ServerLimits limits = ServerLimits.DEFAULT;
-    private boolean leaving;
+    private boolean draining;
 
     private HttpServer(EventLoop loop, ServerHandler handler) {
         this.loop = loop;
@@ -27,43 +27,43 @@
     }
 
     /**
-     * Starts to listen.
+     * Starts a server.
      *
-     * @param loop where everything runs.
+     * @param loop the event loop on which everything runs.
      * @param address the address to listen on.
      * @param handler answers the requests.
-     * @return the server.
+     * @return the running server.
      */
     public static HttpServer listen(EventLoop loop, InetSocketAddress address, ServerHandler handler) {
         HttpServer server = new HttpServer(loop, handler);
         loop.listen(address, endPoint -> new ServerConnection(endPoint, loop, server));
-        loop.execute(() -> loop.every(SWEEP_MILLIS, server::sweep));
+        loop.execute(() -> loop.every(TIMEOUT_CHECK_MILLIS, server::checkTimeouts));
         return server;
     }
 
     /**
-     * Sets what callers may send from now on.
+     * Replaces the limits on requests and connections.
      *
-     * @param newLimits the limits.
+     * @param newLimits the limits to apply from now on.
      */
-    public void limit(ServerLimits newLimits) {
+    public void updateLimits(ServerLimits newLimits) {
         this.limits = newLimits;
     }
 
-    /** From now on each answer ends its connection. */
-    public void leave() {
-        leaving = true;
+    /** Closes each connection after its next response from now on. */
+    public void startDraining() {
+        draining = true;
     }
 
-    /** Closes connections without a request. */
+    /** Closes all connections that have no request. */
     public void closeIdle() {
         new ArrayList<>(connections).forEach(ServerConnection::closeIfIdle);
     }
 
     /**
-     * How many connections are open.
+     * Returns the number of open connections.
      *
-     * @return the number.
+     * @return the number of connections.
      */
     public int connectionCount() {
         return connections.size();
@@ -73,15 +73,15 @@
         return limits;
     }
 
-    boolean isLeaving() {
-        return leaving;
+    boolean isDraining() {
+        return draining;
     }
 
-    void opened(ServerConnection connection) {
+    void onOpened(ServerConnection connection) {
         connections.add(connection);
     }
 
-    void closed(ServerConnection connection) {
+    void onClosed(ServerConnection connection) {
         connections.remove(connection);
     }
 
@@ -89,13 +89,13 @@
         try {
             handler.handle(exchange);
         } catch (RuntimeException failure) {
-            LOG.log(System.Logger.Level.ERROR, "net: a request was not handled.", failure);
-            exchange.respond(INTERNAL_ERROR, HttpFields.EMPTY, "the request was not handled");
+            LOG.log(System.Logger.Level.ERROR, "net: handling a request failed.", failure);
+            exchange.respond(INTERNAL_ERROR, HttpFields.EMPTY, "handling the request failed");
         }
     }
 
-    private void sweep() {
+    private void checkTimeouts() {
         long nowMillis = EventLoop.nowMillis();
-        new ArrayList<>(connections).forEach(connection -> connection.sweep(nowMillis));
+        new ArrayList<>(connections).forEach(connection -> connection.checkTimeouts(nowMillis));
     }
 }
--- a/src/main/java/io/waxwingquay/net/LoopConnection.java
+++ b/src/main/java/io/waxwingquay/net/LoopConnection.java
@@ -15,18 +15,18 @@
 import org.eclipse.jetty.util.Callback;
 
 /**
- * A connection whose reads and writes all run on the loop's thread.
+ * A connection whose reads and writes all run on the loop thread.
  */
 abstract class LoopConnection extends AbstractConnection {
 
     private static final System.Logger LOG = System.getLogger("waxwingquay.net");
 
     private final EventLoop loop;
-    private final Callback readable = new Readable();
-    private final Queue<ByteBuffer> unsent = new ArrayDeque<>();
-    private boolean writing;
+    private final Callback readCallback = new ReadCallback();
+    private final Queue<ByteBuffer> pendingWrites = new ArrayDeque<>();
+    private boolean writeInProgress;
     private long unsentBytes;
-    private boolean ended;
+    private boolean inputEnded;
 
     LoopConnection(EndPoint endPoint, EventLoop loop) {
         super(endPoint, loop);
@@ -45,51 +45,52 @@
     }
 
     /**
-     * Jetty's endpoint turns a reset into an orderly end. Symptom: an answer without a length that its server broke off
-     * is taken for a whole one. The channel itself tells the two apart.
+     * Returns the channel itself for reading, because Jetty's endpoint reports a reset as an orderly end of input. A
+     * response without a content length that its server aborted would then count as complete.
      */
     private ReadableByteChannel channel() {
         return (ReadableByteChannel) getEndPoint().getTransport();
     }
 
     /**
-     * Closes with a reset.
+     * Closes the connection with a reset.
      *
-     * <p>Failure: a peer's machine stands still, or the way to it is cut, when a request is given up. Symptom of an orderly
-     * close: the request arrives before it, seconds later, and is run for nobody. What a reset finds undelivered is lost.
+     * <p>If the peer is unresponsive or unreachable when a request is cancelled, the request would still be delivered
+     * ahead of an orderly close, seconds later, and run although nobody waits for its response. A reset discards what
+     * has not been delivered.
      */
     final void closeWithReset() {
         try {
             ((SocketChannel) getEndPoint().getTransport()).setOption(StandardSocketOptions.SO_LINGER, 0);
         } catch (IOException failure) {
-            LOG.log(System.Logger.Level.DEBUG, "net: a connection is closed and not reset: {0}", failure);
+            LOG.log(System.Logger.Level.DEBUG, "net: a connection is closed without a reset: {0}", failure);
         }
         getEndPoint().close();
     }
 
-    /** Asks to be called when there is something to read. */
+    /** Registers for a call when input is available. */
     final void awaitInput() {
-        if (!ended && getEndPoint().isOpen() && !getEndPoint().isFillInterested()) {
-            fillInterested(readable);
+        if (!inputEnded && getEndPoint().isOpen() && !getEndPoint().isFillInterested()) {
+            fillInterested(readCallback);
         }
     }
 
     /** {@inheritDoc} */
     @Override
     public void onFillable() {
-        ByteBuffer buffer = loop.input();
-        while (!ended && getEndPoint().isOpen() && takesInput()) {
+        ByteBuffer buffer = loop.inputBuffer();
+        while (!inputEnded && getEndPoint().isOpen() && acceptsInput()) {
             buffer.clear();
             int count;
             try {
                 count = channel().read(buffer);
                 buffer.flip();
             } catch (IOException failure) {
-                end(failure);
+                endInput(failure);
                 return;
             }
             if (count < 0) {
-                end(null);
+                endInput(null);
                 return;
             }
             if (count == 0) {
@@ -100,47 +101,47 @@
         }
     }
 
-    /** Whether more may be read now; if not, {@link #awaitInput} is to be called when it may. */
-    boolean takesInput() {
+    /** Returns whether more input may be read now; if not, {@link #awaitInput} must be called once it may. */
+    boolean acceptsInput() {
         return true;
     }
 
     /**
-     * Takes in bytes, all of them before it returns.
+     * Consumes all bytes before it returns.
      *
-     * @param bytes what came; the buffer serves other connections afterwards.
+     * @param bytes the bytes read; the buffer is reused for other connections afterwards.
      */
     abstract void onInput(ByteBuffer bytes);
 
     /**
-     * Told once that nothing more will be read.
+     * Called once when no more input will be read.
      *
-     * @param cause a reset or another failure, or {@code null} for an orderly end.
+     * @param cause a reset or another failure, or {@code null} for an orderly end of input.
      */
     abstract void onInputEnd(Throwable cause);
 
-    /** Told when all that was written has left this process. */
-    void onDrained() {}
+    /** Called when all pending writes have been handed to the kernel. */
+    void onWritesComplete() {}
 
     /** {@inheritDoc} */
     @Override
     public void onClose(Throwable cause) {
         super.onClose(cause);
-        end(cause == null ? new EOFException("closed here") : cause);
+        endInput(cause == null ? new EOFException("closed here") : cause);
     }
 
     /**
-     * Sends bytes, or keeps what the peer does not take yet.
+     * Sends bytes, and queues those that the peer does not accept yet.
      *
-     * @param bytes what to send; taken in before this returns.
-     * @return whether at least one byte of these left, or may leave later.
+     * @param bytes the bytes to send; consumed before this method returns.
+     * @return whether at least one of these bytes was sent or may be sent later.
      */
     final boolean send(ByteBuffer bytes) {
-        if (ended && !getEndPoint().isOpen()) {
+        if (inputEnded && !getEndPoint().isOpen()) {
             return false;
         }
         int before = bytes.remaining();
-        if (!writing) {
+        if (!writeInProgress) {
             try {
                 if (getEndPoint().flush(bytes)) {
                     return true;
@@ -150,72 +151,76 @@
                 return bytes.remaining() < before;
             }
         }
-        keep(bytes);
+        enqueue(bytes);
         return true;
     }
 
-    /** How much the peer has not taken yet. */
+    /** Returns how many bytes the peer has not accepted yet. */
     final long unsentBytes() {
         return unsentBytes;
     }
 
-    /** How long the peer has taken nothing of a write that is under way. */
-    final long untakenMillis() {
+    /** Returns how long the write in progress has made no progress. */
+    final long writeStalledMillis() {
         return ((IdleTimeout) getEndPoint()).getIdleFor();
     }
 
-    /** Whether a write is still under way. */
-    final boolean isWriting() {
-        return writing;
+    /** Returns whether a write is still in progress. */
+    final boolean isWriteInProgress() {
+        return writeInProgress;
     }
 
-    private void keep(ByteBuffer bytes) {
-        ByteBuffer kept = ByteBuffer.allocate(bytes.remaining());
-        kept.put(bytes).flip();
-        unsentBytes += kept.remaining();
-        unsent.add(kept);
+    private void enqueue(ByteBuffer bytes) {
+        ByteBuffer copy = ByteBuffer.allocate(bytes.remaining());
+        copy.put(bytes).flip();
+        unsentBytes += copy.remaining();
+        pendingWrites.add(copy);
         writeNext();
     }
 
     private void writeNext() {
-        ByteBuffer next = writing ? null : unsent.poll();
+        ByteBuffer next = writeInProgress ? null : pendingWrites.poll();
         if (next == null) {
             return;
         }
-        writing = true;
+        writeInProgress = true;
         int size = next.remaining();
-        getEndPoint().write(Callback.from(Callback.InvocationType.NON_BLOCKING, () -> written(size), this::fail), next);
+        getEndPoint()
+                .write(
+                        Callback.from(
+                                Callback.InvocationType.NON_BLOCKING, () -> onWritten(size), this::onWriteFailure),
+                        next);
     }
 
-    private void written(int size) {
-        writing = false;
+    private void onWritten(int size) {
+        writeInProgress = false;
         unsentBytes -= size;
-        if (unsent.isEmpty()) {
-            onDrained();
+        if (pendingWrites.isEmpty()) {
+            onWritesComplete();
         } else {
             writeNext();
         }
     }
 
-    private void fail(Throwable cause) {
-        writing = false;
+    private void onWriteFailure(Throwable cause) {
+        writeInProgress = false;
         getEndPoint().close(cause);
     }
 
-    private void end(Throwable cause) {
-        if (!ended) {
-            ended = true;
+    private void endInput(Throwable cause) {
+        if (!inputEnded) {
+            inputEnded = true;
             onInputEnd(cause);
         }
     }
 
-    /** What stands in logs for a failure. */
+    /** Returns a description of a failure, or of an orderly end, for logs. */
     static String describe(Throwable cause) {
         return Optional.ofNullable(cause).map(Throwable::toString).orElse("closed by the peer");
     }
 
-    /** Jetty would hand a blocking callback to another thread; this one stays on the loop. */
-    private final class Readable implements Callback {
+    /** Declares itself non-blocking, as Jetty would run a blocking callback on another thread than the loop's. */
+    private final class ReadCallback implements Callback {
 
         /** {@inheritDoc} */
         @Override
--- a/src/main/java/io/waxwingquay/net/MessageHead.java
+++ b/src/main/java/io/waxwingquay/net/MessageHead.java
@@ -12,12 +12,12 @@
 import org.eclipse.jetty.http.HttpHeader;
 
 /**
- * Writes the heads of messages, and tells which header fields concern one connection only.
+ * Writes the heads of HTTP messages and separates hop-by-hop from end-to-end header fields.
  */
 public final class MessageHead {
 
-    /** Header fields of one connection (RFC 9110, 7.6.1), and the length, which each hop writes anew. */
-    private static final Set<String> HOP_FIELDS = Set.of(
+    /** Hop-by-hop header fields (RFC 9110, 7.6.1), and the content length, which each hop writes itself. */
+    private static final Set<String> HOP_BY_HOP_FIELDS = Set.of(
             "connection",
             "keep-alive",
             "proxy-connection",
@@ -35,30 +35,30 @@
     private MessageHead() {}
 
     /**
-     * The fields of a message that the next hop is to see.
+     * Returns the end-to-end fields of a message.
      *
      * @param fields all fields of the message.
-     * @return a copy without those of this hop, the ones that {@code Connection} names included.
+     * @return a copy without the hop-by-hop fields, which include those that {@code Connection} names.
      */
-    public static HttpFields.Mutable endToEnd(HttpFields fields) {
-        Set<String> named = fields.getCSV(HttpHeader.CONNECTION, false).stream()
+    public static HttpFields.Mutable endToEndFields(HttpFields fields) {
+        Set<String> connectionOptions = fields.getCSV(HttpHeader.CONNECTION, false).stream()
                 .map(name -> name.toLowerCase(Locale.ROOT))
                 .collect(Collectors.toSet());
-        HttpFields.Mutable kept = HttpFields.build();
+        HttpFields.Mutable endToEnd = HttpFields.build();
         for (HttpField field : fields) {
             String name = field.getLowerCaseName();
-            if (!HOP_FIELDS.contains(name) && !named.contains(name)) {
-                kept.add(field);
+            if (!HOP_BY_HOP_FIELDS.contains(name) && !connectionOptions.contains(name)) {
+                endToEnd.add(field);
             }
         }
-        return kept;
+        return endToEnd;
     }
 
     /**
-     * The idle time that a peer grants, from its {@code Keep-Alive} field.
+     * Returns the idle timeout that a peer announces in its {@code Keep-Alive} field.
      *
      * @param fields the fields of its message.
-     * @return the seconds, if it names them.
+     * @return the timeout in seconds, if announced.
      */
     static Optional<Long> keepAliveSeconds(HttpFields fields) {
         String value = fields.get("Keep-Alive");
@@ -68,7 +68,7 @@
         for (String part : value.split(",")) {
             String[] pair = part.trim().split("=", 2);
             if (pair.length == 2 && pair[0].trim().equalsIgnoreCase("timeout")) {
-                return seconds(pair[1].trim());
+                return parseSeconds(pair[1].trim());
             }
         }
         return Optional.empty();
@@ -102,11 +102,11 @@
         buffer.put(text.getBytes(StandardCharsets.ISO_8859_1));
     }
 
-    private static Optional<Long> seconds(String text) {
+    private static Optional<Long> parseSeconds(String text) {
         try {
             return Optional.of(Long.parseLong(text));
         } catch (NumberFormatException failure) {
-            // A time that is no number grants nothing that could be relied on.
+            // A timeout that can't be parsed is treated as not announced.
             return Optional.empty();
         }
     }
--- a/src/main/java/io/waxwingquay/net/ServerExchange.java
+++ b/src/main/java/io/waxwingquay/net/ServerExchange.java
@@ -5,7 +5,7 @@
 import org.eclipse.jetty.http.HttpFields;
 
 /**
- * One request of a caller and the way back to it. Whatever is sent after the caller has gone is dropped.
+ * A request from a caller together with its response. Output after the caller has disconnected is discarded.
  */
 public final class ServerExchange {
 
@@ -14,7 +14,7 @@
     private final ServerConnection connection;
     private final ServerRequest request;
     private final boolean persistent;
-    private Runnable onGone = () -> {};
+    private Runnable onDisconnect = () -> {};
     private State state = State.WAITING;
 
     ServerExchange(ServerConnection connection, ServerRequest request, boolean persistent) {
@@ -24,37 +24,37 @@
     }
 
     /**
-     * The request.
+     * Returns the request.
      *
-     * @return the whole request.
+     * @return the complete request.
      */
     public ServerRequest request() {
         return request;
     }
 
     /**
-     * Sets what is done when the caller closes before its answer is complete.
+     * Sets the action for a caller that disconnects before its response is complete.
      *
      * @param action called at most once, on the loop.
      */
-    public void onGone(Runnable action) {
-        this.onGone = action;
+    public void onDisconnect(Runnable action) {
+        this.onDisconnect = action;
     }
 
     /**
-     * Whether nothing of an answer has been sent yet.
+     * Returns whether no response has been started.
      *
-     * @return whether a whole answer can still be sent.
+     * @return whether a complete response can still be sent.
      */
     public boolean isUnanswered() {
         return state == State.WAITING;
     }
 
     /**
-     * Sends a whole answer.
+     * Sends a complete response.
      *
-     * @param status the status.
-     * @param fields header fields; the framing is added.
+     * @param status the HTTP status.
+     * @param fields the header fields, without framing, which is added.
      * @param body the body.
      */
     public void respond(int status, HttpFields fields, byte[] body) {
@@ -62,26 +62,26 @@
             return;
         }
         state = State.ENDED;
-        boolean closes = closes();
-        ByteBuffer buffer = head(status, fields, body.length);
+        boolean closesConnection = closesConnection();
+        ByteBuffer buffer = startHead(status, fields, body.length);
         MessageHead.put(buffer, "Content-Length: " + body.length + "\r\n");
-        finishHead(buffer, closes);
-        if (body.length <= buffer.remaining() && !isHead()) {
+        finishHead(buffer, closesConnection);
+        if (body.length <= buffer.remaining() && !isHeadRequest()) {
             buffer.put(body);
             connection.send(buffer.flip());
         } else {
             connection.send(buffer.flip());
-            connection.send(ByteBuffer.wrap(isHead() ? new byte[0] : body));
+            connection.send(ByteBuffer.wrap(isHeadRequest() ? new byte[0] : body));
         }
-        connection.answered(closes);
+        connection.onResponseComplete(closesConnection);
     }
 
     /**
-     * Sends an answer of this process.
+     * Sends a complete response with a plain-text body.
      *
-     * @param status the status.
-     * @param fields header fields.
-     * @param text the body, a sentence.
+     * @param status the HTTP status.
+     * @param fields the header fields.
+     * @param text the body.
      */
     public void respond(int status, HttpFields fields, String text) {
         HttpFields.Mutable all = HttpFields.build(fields).put("Content-Type", "text/plain;charset=utf-8");
@@ -89,49 +89,49 @@
     }
 
     /**
-     * Begins an answer whose length is not known.
+     * Starts a chunked response whose length is not known.
      *
-     * @param status the status.
-     * @param fields header fields; the framing is added.
+     * @param status the HTTP status.
+     * @param fields the header fields, without framing, which is added.
      */
     public void begin(int status, HttpFields fields) {
         if (state != State.WAITING) {
             return;
         }
         state = State.STREAMING;
-        ByteBuffer buffer = head(status, fields, 0);
+        ByteBuffer buffer = startHead(status, fields, 0);
         MessageHead.put(buffer, "Transfer-Encoding: chunked\r\n");
-        finishHead(buffer, closes());
+        finishHead(buffer, closesConnection());
         connection.send(buffer.flip());
     }
 
     /**
-     * Sends a part of an answer that was begun.
+     * Sends a part of the body of a chunked response.
      *
-     * @param bytes the part; taken in before this returns.
+     * @param bytes the part; consumed before this method returns.
      */
     public void write(ByteBuffer bytes) {
         if (state != State.STREAMING || !bytes.hasRemaining()) {
             return;
         }
-        ByteBuffer buffer = connection.output(bytes.remaining());
+        ByteBuffer buffer = connection.responseBuffer(bytes.remaining());
         MessageHead.put(buffer, Integer.toHexString(bytes.remaining()) + "\r\n");
         buffer.put(bytes);
         MessageHead.putEnd(buffer);
         connection.send(buffer.flip());
     }
 
-    /** Ends an answer that was begun, as a complete one. */
+    /** Ends a chunked response as a complete one. */
     public void finish() {
         if (state != State.STREAMING) {
             return;
         }
         state = State.ENDED;
         connection.send(ByteBuffer.wrap(LAST_CHUNK));
-        connection.answered(closes());
+        connection.onResponseComplete(closesConnection());
     }
 
-    /** Closes the connection, so that the answer can't be taken for a complete one. */
+    /** Closes the connection, so that the response can't be mistaken for a complete one. */
     public void abort() {
         if (state != State.ENDED) {
             state = State.ENDED;
@@ -140,44 +140,44 @@
     }
 
     /**
-     * What the caller has not taken yet.
+     * Returns how much of the response the caller has not accepted yet.
      *
-     * @return bytes that wait here.
+     * @return the number of queued bytes.
      */
     public long unsentBytes() {
         return connection.unsentBytes();
     }
 
-    void gone() {
+    void disconnected() {
         if (state != State.ENDED) {
             state = State.ENDED;
-            onGone.run();
+            onDisconnect.run();
         }
     }
 
-    private boolean isHead() {
+    private boolean isHeadRequest() {
         return "HEAD".equals(request.method());
     }
 
-    private boolean closes() {
-        return !persistent || connection.isLeaving();
+    private boolean closesConnection() {
+        return !persistent || connection.isDraining();
     }
 
-    private ByteBuffer head(int status, HttpFields fields, int bodyBytes) {
-        int roomBytes = fields.stream()
+    private ByteBuffer startHead(int status, HttpFields fields, int bodyBytes) {
+        int requiredBytes = fields.stream()
                         .mapToInt(field -> field.getName().length()
                                 + String.valueOf(field.getValue()).length()
                                 + 4)
                         .sum()
                 + bodyBytes;
-        ByteBuffer buffer = connection.output(roomBytes);
+        ByteBuffer buffer = connection.responseBuffer(requiredBytes);
         MessageHead.putStatusLine(buffer, status);
         MessageHead.putFields(buffer, fields);
         return buffer;
     }
 
-    private static void finishHead(ByteBuffer buffer, boolean closes) {
-        if (closes) {
+    private static void finishHead(ByteBuffer buffer, boolean closesConnection) {
+        if (closesConnection) {
             MessageHead.put(buffer, "Connection: close\r\n");
         }
         MessageHead.putEnd(buffer);
--- a/src/main/java/io/waxwingquay/net/TimerQueue.java
+++ b/src/main/java/io/waxwingquay/net/TimerQueue.java
@@ -5,20 +5,20 @@
 import java.util.PriorityQueue;
 import org.eclipse.jetty.util.thread.Scheduler;
 
-/** Tasks to come, by the steady clock; those due at the same time run in the order in which they were added. */
+/** A queue of tasks ordered by monotonic due time; tasks due at the same time run in the order of their addition. */
 final class TimerQueue {
 
     private final PriorityQueue<Timer> timers = new PriorityQueue<>();
-    private long count;
+    private long nextSequence;
 
     Timer add(long dueMillis, Runnable task) {
-        Timer timer = new Timer(dueMillis, count++, task);
+        Timer timer = new Timer(dueMillis, nextSequence++, task);
         timers.add(timer);
         return timer;
     }
 
-    /** Takes out what is due. */
-    List<Runnable> due(long nowMillis) {
+    /** Removes and returns the tasks that are due. */
+    List<Runnable> removeDue(long nowMillis) {
         List<Runnable> tasks = new ArrayList<>();
         while (!timers.isEmpty() && timers.peek().dueMillis <= nowMillis) {
             Timer timer = timers.poll();
@@ -27,7 +27,7 @@
         return tasks;
     }
 
-    /** How long until the next one is due; the largest number if there is none. */
+    /** Returns the delay until the next task is due, or {@link Long#MAX_VALUE} if there is none. */
     long waitMillis(long nowMillis) {
         while (!timers.isEmpty() && timers.peek().cancelled) {
             timers.poll();
@@ -35,17 +35,17 @@
         return timers.isEmpty() ? Long.MAX_VALUE : Math.max(0, timers.peek().dueMillis - nowMillis);
     }
 
-    /** One task to come. */
+    /** A scheduled task. */
     static final class Timer implements Comparable<Timer>, Scheduler.Task {
 
         private final long dueMillis;
-        private final long order;
+        private final long sequence;
         private final Runnable task;
         private boolean cancelled;
 
         private Timer(long dueMillis, long order, Runnable task) {
             this.dueMillis = dueMillis;
-            this.order = order;
+            this.sequence = order;
             this.task = task;
         }
 
@@ -61,7 +61,7 @@
         @Override
         public int compareTo(Timer other) {
             int byTime = Long.compare(dueMillis, other.dueMillis);
-            return byTime != 0 ? byTime : Long.compare(order, other.order);
+            return byTime != 0 ? byTime : Long.compare(sequence, other.sequence);
         }
 
         /** {@inheritDoc} */
@@ -73,7 +73,7 @@
         /** {@inheritDoc} */
         @Override
         public int hashCode() {
-            return Long.hashCode(order);
+            return Long.hashCode(sequence);
         }
 
         private void run() {
--- a/src/main/java/io/waxwingquay/platform/HeaderCodec.java
+++ b/src/main/java/io/waxwingquay/platform/HeaderCodec.java
@@ -9,41 +9,47 @@
 import java.util.regex.Pattern;
 import org.eclipse.jetty.http.HttpFields;
 
-/** The platform's header fields. */
+/** Reads and writes the platform's header fields. */
 public final class HeaderCodec implements MessageCodec {
 
-    /** One attempt of a client; a repeat by this system keeps it. */
+    /** Id of one attempt of a client; a retry by this system keeps it. */
     private static final String ATTEMPT_ID = "Attempt-Id";
 
-    /** Milliseconds, from when the message is sent; not an instant. */
+    /** Remaining time in milliseconds, counted from the sending of the message; not an instant. */
     private static final String DEADLINE_REMAINING = "Deadline-Remaining";
 
-    /** MODEL or MODEL/ADAPTER. */
+    /** Requested model, as MODEL or MODEL/ADAPTER. */
     private static final String MODEL = "Model";
 
-    /** Tokens of the prompt, then the most tokens to generate. */
+    /** Number of prompt tokens and maximum number of tokens to generate, separated by a comma. */
     private static final String TOKEN_COUNTS = "Token-Counts";
 
-    /** ID:TOKENS pairs in order; the last is the request's own or its session's, the others are shared. */
+    /**
+     * Prompt parts as ID:TOKENS pairs in order; the last belongs to the request or its session, the others are
+     * shared.
+     */
     private static final String PROMPT_PREFIX = "Prompt-Prefix";
 
     private static final String LAST_EVENT_ID = "Last-Event-Id";
     private static final String TARGET_REPLICA = "Target-Replica";
     private static final String REQUEST_PRIORITY = "Request-Priority";
 
-    /** Who answered; on a misdirected request this is the replica that has the address now. */
+    /** Id of the replica that answered; for a misdirected request, of the replica that now has the address. */
     private static final String REPLICA_ID = "Replica-Id";
 
-    /** Present, whatever its value, when the replica promises that the request has not run. */
+    /** Present, with any value, if the replica guarantees that the request has not run. */
     private static final String NOT_EXECUTED = "Not-Executed";
 
-    /** Requests a second, a decimal number, from all machines together; not a limit on connections or on load. */
+    /**
+     * Limit in requests per second over all senders together, as a decimal number; it limits neither connections nor
+     * load.
+     */
     private static final String SERVER_LIMIT = "Server-Limit";
 
     private static final String RETRY_AFTER = "Retry-After";
 
-    /** Fields that are the system's to set; one that a client sent must not reach a replica. */
-    private static final List<String> RESERVED = List.of(
+    /** Fields that only this system may set; those sent by a client must not reach a replica. */
+    private static final List<String> RESERVED_FIELDS = List.of(
             TARGET_REPLICA,
             REQUEST_PRIORITY,
             DEADLINE_REMAINING,
@@ -55,12 +61,12 @@
             "Kv-From",
             "Kv-Fetch");
 
-    /** Those that a client sends alike with each attempt at one request. */
-    private static final List<String> IDENTITY = List.of("Host", MODEL, PROMPT_PREFIX);
+    /** Fields whose values a client keeps for each attempt of one request. */
+    private static final List<String> IDENTITY_FIELDS = List.of("Host", MODEL, PROMPT_PREFIX);
 
-    private static final int MISDIRECTED = 421;
-    private static final int UNAVAILABLE = 503;
-    private static final int TOO_MANY = 429;
+    private static final int MISDIRECTED_REQUEST = 421;
+    private static final int SERVICE_UNAVAILABLE = 503;
+    private static final int TOO_MANY_REQUESTS = 429;
     private static final double MILLIS_PER_SECOND = 1_000.0;
     private static final Pattern COMMA = Pattern.compile(",");
 
@@ -69,40 +75,41 @@
     public Ask read(HttpFields fields) {
         String model = fields.get(MODEL);
         int slash = model == null ? -1 : model.indexOf('/');
-        Optional<String> name = Optional.ofNullable(model).map(text -> slash < 0 ? text : text.substring(0, slash));
+        Optional<String> modelName =
+                Optional.ofNullable(model).map(text -> slash < 0 ? text : text.substring(0, slash));
         Optional<String> adapter = slash < 0 ? Optional.empty() : Optional.of(model.substring(slash + 1));
         String[] tokens =
                 COMMA.split(Optional.ofNullable(fields.get(TOKEN_COUNTS)).orElse(""));
         String prefix = Optional.ofNullable(fields.get(PROMPT_PREFIX)).orElse("");
         return new Ask(
                 Optional.ofNullable(fields.get(ATTEMPT_ID)).orElse(""),
-                whole(fields.get(DEADLINE_REMAINING)),
-                name,
+                parseLong(fields.get(DEADLINE_REMAINING)),
+                modelName,
                 adapter,
-                whole(tokens[0]).orElse(0L),
-                tokens.length > 1 ? whole(tokens[1]).orElse(0L) : 0L,
+                parseLong(tokens[0]).orElse(0L),
+                tokens.length > 1 ? parseLong(tokens[1]).orElse(0L) : 0L,
                 prefix.indexOf(',') < 0 ? "" : prefix.substring(0, prefix.lastIndexOf(',')),
-                whole(fields.get(LAST_EVENT_ID)));
+                parseLong(fields.get(LAST_EVENT_ID)));
     }
 
     /** {@inheritDoc} */
     @Override
     public HttpFields toReplica(HttpFields fields, Order order) {
-        HttpFields.Mutable out = MessageHead.endToEnd(fields);
-        RESERVED.forEach(out::remove);
-        out.put(TARGET_REPLICA, order.replicaId());
-        out.put(DEADLINE_REMAINING, Long.toString(order.remainingMillis()));
-        order.rank().ifPresent(rank -> out.put(REQUEST_PRIORITY, Integer.toString(rank)));
-        order.lastEventId().ifPresent(id -> out.put(LAST_EVENT_ID, Long.toString(id)));
-        return out;
+        HttpFields.Mutable replicaFields = MessageHead.endToEndFields(fields);
+        RESERVED_FIELDS.forEach(replicaFields::remove);
+        replicaFields.put(TARGET_REPLICA, order.replicaId());
+        replicaFields.put(DEADLINE_REMAINING, Long.toString(order.remainingMillis()));
+        order.rank().ifPresent(rank -> replicaFields.put(REQUEST_PRIORITY, Integer.toString(rank)));
+        order.lastEventId().ifPresent(id -> replicaFields.put(LAST_EVENT_ID, Long.toString(id)));
+        return replicaFields;
     }
 
     /** {@inheritDoc} */
     @Override
     public Reply reply(int status, HttpFields fields) {
         boolean notExecuted = fields.contains(NOT_EXECUTED);
-        boolean misdirected = status == MISDIRECTED;
-        boolean full = notExecuted && (status == UNAVAILABLE || status == TOO_MANY);
+        boolean misdirected = status == MISDIRECTED_REQUEST;
+        boolean full = notExecuted && (status == SERVICE_UNAVAILABLE || status == TOO_MANY_REQUESTS);
         String id = Optional.ofNullable(fields.get(ATTEMPT_ID)).orElse("");
         return new Reply(
                 id,
@@ -110,28 +117,28 @@
                 misdirected,
                 full,
                 Optional.ofNullable(fields.get(REPLICA_ID)),
-                decimal(fields.get(SERVER_LIMIT)));
+                parseLimit(fields.get(SERVER_LIMIT)));
     }
 
     /** {@inheritDoc} */
     @Override
     public List<String> identity(HttpFields fields) {
-        return IDENTITY.stream()
+        return IDENTITY_FIELDS.stream()
                 .map(name -> Optional.ofNullable(fields.get(name)).orElse(""))
                 .toList();
     }
 
     /** {@inheritDoc} */
     @Override
-    public HttpFields refusal(Optional<Long> comeBackMillis) {
+    public HttpFields refusal(Optional<Long> retryAfterMillis) {
         HttpFields.Mutable fields = HttpFields.build();
-        comeBackMillis.ifPresent(
+        retryAfterMillis.ifPresent(
                 millis -> fields.put(RETRY_AFTER, String.format(Locale.ROOT, "%.3f", millis / MILLIS_PER_SECOND)));
         return fields;
     }
 
-    /** What is no number, or less than none, names no limit. */
-    private static OptionalDouble decimal(String text) {
+    /** Parses a limit; a value that is not a finite, non-negative number sets none. */
+    private static OptionalDouble parseLimit(String text) {
         if (text == null || text.isBlank()) {
             return OptionalDouble.empty();
         }
@@ -143,14 +150,14 @@
         }
     }
 
-    private static Optional<Long> whole(String text) {
+    private static Optional<Long> parseLong(String text) {
         if (text == null || text.isBlank()) {
             return Optional.empty();
         }
         try {
             return Optional.of(Long.parseLong(text.trim()));
         } catch (NumberFormatException failure) {
-            // What can't be read is treated as not said; the replica sees the caller's own text.
+            // A value that can't be parsed is treated as absent; the replica receives the caller's original text.
             return Optional.empty();
         }
     }
--- a/src/main/java/io/waxwingquay/platform/PreparedPlatform.java
+++ b/src/main/java/io/waxwingquay/platform/PreparedPlatform.java
@@ -10,17 +10,17 @@
 import java.util.Optional;
 
 /**
- * What the platform offers to one process. All of it runs on the loop.
+ * The services of the prepared platform to one process: its store and the engine. All of it runs on the loop.
  */
 public final class PreparedPlatform {
 
-    /** The path at which the platform asks whether a process is ready. */
+    /** The path of the platform's readiness check. */
     public static final String READINESS_PATH = "/readyz";
 
-    /** Well above a slow answer of the store, so that a slow store is not taken for a lost one. */
+    /** Timeout of calls to the store; well above its slow answers, so that a slow store does not count as lost. */
     private static final long STORE_TIMEOUT_MILLIS = 1_500L;
 
-    /** Other processes of ours answer from memory; one that does not is asked no longer. */
+    /** Timeout of calls to other processes of this system, which answer from memory. */
     private static final long COPY_TIMEOUT_MILLIS = 600L;
 
     private static final String CONFIGURATION_TABLE = "op";
@@ -29,41 +29,41 @@
     private static final String READ_PATH = "/rows-get?table=";
 
     private final EventLoop loop;
-    private final HttpCaller store;
+    private final PlatformClient store;
     private final Map<String, TableCopy> copies =
             Map.of(CONFIGURATION_TABLE, new TableCopy(), REPLICA_TABLE, new TableCopy());
 
     /**
-     * The platform as one process reaches it.
+     * Creates the platform access of a process.
      *
-     * @param loop where everything runs.
-     * @param storeAddress the platform's store.
+     * @param loop the event loop on which everything runs.
+     * @param storeAddress the address of the platform's store.
      */
     public PreparedPlatform(EventLoop loop, HostPort storeAddress) {
         this.loop = loop;
-        this.store = new HttpCaller(loop, storeAddress, STORE_TIMEOUT_MILLIS);
+        this.store = new PlatformClient(loop, storeAddress, STORE_TIMEOUT_MILLIS);
     }
 
     /**
-     * The operator's table, of which the configuration is one row.
+     * Returns the operator's table, in which the configuration is one row.
      *
      * @return the table.
      */
-    public WatchedTable<Manifest> manifests() {
-        return manifests(store);
+    public WatchedTable<Manifest> configurationTable() {
+        return configurationTable(store);
     }
 
     /**
-     * The operator's table as another process read it.
+     * Returns the operator's table as last read by another process.
      *
-     * @param peer where that process answers for its copies.
-     * @return the table; it can be read, not followed.
+     * @param peer the address of that process's admin server.
+     * @return the table; it can be read but not watched.
      */
-    public WatchedTable<Manifest> manifestsAt(HostPort peer) {
-        return manifests(new HttpCaller(loop, peer, COPY_TIMEOUT_MILLIS));
+    public WatchedTable<Manifest> configurationTableAt(HostPort peer) {
+        return configurationTable(new PlatformClient(loop, peer, COPY_TIMEOUT_MILLIS));
     }
 
-    private WatchedTable<Manifest> manifests(HttpCaller caller) {
+    private WatchedTable<Manifest> configurationTable(PlatformClient caller) {
         return new StoreTable<>(
                 caller,
                 CONFIGURATION_TABLE,
@@ -72,51 +72,51 @@
     }
 
     /**
-     * The list in which replicas enter themselves.
+     * Returns the table in which replicas register themselves.
      *
      * @return the table.
      */
-    public WatchedTable<ReplicaRecord> replicas() {
-        return replicas(store);
+    public WatchedTable<ReplicaRecord> replicaTable() {
+        return replicaTable(store);
     }
 
     /**
-     * The list of replicas as another process read it.
+     * Returns the replica table as last read by another process.
      *
-     * @param peer where that process answers for its copies.
-     * @return the table; it can be read, not followed.
+     * @param peer the address of that process's admin server.
+     * @return the table; it can be read but not watched.
      */
-    public WatchedTable<ReplicaRecord> replicasAt(HostPort peer) {
-        return replicas(new HttpCaller(loop, peer, COPY_TIMEOUT_MILLIS));
+    public WatchedTable<ReplicaRecord> replicaTableAt(HostPort peer) {
+        return replicaTable(new PlatformClient(loop, peer, COPY_TIMEOUT_MILLIS));
     }
 
-    private WatchedTable<ReplicaRecord> replicas(HttpCaller caller) {
+    private WatchedTable<ReplicaRecord> replicaTable(PlatformClient caller) {
         return new StoreTable<>(caller, REPLICA_TABLE, ReplicaReader::row, copies.get(REPLICA_TABLE));
     }
 
     /**
-     * Answers another process that reads a table here.
+     * Returns this process's copy of a table for another process, in the store's own format.
      *
-     * @param target the path and query that it asks for.
-     * @return the rows as this process read them last; empty if nothing of the kind is known here.
+     * @param target the requested path and query.
+     * @return the encoded rows as last read by this process; empty if the target is no known table or was never read.
      */
-    public Optional<byte[]> copy(String target) {
+    public Optional<byte[]> encodedCopy(String target) {
         if (!target.startsWith(READ_PATH)) {
             return Optional.empty();
         }
         String rest = target.substring(READ_PATH.length());
         String table = rest.indexOf('&') < 0 ? rest : rest.substring(0, rest.indexOf('&'));
-        return Optional.ofNullable(copies.get(table)).flatMap(TableCopy::page);
+        return Optional.ofNullable(copies.get(table)).flatMap(TableCopy::encode);
     }
 
     /**
-     * The engine on this VM.
+     * Returns the control of the engine on this VM.
      *
-     * @param address where it is.
+     * @param address the engine's address.
      * @param holder the name under which this process gives orders.
-     * @return its control.
+     * @return the engine's control.
      */
-    public EngineControl engine(HostPort address, String holder) {
+    public EngineControl engineControl(HostPort address, String holder) {
         return new HttpEngineControl(loop, address, holder);
     }
 }
--- a/src/main/java/io/waxwingquay/platform/TableCopy.java
+++ b/src/main/java/io/waxwingquay/platform/TableCopy.java
@@ -9,30 +9,30 @@
 import java.util.Optional;
 
 /**
- * The rows of one table as this process read them last, in the store's own form, so that a process which the store turns
- * away can read them here in the same way.
+ * A copy of one table as last read by this process, in the store's own format, so that a process which can't reach the
+ * store can read it here in the same way.
  */
 final class TableCopy {
 
     private final Map<String, JsonNode> rows = new LinkedHashMap<>();
     private long version;
 
-    /** All rows were read as of a version; an older reading changes nothing. */
-    void whole(long newVersion, List<JsonNode> newRows) {
+    /** Replaces all rows with those read as of a version; an older version has no effect. */
+    void replaceAll(long newVersion, List<JsonNode> newRows) {
         if (newVersion < version) {
             return;
         }
         rows.clear();
-        changed(newVersion, newRows);
+        applyChanges(newVersion, newRows);
     }
 
-    /** Rows have changed, or were dropped. */
-    void changed(long newVersion, List<JsonNode> changes) {
+    /** Applies changed and deleted rows; an older version has no effect. */
+    void applyChanges(long newVersion, List<JsonNode> changes) {
         if (newVersion < version) {
             return;
         }
         version = newVersion;
-        changes.forEach(row -> Wire.text(row, "key").ifPresent(key -> {
+        changes.forEach(row -> JsonFields.text(row, "key").ifPresent(key -> {
             if (row.path("deleted").asBoolean(false)) {
                 rows.remove(key);
             } else {
@@ -41,16 +41,16 @@
         }));
     }
 
-    /** One page with all rows; empty before the table was read. */
-    Optional<byte[]> page() {
+    /** Encodes all rows as one page; empty before the table was read. */
+    Optional<byte[]> encode() {
         if (version == 0) {
             return Optional.empty();
         }
-        ObjectNode page = Wire.MAPPER.createObjectNode();
+        ObjectNode page = JsonFields.MAPPER.createObjectNode();
         ArrayNode list = page.putArray("rows");
         rows.values().forEach(list::add);
         page.put("ver", version);
         page.put("has_more", false);
-        return Optional.of(Wire.write(page));
+        return Optional.of(JsonFields.write(page));
     }
 }
--- a/src/test/java/io/waxwingquay/hosted/HostedPathTest.java
+++ b/src/test/java/io/waxwingquay/hosted/HostedPathTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import io.waxwingquay.hosted.HostedWorld.Answer;
+import io.waxwingquay.hosted.HostedDeployment.Answer;
 import io.waxwingquay.net.EventLoop;
 import io.waxwingquay.net.ServerExchange;
 import io.waxwingquay.standin.prepared.EngineStandin;
@@ -30,294 +30,299 @@
 
     private static final String MODEL = "Model: m\r\n";
     private static final String POISON = "poison";
-    private static final Behaviour SHED =
+    private static final Behaviour REJECT =
             (engine, caller) -> caller.respond(503, HttpFields.build().put("Not-Executed", "1"), "full");
     private static final Behaviour FAIL =
             (engine, caller) -> caller.respond(500, engine.fields(caller), "its own failure");
-    private static final Behaviour CUT = (engine, caller) -> caller.abort();
+    private static final Behaviour ABORT = (engine, caller) -> caller.abort();
 
-    private HostedWorld world;
+    private HostedDeployment deployment;
 
     @BeforeEach
     void start() throws Exception {
-        world = new HostedWorld();
+        deployment = new HostedDeployment();
     }
 
     @AfterEach
     void stop() {
-        world.close();
+        deployment.close();
     }
 
     @Test
-    void answerComesBackWithItsSealAndBody() throws Exception {
-        Answer answer = world.ask("POST", "/p/1", "a1", "", "hello");
+    void responseKeepsItsSealAndBody() throws Exception {
+        Answer answer = deployment.ask("POST", "/p/1", "a1", "", "hello");
         assertEquals(200, answer.status());
         assertEquals("hello", answer.body());
         assertTrue(answer.head().contains("Server-Seal: seal-of-p"));
     }
 
-    // A replica runs a payment and its answer is lost. Were it sent to the other replica, the family would pay
-    // twice; the caller gets a status that promises nothing.
+    // Guards against a non-idempotent request that runs twice, because it is retried at another replica after its
+    // answer was lost. The caller gets a status that leaves open whether it has run.
     @Test
     void nonIdempotentRequestWhoseAnswerIsLostRunsOnce() throws Exception {
-        plain(CUT);
-        Answer answer = world.ask("POST", "/once/1", "a2", "", "pay");
+        setPlainBehaviour(ABORT);
+        Answer answer = deployment.ask("POST", "/once/1", "a2", "", "pay");
         assertEquals(502, answer.status());
-        assertEquals(List.of("a2"), runs());
+        assertEquals(List.of("a2"), plainRuns());
     }
 
-    // A replica says that it did not run the payment. Only then may another one get it.
+    // Guards against giving up on a non-idempotent request that its replica guarantees not to have run; only such a
+    // request is retried elsewhere.
     @Test
-    void nonIdempotentRequestThatDidNotRunGoesElsewhere() throws Exception {
-        world.plain1.behaviour(SHED);
-        world.plain2.behaviour(SHED);
-        Answer refused = world.ask("POST", "/once/1", "a3", "", "pay");
+    void nonIdempotentRequestThatDidNotRunIsRetriedElsewhere() throws Exception {
+        deployment.plain1.behaviour(REJECT);
+        deployment.plain2.behaviour(REJECT);
+        Answer refused = deployment.ask("POST", "/once/1", "a3", "", "pay");
         assertEquals(503, refused.status());
         assertTrue(refused.head().contains("Retry-After: "), refused.head());
-        assertEquals(2, runs().size());
+        assertEquals(2, plainRuns().size());
     }
 
-    // A lookup is cut off at one replica. It may be repeated, so the caller sees nothing of it.
+    // Guards against a failure that reaches the caller although its request is idempotent and can be retried.
     @Test
-    void idempotentRequestGoesOnElsewhere() throws Exception {
-        world.plain1.behaviour(CUT);
-        world.plain2.behaviour(Behaviour.ECHO);
+    void idempotentRequestIsRetriedElsewhere() throws Exception {
+        deployment.plain1.behaviour(ABORT);
+        deployment.plain2.behaviour(Behaviour.ECHO);
         for (int number = 0; number < 4; number++) {
             assertEquals(
-                    200, world.ask("POST", "/p/1", "a4-" + number, "", "look").status());
+                    200,
+                    deployment.ask("POST", "/p/1", "a4-" + number, "", "look").status());
         }
     }
 
     @Test
-    void replicasOwnFailureKeepsItsStatusAndSeal() throws Exception {
-        plain(FAIL);
-        Answer answer = world.ask("POST", "/once/1", "a5", "", "pay");
+    void failureResponseOfAReplicaKeepsItsStatusAndSeal() throws Exception {
+        setPlainBehaviour(FAIL);
+        Answer answer = deployment.ask("POST", "/once/1", "a5", "", "pay");
         assertEquals(500, answer.status());
         assertEquals("its own failure", answer.body());
         assertTrue(answer.head().contains("Server-Seal: "));
     }
 
-    // An engine breaks off in the middle of an event. The caller must get each event once, whole and in order, from
-    // whichever engine made it, and an end only when all are there.
+    // Guards against lost, repeated or partial events when an engine aborts a stream within an event and another engine
+    // resumes it. The end must follow only after all events.
     @Test
-    void brokenStreamGoesOnWhereItEnded() throws Exception {
-        world.engine1.behaviour(Behaviour.stream(6, 3));
-        world.engine2.behaviour(Behaviour.stream(6, 0));
+    void abortedStreamIsResumedWhereItEnded() throws Exception {
+        deployment.engine1.behaviour(Behaviour.stream(6, 3));
+        deployment.engine2.behaviour(Behaviour.stream(6, 0));
         for (int number = 0; number < 3; number++) {
-            Answer answer = world.ask("POST", "/s/1", "a6-" + number, MODEL, "");
+            Answer answer = deployment.ask("POST", "/s/1", "a6-" + number, MODEL, "");
             assertTrue(answer.complete(), answer.body());
             assertEquals(events(6), answer.body());
         }
     }
 
-    // The only engine with the model takes longer than usual for a first event. Were the request given up there,
-    // its caller would get a failure in place of its answer.
+    // Guards against a failure in place of a late response: the only engine with the model takes longer than usual
+    // for the first event, and the request must not be abandoned there.
     @Test
-    void slowReplicaIsNotGivenUpWithoutAnother() throws Exception {
-        world.store.remove("servers", "e2");
+    void slowReplicaIsNotAbandonedWithoutAnAlternative() throws Exception {
+        deployment.store.remove("servers", "e2");
         Await.until(() -> {
-            int before = world.engine2.ran().size();
+            int before = deployment.engine2.ran().size();
             for (int number = 0; number < 4; number++) {
-                world.ask("POST", "/s/1", "a21", MODEL, "");
+                deployment.ask("POST", "/s/1", "a21", MODEL, "");
             }
-            return world.engine2.ran().size() == before;
+            return deployment.engine2.ran().size() == before;
         });
         Behaviour events = Behaviour.stream(2, 0);
-        world.engine1.behaviour((engine, caller) -> world.later(1_500, () -> events.run(engine, caller)));
-        Answer answer = world.ask("POST", "/quick/1", "a22", MODEL, "");
+        deployment.engine1.behaviour((engine, caller) -> deployment.schedule(1_500, () -> events.run(engine, caller)));
+        Answer answer = deployment.ask("POST", "/quick/1", "a22", MODEL, "");
         assertEquals(events(2), answer.body());
     }
 
-    // Both engines break off. What the caller has is a part, so the end must not look like one.
+    // Guards against a truncated stream that looks complete, after both engines have aborted it.
     @Test
-    void streamThatCannotGoOnDoesNotLookComplete() throws Exception {
-        world.engine1.behaviour(Behaviour.stream(6, 3));
-        world.engine2.behaviour(Behaviour.stream(6, 4));
-        Answer answer = world.ask("POST", "/s/1", "a7", MODEL, "");
+    void streamThatCannotBeResumedDoesNotLookComplete() throws Exception {
+        deployment.engine1.behaviour(Behaviour.stream(6, 3));
+        deployment.engine2.behaviour(Behaviour.stream(6, 4));
+        Answer answer = deployment.ask("POST", "/s/1", "a7", MODEL, "");
         assertFalse(answer.complete());
         assertTrue(events(6).startsWith(answer.body()), answer.body());
     }
 
     @Test
     void adapterIsLoadedBeforeItsRequestIsSent() throws Exception {
-        world.engine1.behaviour(Behaviour.stream(2, 0));
-        world.engine2.behaviour(Behaviour.stream(2, 0));
-        Await.until(() -> world.ask("POST", "/s/1", "a8", "Model: m/a1\r\n", "").status() == 200);
+        deployment.engine1.behaviour(Behaviour.stream(2, 0));
+        deployment.engine2.behaviour(Behaviour.stream(2, 0));
+        Await.until(() ->
+                deployment.ask("POST", "/s/1", "a8", "Model: m/a1\r\n", "").status() == 200);
     }
 
     @Test
-    void unknownRouteIsRefusedForGood() throws Exception {
-        assertEquals(404, world.ask("GET", "/nowhere/1", "a9", "", "").status());
+    void unknownRouteIsAnsweredWithNotFound() throws Exception {
+        assertEquals(404, deployment.ask("GET", "/nowhere/1", "a9", "", "").status());
     }
 
-    // A replica tells that it leaves. It still answers, but a request sent there may be cut when it goes.
+    // Guards against requests to a draining replica. It still answers, but may abort them when it exits.
     @Test
-    void leavingReplicaGetsNoNewWork() throws Exception {
-        world.list(world.plain1, "p1", "plain", "draining");
+    void drainingReplicaGetsNoNewWork() throws Exception {
+        deployment.register(deployment.plain1, "p1", "plain", "draining");
         Await.until(() -> {
-            int before = world.plain1.ran().size();
+            int before = deployment.plain1.ran().size();
             for (int number = 0; number < 6; number++) {
-                world.ask("POST", "/p/1", "a10", "", "x");
+                deployment.ask("POST", "/p/1", "a10", "", "x");
             }
-            return world.plain1.ran().size() == before;
+            return deployment.plain1.ran().size() == before;
         });
-        assertEquals(200, world.ask("POST", "/p/1", "a11", "", "x").status());
+        assertEquals(200, deployment.ask("POST", "/p/1", "a11", "", "x").status());
     }
 
-    // The store goes away and drops what it held. Requests go on as before, from what is known.
+    // Guards against requests that fail while the store is unavailable and has lost its rows; the last known state is
+    // used.
     @Test
-    void storeThatIsAwayStopsNoRequest() throws Exception {
-        world.store.away(true);
-        world.store.remove("servers", "p1");
-        world.store.remove("servers", "p2");
+    void requestsAreServedWhileTheStoreIsUnavailable() throws Exception {
+        deployment.store.away(true);
+        deployment.store.remove("servers", "p1");
+        deployment.store.remove("servers", "p2");
         for (int number = 0; number < 5; number++) {
-            assertEquals(200, world.ask("POST", "/p/1", "a12", "", "x").status());
+            assertEquals(200, deployment.ask("POST", "/p/1", "a12", "", "x").status());
         }
-        assertEquals(200, world.ready());
+        assertEquals(200, deployment.readyStatus());
     }
 
-    // The store turns one VM away and serves the others. An entry that starts there would refuse every caller,
-    // though the next VM knows all that it needs.
+    // Guards against an entry that starts where the store is unreachable and rejects every caller, although another
+    // entry has all the data that it needs.
     @Test
-    void entryThatTheStoreTurnsAwayTakesWhatAnotherEntryKnows() throws Exception {
-        world.startCutOffEntry();
-        Await.until(() -> world.askSecond("/p/1", "a17").status() == 200);
+    void entryWithoutTheStoreReadsTheCopyOfAnotherEntry() throws Exception {
+        deployment.startEntryWithoutStore();
+        Await.until(() -> deployment.askSecond("/p/1", "a17").status() == 200);
     }
 
-    // Later the operator changes a route. The entry that the store turns away hears that there is a newer version,
-    // and must put it in force too, or its callers go by what is no more.
+    // Guards against an outdated configuration at an entry that can't reach the store: an update announces a newer
+    // version, which has to be applied too.
     @Test
-    void entryThatTheStoreTurnsAwayFollowsANewerConfiguration() throws Exception {
-        world.startCutOffEntry();
-        Await.until(() -> world.askSecond("/p/1", "a18").status() == 200);
-        world.manifest(2, "/q/");
-        Await.until(() -> world.askSecond("/q/1", "a19").status() == 200);
-        assertEquals(404, world.askSecond("/p/1", "a20").status());
+    void entryWithoutTheStoreAppliesANewerConfiguration() throws Exception {
+        deployment.startEntryWithoutStore();
+        Await.until(() -> deployment.askSecond("/p/1", "a18").status() == 200);
+        deployment.configure(2, "/q/");
+        Await.until(() -> deployment.askSecond("/q/1", "a19").status() == 200);
+        assertEquals(404, deployment.askSecond("/p/1", "a20").status());
     }
 
-    // A request hides another in its body. The replica must see one request, with that body.
+    // Guards against request smuggling: a request that is hidden in the body of another must not run.
     @Test
-    void requestInABodyIsNoRequest() throws Exception {
-        String hidden = HostedWorld.request("POST", "/once/2", "hidden", "", "");
-        Answer answer = world.ask("POST", "/once/1", "a13", "", hidden);
+    void requestInABodyIsNotRun() throws Exception {
+        String hidden = HostedDeployment.request("POST", "/once/2", "hidden", "", "");
+        Answer answer = deployment.ask("POST", "/once/1", "a13", "", hidden);
         assertEquals(hidden, answer.body());
-        assertEquals(List.of("a13"), runs());
+        assertEquals(List.of("a13"), plainRuns());
     }
 
     @Test
-    void keptConnectionTakesOneRequestAfterTheOther() throws Exception {
-        try (Socket socket = world.connect()) {
+    void persistentConnectionServesConsecutiveRequests() throws Exception {
+        try (Socket socket = deployment.connect()) {
             for (int number = 0; number < 3; number++) {
-                String request = HostedWorld.request("POST", "/p/1", "a14-" + number, "", "body " + number);
+                String request = HostedDeployment.request("POST", "/p/1", "a14-" + number, "", "body " + number);
                 assertEquals(
-                        "body " + number, HostedWorld.exchange(socket, request).body());
+                        "body " + number,
+                        HostedDeployment.exchange(socket, request).body());
             }
         }
     }
 
-    // A caller leaves while an engine works for it. The engine's own channel must close, or it works on for nobody.
+    // Guards against wasted work of an engine whose caller has disconnected; its connection has to be closed too.
     @Test
-    void workEndsWhenItsCallerLeaves() throws Exception {
-        CompletableFuture<Void> left = new CompletableFuture<>();
-        Behaviour endless = (engine, caller) -> caller.onGone(() -> left.complete(null));
-        world.engine1.behaviour(endless);
-        world.engine2.behaviour(endless);
-        try (Socket socket = world.connect()) {
-            String request = HostedWorld.request("POST", "/s/1", "a15", MODEL, "");
+    void workEndsWhenItsCallerDisconnects() throws Exception {
+        CompletableFuture<Void> disconnected = new CompletableFuture<>();
+        Behaviour unanswered = (engine, caller) -> caller.onDisconnect(() -> disconnected.complete(null));
+        deployment.engine1.behaviour(unanswered);
+        deployment.engine2.behaviour(unanswered);
+        try (Socket socket = deployment.connect()) {
+            String request = HostedDeployment.request("POST", "/s/1", "a15", MODEL, "");
             socket.getOutputStream().write(request.getBytes(StandardCharsets.ISO_8859_1));
-            Await.until(() -> world.engine1.ran().size() + world.engine2.ran().size() > 0);
+            Await.until(() ->
+                    deployment.engine1.ran().size() + deployment.engine2.ran().size() > 0);
         }
-        Await.value(left);
+        Await.value(disconnected);
     }
 
-    // A caller sends a payment and leaves before a connection to a replica stands. The payment was not sent yet,
-    // but it went out once the connection stood, and a replica ran it for nobody. What has left may have run and is
-    // left to end; what has not is not sent any more.
+    // Guards against a non-idempotent request that is sent after its caller has disconnected, because the connection
+    // to the replica was not established before. A request that has been sent may have run, and continues; any other
+    // is dropped.
     @Test
-    void paymentThatHasNotLeftIsNotSentForACallerWhoLeft() throws Exception {
-        world.standingStill(() -> {
-            try (Socket socket = world.connect()) {
-                String request = HostedWorld.request("POST", "/once/1", "a24", "", "pay");
+    void unsentRequestIsNotSentAfterItsCallerDisconnects() throws Exception {
+        deployment.whileStalled(() -> {
+            try (Socket socket = deployment.connect()) {
+                String request = HostedDeployment.request("POST", "/once/1", "a24", "", "pay");
                 socket.getOutputStream().write(request.getBytes(StandardCharsets.ISO_8859_1));
             }
         });
         for (int number = 0; number < 4; number++) {
             assertEquals(
                     200,
-                    world.ask("POST", "/once/1", "a25-" + number, "", "pay").status());
+                    deployment
+                            .ask("POST", "/once/1", "a25-" + number, "", "pay")
+                            .status());
         }
-        assertEquals(List.of(), runs().stream().filter("a24"::equals).toList());
+        assertEquals(List.of(), plainRuns().stream().filter("a24"::equals).toList());
     }
 
-    // Both engines' machines stand still while they hold a stream that may not be run twice. Its caller leaves
-    // after two seconds without an event, and an engine that stands still can't be told: it works on for nobody
-    // when it wakes. So the caller is answered before it leaves, with a status that promises nothing.
+    // Guards against a caller that disconnects, after two seconds without an event, from a stream that may not run
+    // twice and is held by an unresponsive engine. The engine can't be notified and would resume useless work later.
+    // So the caller is answered before that, with a status that leaves open whether the request has run.
     @Test
-    void requestAtAFrozenEngineIsGivenUpBeforeItsCallerLeaves() throws Exception {
-        standStill();
-        assertEquals(502, world.ask("POST", "/live/1", "a25", MODEL, "").status());
+    void requestAtAnUnresponsiveEngineIsAnsweredBeforeItsCallerDisconnects() throws Exception {
+        freezeEngines();
+        assertEquals(502, deployment.ask("POST", "/live/1", "a25", MODEL, "").status());
     }
 
-    // The engines stand still, and so do the processes beside them that are asked for an adapter. The request was
-    // never sent, and held until its time limit; it has not run, and its caller is told so while it can still come
-    // back.
+    // Guards against holding a request until its deadline when the engines and the side processes that are asked to
+    // load its adapter are unresponsive. It has not run, and is rejected while its caller can still retry.
     @Test
-    void requestWhoseAdapterDoesNotComeIsRefused() throws Exception {
-        standStill();
-        Answer answer = world.ask("POST", "/live/1", "a28", "Model: m/a2\r\n", "");
+    void requestWhoseAdapterIsNotLoadedIsRejected() throws Exception {
+        freezeEngines();
+        Answer answer = deployment.ask("POST", "/live/1", "a28", "Model: m/a2\r\n", "");
         assertEquals(503, answer.status());
         assertTrue(answer.body().contains("adapter a2 does not come"), answer.body());
     }
 
-    // An engine answers while the entry stands still. When it wakes, the entry looked at the time before it read what
-    // had
-    // come: the engine had been silent for too long, and its answer was thrown away.
+    // Guards against discarding an answer that arrived while the entry was stalled. After the stall, the entry
+    // checked the silence of the engine before it read the input.
     @Test
-    void answerThatCameWhileTheEntryStoodStillIsPassedOn() throws Exception {
-        Await.until(() -> world.dump().contains("engines_heard=2"));
-        Behaviour soon = (engine, caller) ->
-                world.later(300, () -> Behaviour.stream(2, 0).run(engine, caller));
-        world.engine1.behaviour(soon);
-        world.engine2.behaviour(soon);
-        CompletableFuture<Answer> asked = CompletableFuture.supplyAsync(() -> {
+    void answerReceivedDuringAStallIsForwarded() throws Exception {
+        Await.until(() -> deployment.dump().contains("engines_heard=2"));
+        Behaviour delayed = (engine, caller) ->
+                deployment.schedule(300, () -> Behaviour.stream(2, 0).run(engine, caller));
+        deployment.engine1.behaviour(delayed);
+        deployment.engine2.behaviour(delayed);
+        CompletableFuture<Answer> response = CompletableFuture.supplyAsync(() -> {
             try {
-                return world.ask("POST", "/live/1", "a31", MODEL, "");
+                return deployment.ask("POST", "/live/1", "a31", MODEL, "");
             } catch (IOException failure) {
                 throw new UncheckedIOException(failure);
             }
         });
-        Await.until(
-                () -> world.engine1.ran().contains("a31") || world.engine2.ran().contains("a31"));
-        long stoodMillis = EventLoop.nowMillis();
-        world.standingStill(() -> Await.until(() -> EventLoop.nowMillis() - stoodMillis >= 2_200));
-        assertEquals(200, Await.value(asked).status());
+        Await.until(() -> deployment.engine1.ran().contains("a31")
+                || deployment.engine2.ran().contains("a31"));
+        long stalledSinceMillis = EventLoop.nowMillis();
+        deployment.whileStalled(() -> Await.until(() -> EventLoop.nowMillis() - stalledSinceMillis >= 2_200));
+        assertEquals(200, Await.value(response).status());
     }
 
-    /** Both engines stand still, after each has been heard. */
-    private void standStill() throws Exception {
-        Await.until(() -> world.dump().contains("engines_heard=2"));
-        world.engine1.freeze(true);
-        world.engine2.freeze(true);
+    /** Makes both engines unresponsive after an update of each has been received. */
+    private void freezeEngines() throws Exception {
+        Await.until(() -> deployment.dump().contains("engines_heard=2"));
+        deployment.engine1.freeze(true);
+        deployment.engine2.freeze(true);
     }
 
-    // A request ends each replica that begins to run it, and its caller sends it again and again, each time as a
-    // new attempt. Were each attempt judged by itself, the deployment would lose a replica for each send. Two
-    // replicas end; from then on it is turned away before it reaches one, with a status that promises that this
-    // attempt did not run. The others, who ran beside it, are answered.
+    // Guards against losing a replica for each attempt of a request that crashes every replica which starts to run
+    // it. After two crashes the request is quarantined: further attempts are rejected as not run. The suspects that
+    // ran beside it are answered.
     @Test
-    void requestThatCrashesReplicasReachesTwoOfThem() throws Exception {
-        Crashes crashes = new Crashes();
-        plain(crashes);
+    void requestThatCrashesReplicasReachesOnlyTwoOfThem() throws Exception {
+        CrashOnPoison crashes = new CrashOnPoison();
+        setPlainBehaviour(crashes);
         List<CompletableFuture<Answer>> bystanders = new ArrayList<>();
         for (int number = 0; number < 6; number++) {
-            bystanders.add(askAside("/p/1", "b25-" + number, "innocent " + number));
+            bystanders.add(askAsync("/p/1", "b25-" + number, "innocent " + number));
         }
-        Await.until(() -> runs().size() == 6);
+        Await.until(() -> plainRuns().size() == 6);
         for (int number = 0; number < 6; number++) {
-            world.ask("POST", "/p/1", "a25-" + number, "", POISON);
+            deployment.ask("POST", "/p/1", "a25-" + number, "", POISON);
         }
-        Answer last = world.ask("POST", "/p/1", "a25-6", "", POISON);
-        assertEquals(2, crashes.count.get());
+        Answer last = deployment.ask("POST", "/p/1", "a25-6", "", POISON);
+        assertEquals(2, crashes.crashCount.get());
         assertEquals(503, last.status());
         assertTrue(last.head().contains("Retry-After: "), last.head());
         for (CompletableFuture<Answer> bystander : bystanders) {
@@ -325,53 +330,52 @@
         }
     }
 
-    // The same request comes through an entry that started after the crashes and that the store turns away. It
-    // knows nothing of them but what the processes beside engines tell it; that has to be enough, or each entry
-    // would cost two replicas more.
+    // Guards against losing two more replicas for each entry that starts after the crashes and can't reach the store.
+    // The updates of side processes have to tell it of the suspect.
     @Test
-    void entryThatStartsLaterRefusesWhatHasCrashedReplicas() throws Exception {
-        Crashes crashes = new Crashes();
-        plain(crashes);
-        world.ask("POST", "/p/1", "a26-0", "", POISON);
-        assertEquals(2, crashes.count.get());
-        world.startCutOffEntry();
-        Await.until(() -> world.dumpSecond().contains("suspects=1"));
-        Await.until(() -> world.askSecond("/p/1", "a26-1", "innocent").status() == 200);
-        assertEquals(503, world.askSecond("/p/1", "a26-2", POISON).status());
-        assertEquals(2, crashes.count.get());
-    }
-
-    // The same for a stream that no engine has given an event of.
+    void entryStartedLaterRejectsAQuarantinedRequest() throws Exception {
+        CrashOnPoison crashes = new CrashOnPoison();
+        setPlainBehaviour(crashes);
+        deployment.ask("POST", "/p/1", "a26-0", "", POISON);
+        assertEquals(2, crashes.crashCount.get());
+        deployment.startEntryWithoutStore();
+        Await.until(() -> deployment.dumpSecond().contains("suspects=1"));
+        Await.until(() -> deployment.askSecond("/p/1", "a26-1", "innocent").status() == 200);
+        assertEquals(503, deployment.askSecond("/p/1", "a26-2", POISON).status());
+        assertEquals(2, crashes.crashCount.get());
+    }
+
+    // Guards against the same loss of engines by a stream that crashes them before its first event.
     @Test
-    void streamThatCrashesEnginesReachesTwoOfThem() throws Exception {
-        world.engine1.behaviour(CUT);
-        world.engine2.behaviour(CUT);
-        assertEquals(502, world.ask("POST", "/s/1", "a27-0", MODEL, "").status());
-        Answer refused = world.ask("POST", "/s/1", "a27-1", MODEL, "");
+    void streamThatCrashesEnginesReachesOnlyTwoOfThem() throws Exception {
+        deployment.engine1.behaviour(ABORT);
+        deployment.engine2.behaviour(ABORT);
+        assertEquals(502, deployment.ask("POST", "/s/1", "a27-0", MODEL, "").status());
+        Answer refused = deployment.ask("POST", "/s/1", "a27-1", MODEL, "");
         assertEquals(503, refused.status());
-        assertEquals(2, world.engine1.ran().size() + world.engine2.ran().size());
+        assertEquals(
+                2, deployment.engine1.ran().size() + deployment.engine2.ran().size());
     }
 
-    // Two replicas break off in the middle of their answers and are sound again. They did not go when they began to
-    // run the request, as a part of an answer had come; were it refused, its caller would wait ten minutes for
-    // nothing.
+    // Guards against a quarantine of ten minutes for a request whose answers were aborted by two replicas that are
+    // healthy again. They did not crash when they started the request, as parts of the answers had arrived.
     @Test
-    void requestWhoseAnswersBrokeOffIsNotRefused() throws Exception {
-        plain((engine, caller) -> {
+    void requestWhoseAnswersWereAbortedIsNotQuarantined() throws Exception {
+        setPlainBehaviour((engine, caller) -> {
             caller.begin(200, HttpFields.build(engine.fields(caller)).put("Content-Type", "text/plain"));
             caller.write(ByteBuffer.wrap("a part".getBytes(StandardCharsets.UTF_8)));
-            world.later(20, caller::abort);
+            deployment.schedule(20, caller::abort);
         });
-        assertEquals(502, world.ask("POST", "/p/1", "a28-0", "", "look").status());
-        plain(Behaviour.ECHO);
-        assertEquals(200, world.ask("POST", "/p/1", "a28-1", "", "look").status());
+        assertEquals(502, deployment.ask("POST", "/p/1", "a28-0", "", "look").status());
+        setPlainBehaviour(Behaviour.ECHO);
+        assertEquals(200, deployment.ask("POST", "/p/1", "a28-1", "", "look").status());
     }
 
-    private CompletableFuture<Answer> askAside(String path, String id, String body) {
+    private CompletableFuture<Answer> askAsync(String path, String id, String body) {
         return CompletableFuture.supplyAsync(
                 () -> {
                     try {
-                        return world.ask("POST", path, id, "", body);
+                        return deployment.ask("POST", path, id, "", body);
                     } catch (IOException failure) {
                         throw new UncheckedIOException(failure);
                     }
@@ -379,14 +383,14 @@
                 task -> new Thread(task).start());
     }
 
-    private void plain(Behaviour behaviour) {
-        world.plain1.behaviour(behaviour);
-        world.plain2.behaviour(behaviour);
+    private void setPlainBehaviour(Behaviour behaviour) {
+        deployment.plain1.behaviour(behaviour);
+        deployment.plain2.behaviour(behaviour);
     }
 
-    private List<String> runs() {
-        List<String> all = new ArrayList<>(world.plain1.ran());
-        all.addAll(world.plain2.ran());
+    private List<String> plainRuns() {
+        List<String> all = new ArrayList<>(deployment.plain1.ran());
+        all.addAll(deployment.plain2.ran());
         return all;
     }
 
@@ -403,37 +407,37 @@
     }
 
     /**
-     * A replica that ends, with all that it runs, when it begins to run one request; it is back at once. Others wait for
-     * their answers until the first crash, and then take a moment each.
+     * Crashes a replica, with all requests that it runs, when it starts the poison request; the replica is back at
+     * once. Other requests are answered shortly after the first crash or their start, whichever is later.
      */
-    private final class Crashes implements Behaviour {
+    private final class CrashOnPoison implements Behaviour {
 
         private static final long ANSWER_MILLIS = 20L;
 
-        private final AtomicInteger count = new AtomicInteger();
+        private final AtomicInteger crashCount = new AtomicInteger();
         private final Map<EngineStandin, List<ServerExchange>> running = new HashMap<>();
 
         @Override
         public void run(EngineStandin engine, ServerExchange caller) {
-            List<ServerExchange> here = running.computeIfAbsent(engine, each -> new ArrayList<>());
+            List<ServerExchange> runningHere = running.computeIfAbsent(engine, each -> new ArrayList<>());
             if (new String(caller.request().body(), StandardCharsets.UTF_8).equals(POISON)) {
-                boolean isFirst = count.incrementAndGet() == 1;
-                here.forEach(ServerExchange::abort);
-                here.clear();
+                boolean isFirst = crashCount.incrementAndGet() == 1;
+                runningHere.forEach(ServerExchange::abort);
+                runningHere.clear();
                 caller.abort();
                 if (isFirst) {
                     running.forEach((other, callers) -> callers.forEach(each -> answerSoon(other, each)));
                 }
                 return;
             }
-            here.add(caller);
-            if (count.get() > 0) {
+            runningHere.add(caller);
+            if (crashCount.get() > 0) {
                 answerSoon(engine, caller);
             }
         }
 
         private void answerSoon(EngineStandin engine, ServerExchange caller) {
-            world.later(ANSWER_MILLIS, () -> {
+            deployment.schedule(ANSWER_MILLIS, () -> {
                 if (running.get(engine).remove(caller)) {
                     Behaviour.ECHO.run(engine, caller);
                 }
--- a/src/test/java/io/waxwingquay/platform/ReplicaReaderTest.java
+++ b/src/test/java/io/waxwingquay/platform/ReplicaReaderTest.java
@@ -31,8 +31,7 @@
         assertEquals(List.of(new ReplicaRecord.ResidentModel("m", List.of("a1"))), record.models());
     }
 
-    // Rows may come from another writer. One that can't be understood names no replica, and must not keep the others
-    // from being read.
+    // Guards against a failure to read the table because of one malformed row, which may come from another writer.
     @ParameterizedTest
     @ValueSource(
             strings = {
@@ -44,16 +43,17 @@
                 "{\"service\":\"s\",\"address\":\"nowhere\",\"slots\":4,\"state\":\"ready\"}",
                 "{\"service\":\"s\",\"address\":\"10.0.0.9:80\",\"slots\":\"four\",\"state\":\"ready\"}"
             })
-    void passesOverAForeignRow(String json) throws IOException {
+    void ignoresAMalformedRow(String json) throws IOException {
         assertEquals(Optional.empty(), row(json));
     }
 
     @Test
     void readsAReport() throws IOException {
-        EngineReport report = ReplicaReader.report(Wire.read(("{\"models\":[{\"name\":\"m\",\"adapters\":[\"a1\"]}],"
-                        + "\"at_hand\":{\"in_memory\":[\"n\"],\"on_disk\":[\"m\",\"n\"]},\"busy\":true,\"seq\":5,"
-                        + "\"running\":3,\"waiting\":2,\"coming\":[\"m/a2@1\"],\"state\":\"ready\"}")
-                .getBytes(StandardCharsets.UTF_8)));
+        EngineReport report =
+                ReplicaReader.report(JsonFields.read(("{\"models\":[{\"name\":\"m\",\"adapters\":[\"a1\"]}],"
+                                + "\"at_hand\":{\"in_memory\":[\"n\"],\"on_disk\":[\"m\",\"n\"]},\"busy\":true,\"seq\":5,"
+                                + "\"running\":3,\"waiting\":2,\"coming\":[\"m/a2@1\"],\"state\":\"ready\"}")
+                        .getBytes(StandardCharsets.UTF_8)));
         assertEquals(5, report.ordersTaken());
         assertTrue(report.executingOrder());
         assertEquals(Set.of("m/a2"), report.loadingAdapters());
@@ -62,6 +62,6 @@
     }
 
     private static Optional<ReplicaRecord> row(String json) throws IOException {
-        return ReplicaReader.row("r1", Wire.read(json.getBytes(StandardCharsets.UTF_8)));
+        return ReplicaReader.row("r1", JsonFields.read(json.getBytes(StandardCharsets.UTF_8)));
     }
 }
