--- a/src/main/java/io/waxwingquay/forward/Attempt.java
+++ b/src/main/java/io/waxwingquay/forward/Attempt.java
@@ -27,7 +27,7 @@
     private ClientCall call;
     private int status;
     private HttpFields fields = HttpFields.EMPTY;
-    private MessageCodec.Reply reply;
+    private MessageCodec.ResponseHead reply;
     private boolean streams;
     private boolean over;
     private boolean bodyBegan;
@@ -92,7 +92,7 @@
         status = newStatus;
         fields = newFields;
         heard();
-        reply = exchange.codec().reply(status, fields);
+        reply = exchange.codec().readResponse(status, fields);
         if (!reply.id().isEmpty() && !reply.id().equals(exchange.ask().id())) {
             // The answer of another request, late or doubled; nothing on this connection can be told apart any more.
             breakOff("an answer to request " + reply.id());
--- a/src/main/java/io/waxwingquay/forward/CallerAnswers.java
+++ b/src/main/java/io/waxwingquay/forward/CallerAnswers.java
@@ -50,7 +50,8 @@
     /** It has not run, and will not. */
     int refused(String why, long comeBackMillis) {
         long jitteredMillis = context.jitter(comeBackMillis);
-        caller.respond(UNAVAILABLE, context.codec().refusal(Optional.of(jitteredMillis)), "it has not run: " + why);
+        caller.respond(
+                UNAVAILABLE, context.codec().refusalFields(Optional.of(jitteredMillis)), "it has not run: " + why);
         return UNAVAILABLE;
     }
 
--- a/src/main/java/io/waxwingquay/forward/EngineNeed.java
+++ b/src/main/java/io/waxwingquay/forward/EngineNeed.java
@@ -16,13 +16,13 @@
     private static final double OUTPUT_SHARE = 0.5;
 
     /** What a request that names a model needs. */
-    static EngineNeed of(MessageCodec.Ask ask, DemandMeter demand) {
+    static EngineNeed of(MessageCodec.RequestHead ask, DemandMeter demand) {
         String model = ask.model().orElseThrow();
         return new EngineNeed(model, ask.adapter(), tokens(ask), demand.durationMillis(model));
     }
 
     /** Memory that a request is expected to take: its prompt, and what is usually generated. */
-    static long tokens(MessageCodec.Ask ask) {
-        return ask.inputTokens() + Math.round(OUTPUT_SHARE * ask.outputTokens());
+    static long tokens(MessageCodec.RequestHead ask) {
+        return ask.inputTokens() + Math.round(OUTPUT_SHARE * ask.maxOutputTokens());
     }
 }
--- a/src/main/java/io/waxwingquay/forward/EngineMessages.java
+++ b/src/main/java/io/waxwingquay/forward/EngineNotifier.java
@@ -3,7 +3,7 @@
 import io.waxwingquay.common.HostPort;
 
 /** Tells the processes beside engines what this entry needs of them. */
-public interface EngineMessages {
+public interface EngineNotifier {
 
     /**
      * Asks for an adapter.
@@ -13,7 +13,7 @@
      * @param model the model.
      * @param adapter the adapter.
      */
-    void askAdapter(HostPort engine, long id, String model, String adapter);
+    void requestAdapter(HostPort engine, long id, String model, String adapter);
 
     /** The demand has changed so that the processes beside engines should know at once. */
     void demandChanged();
--- a/src/main/java/io/waxwingquay/forward/Exchange.java
+++ b/src/main/java/io/waxwingquay/forward/Exchange.java
@@ -39,7 +39,7 @@
     private final CallerAnswers answers;
     private final RequestTerms terms;
     private final Route route;
-    private final MessageCodec.Ask ask;
+    private final MessageCodec.RequestHead ask;
     private final Suspicion suspicion;
     private final QueuedRequest queued;
     private final Set<Target> tried = new HashSet<>();
@@ -54,7 +54,12 @@
     private long brokenMillis;
     private String lastFailure = "";
 
-    Exchange(ForwardContext context, ServerExchange caller, Route route, MessageCodec.Ask ask, Suspicion suspicion) {
+    Exchange(
+            ForwardContext context,
+            ServerExchange caller,
+            Route route,
+            MessageCodec.RequestHead ask,
+            Suspicion suspicion) {
         this.context = context;
         this.caller = caller;
         this.answers = new CallerAnswers(caller, context);
@@ -71,7 +76,7 @@
         return context.codec();
     }
 
-    MessageCodec.Ask ask() {
+    MessageCodec.RequestHead ask() {
         return ask;
     }
 
@@ -100,7 +105,6 @@
         choose();
     }
 
-    /** Looks at the time. */
     void tick(long nowMillis) {
         if (state == ExchangeState.DONE) {
             return;
@@ -130,9 +134,8 @@
     }
 
     /**
-     * Failure: an engine that stands still can't be told that a caller has left. Symptom: it runs the request for nobody when
-     * it wakes. So the request is answered while its caller is there. An engine that is sound but was not heard lately loses
-     * only the little time until the caller would have left.
+     * Answers a request while its caller is still there: an unresponsive engine can't be told to cancel, and would run it for
+     * nobody later. If the engine is healthy after all, only the little time until the caller would have left is lost.
      */
     private void giveUpInDoubt() {
         takeBack();
@@ -295,7 +298,7 @@
     }
 
     /** A whole answer has come, of any status. */
-    void answered(Attempt from, MessageCodec.Reply reply, byte[] body) {
+    void answered(Attempt from, MessageCodec.ResponseHead reply, byte[] body) {
         release(from);
         if (reply.didNotRun()) {
             notRun(from, reply);
@@ -375,7 +378,7 @@
         }
     }
 
-    private void notRun(Attempt from, MessageCodec.Reply reply) {
+    private void notRun(Attempt from, MessageCodec.ResponseHead reply) {
         lastFailure = "not run by " + from.target().id() + ", status " + from.status();
         if (reply.misdirected()) {
             context.misdirected(from.target(), ask, reply);
--- a/src/main/java/io/waxwingquay/forward/ForwardContext.java
+++ b/src/main/java/io/waxwingquay/forward/ForwardContext.java
@@ -38,7 +38,7 @@
     void modelMissed();
 
     /** A replica said that it is another one, or lacks what was asked for. */
-    void misdirected(Target target, MessageCodec.Ask ask, MessageCodec.Reply reply);
+    void misdirected(Target target, MessageCodec.RequestHead ask, MessageCodec.ResponseHead reply);
 
     /** A replica named how many requests a second it takes from all entries together, or named no limit. */
     void limited(Target target, OptionalDouble perSecond);
--- a/src/main/java/io/waxwingquay/forward/ForwardMeters.java
+++ b/src/main/java/io/waxwingquay/forward/ForwardMetrics.java
@@ -3,7 +3,7 @@
 /**
  * Counts what becomes of requests.
  */
-public interface ForwardMeters {
+public interface ForwardMetrics {
 
     /**
      * A request has its final answer.
--- a/src/main/java/io/waxwingquay/forward/Forwarder.java
+++ b/src/main/java/io/waxwingquay/forward/Forwarder.java
@@ -29,7 +29,7 @@
 /**
  * Takes callers' requests to replicas. All of it runs on the loop.
  */
-public final class Forwarder implements ServerHandler, ForwardContext, OpenRequests {
+public final class Forwarder implements ServerHandler, ForwardContext, RequestDrain {
 
     private static final int NOT_FOUND = 404;
     private static final int UNAVAILABLE = 503;
@@ -52,10 +52,10 @@
     private final ForwardSettings settings;
     private final MessageCodec codec;
     private final RandomGenerator random;
-    private final Suspects suspects;
+    private final SuspectTracker suspects;
     private final TargetChooser chooser;
     private final AdapterDesk adapters;
-    private final ForwardMeters meters;
+    private final ForwardMetrics meters;
     private final Runnable changed;
     private final DemandMeter demand = new DemandMeter();
     private final WaitQueues queues = new WaitQueues();
@@ -84,9 +84,9 @@
             EventLoop loop,
             ForwardSettings settings,
             MessageCodec codec,
-            ForwardMeters meters,
-            EngineMessages peers,
-            Suspects suspects,
+            ForwardMetrics meters,
+            EngineNotifier peers,
+            SuspectTracker suspects,
             RandomGenerator random) {
         this.loop = loop;
         this.settings = settings;
@@ -94,10 +94,11 @@
         this.meters = meters;
         this.suspects = suspects;
         this.random = random;
-        this.entries = settings.assumedEntries();
+        this.entries = settings.assumedEntryCount();
         this.chooser = new TargetChooser(settings.zone(), random);
         this.adapters = new AdapterDesk(
-                loop, (target, call) -> peers.askAdapter(target.address(), call.id(), call.model(), call.adapter()));
+                loop,
+                (target, call) -> peers.requestAdapter(target.address(), call.id(), call.model(), call.adapter()));
         this.changed = peers::demandChanged;
         this.targets = new TargetTable(this::pool);
         this.newsWriter = new NewsWriter(targets, demand, EventLoop.nowMillis());
@@ -114,7 +115,7 @@
             return;
         }
         manifest = Optional.of(newer);
-        tellSoon();
+        updateSoon();
         routes = RouteTable.of(newer.routes());
         targets.all().forEach(target -> target.pool().limit(connections(target.record())));
         LOG.log(
@@ -129,7 +130,7 @@
      *
      * @return the listener.
      */
-    public ReplicaDirectory.Listener replicas() {
+    public ReplicaDirectory.Listener replicaListener() {
         return targets;
     }
 
@@ -144,7 +145,7 @@
 
     /** {@inheritDoc} */
     @Override
-    public void leaveWithin(long millis) {
+    public void drainWithin(long millis) {
         exitMillis = EventLoop.nowMillis() + millis;
         active.leave();
     }
@@ -168,7 +169,7 @@
             refuse(caller, "no configuration is known here yet");
             return;
         }
-        MessageCodec.Ask ask = codec.read(caller.request().fields());
+        MessageCodec.RequestHead ask = codec.readRequest(caller.request().fields());
         String host = Optional.ofNullable(caller.request().fields().get("Host")).orElse("");
         Optional<Route> route = routes.find(host, caller.request().path());
         if (route.isEmpty()) {
@@ -195,7 +196,7 @@
      *
      * @param news the news.
      */
-    public void engineNews(EngineNews news) {
+    public void engineUpdate(EngineNews news) {
         long nowMillis = EventLoop.nowMillis();
         targets.livingAt(HostPort.of(news.getEngineAddress())).ifPresent(target -> {
             target.tellers(entries + targets.sizeOf(target.record().service()));
@@ -222,7 +223,7 @@
      * @param node the name of this entry's VM.
      * @return the news by the engine's address; none before a configuration is known.
      */
-    public Map<HostPort, EntryNews> news(String node) {
+    public Map<HostPort, EntryNews> entryUpdates(String node) {
         return manifest.map(known -> newsWriter.write(node, known, EventLoop.nowMillis()))
                 .orElse(Map.of());
     }
@@ -232,7 +233,7 @@
      *
      * @return engines with fresh news.
      */
-    public int heardCount() {
+    public int freshEngineCount() {
         long nowMillis = EventLoop.nowMillis();
         return (int) targets.all().stream()
                 .filter(target -> target.freshNews(nowMillis).isPresent())
@@ -305,7 +306,7 @@
         return budgets.computeIfAbsent(
                 service,
                 key -> RetryBudget.sharedBy(
-                        settings.retryShare() * BUDGET_SHARE, burst(), random.nextDouble(), EventLoop::nowMillis));
+                        settings.retryRatio() * BUDGET_SHARE, burst(), random.nextDouble(), EventLoop::nowMillis));
     }
 
     /** {@inheritDoc} */
@@ -324,12 +325,12 @@
     /** {@inheritDoc} */
     @Override
     public void modelMissed() {
-        tellSoon();
+        updateSoon();
     }
 
     /** {@inheritDoc} */
     @Override
-    public void misdirected(Target target, MessageCodec.Ask ask, MessageCodec.Reply reply) {
+    public void misdirected(Target target, MessageCodec.RequestHead ask, MessageCodec.ResponseHead reply) {
         Optional<String> other = reply.replicaId().filter(id -> !id.equals(target.id()));
         if (other.isPresent()) {
             target.replaced();
@@ -380,9 +381,9 @@
         LOG.log(
                 System.Logger.Level.INFO,
                 "forward: refused id={0} why={1}",
-                codec.read(caller.request().fields()).id(),
+                codec.readRequest(caller.request().fields()).id(),
                 why);
-        HttpFields fields = codec.refusal(Optional.of(jitter(ELSEWHERE_MILLIS)));
+        HttpFields fields = codec.refusalFields(Optional.of(jitter(ELSEWHERE_MILLIS)));
         caller.respond(UNAVAILABLE, fields, "it has not run: " + why);
     }
 
@@ -396,7 +397,7 @@
     }
 
     /** The processes beside engines should know soon of what has changed here. */
-    public void tellSoon() {
+    public void updateSoon() {
         newsWriter.hasten();
         changed.run();
     }
@@ -410,7 +411,7 @@
     }
 
     private double burst() {
-        return settings.retrySlack() * BUDGET_SHARE / entries;
+        return settings.retryBurst() * BUDGET_SHARE / entries;
     }
 
     private ClientPool pool(ReplicaRecord record) {
--- a/src/main/java/io/waxwingquay/forward/MessageCodec.java
+++ b/src/main/java/io/waxwingquay/forward/MessageCodec.java
@@ -16,16 +16,16 @@
      * @param fields the fields of the request.
      * @return what it says; parts that are missing or can't be read are empty.
      */
-    Ask read(HttpFields fields);
+    RequestHead readRequest(HttpFields fields);
 
     /**
      * The fields of a request to a replica: the caller's, without those that are this system's to set.
      *
      * @param fields the fields of the caller's request.
-     * @param order what this system sets.
+     * @param head what this system sets.
      * @return the fields, without framing.
      */
-    HttpFields toReplica(HttpFields fields, Order order);
+    HttpFields requestFields(HttpFields fields, ForwardedHead head);
 
     /**
      * Reads the head of a replica's answer.
@@ -34,7 +34,7 @@
      * @param fields its fields.
      * @return what it says of the run.
      */
-    Reply reply(int status, HttpFields fields);
+    ResponseHead readResponse(int status, HttpFields fields);
 
     /**
      * What tells a caller's request from others, whenever it comes again.
@@ -42,15 +42,15 @@
      * @param fields the fields of the caller's request.
      * @return values, always as many; empty text for a field that is not there.
      */
-    List<String> identity(HttpFields fields);
+    List<String> identityFields(HttpFields fields);
 
     /**
      * The fields of a refusal.
      *
-     * @param comeBackMillis when the caller may come again; empty if that would not help.
+     * @param retryAfterMillis when the caller may come again; empty if that would not help.
      * @return the fields.
      */
-    HttpFields refusal(Optional<Long> comeBackMillis);
+    HttpFields refusalFields(Optional<Long> retryAfterMillis);
 
     /**
      * What a caller says of its request.
@@ -60,18 +60,18 @@
      * @param model the model asked for.
      * @param adapter the adapter of that model.
      * @param inputTokens tokens of the prompt; 0 if not told.
-     * @param outputTokens the most tokens to generate; 0 if not told.
-     * @param promptKey the shared parts of the prompt before its own last one; empty text if there are none.
+     * @param maxOutputTokens the most tokens to generate; 0 if not told.
+     * @param sharedPromptPrefix the shared parts of the prompt before its own last one; empty text if there are none.
      * @param lastEventId the last event that the caller has of an earlier run of this stream.
      */
-    record Ask(
+    record RequestHead(
             String id,
             Optional<Long> remainingMillis,
             Optional<String> model,
             Optional<String> adapter,
             long inputTokens,
-            long outputTokens,
-            String promptKey,
+            long maxOutputTokens,
+            String sharedPromptPrefix,
             Optional<Long> lastEventId) {}
 
     /**
@@ -79,10 +79,11 @@
      *
      * @param replicaId the only replica that may run it.
      * @param remainingMillis time left.
-     * @param rank its urgency for an engine, 0 first; empty for a plain service.
+     * @param priority its urgency for an engine, 0 first; empty for a plain service.
      * @param lastEventId the last event that needs no repeat.
      */
-    record Order(String replicaId, long remainingMillis, Optional<Integer> rank, Optional<Long> lastEventId) {}
+    record ForwardedHead(
+            String replicaId, long remainingMillis, Optional<Integer> priority, Optional<Long> lastEventId) {}
 
     /**
      * What the head of an answer says.
@@ -94,7 +95,7 @@
      * @param replicaId the replica that answered, if it says so.
      * @param limitPerSecond the requests a second that the replica takes from all entries together, if it names a limit.
      */
-    record Reply(
+    record ResponseHead(
             String id,
             boolean didNotRun,
             boolean misdirected,
--- a/src/main/java/io/waxwingquay/forward/Outcome.java
+++ b/src/main/java/io/waxwingquay/forward/Outcome.java
@@ -15,7 +15,7 @@
  * @param stream how it came along, and its stream.
  */
 record Outcome(
-        MessageCodec.Ask ask,
+        MessageCodec.RequestHead ask,
         Route route,
         String service,
         int status,
--- a/src/main/java/io/waxwingquay/forward/OpenRequests.java
+++ b/src/main/java/io/waxwingquay/forward/RequestDrain.java
@@ -5,7 +5,7 @@
 /**
  * The requests without a final answer, as the departure of their process sees them. All of it runs on the loop.
  */
-public interface OpenRequests {
+public interface RequestDrain {
 
     /**
      * How many there are.
@@ -26,7 +26,7 @@
      *
      * @param millis how long until this process exits.
      */
-    void leaveWithin(long millis);
+    void drainWithin(long millis);
 
     /**
      * Gives what is still under way its final answer, as far as none has begun, and refuses all that comes from now on.
--- a/src/main/java/io/waxwingquay/forward/RequestTerms.java
+++ b/src/main/java/io/waxwingquay/forward/RequestTerms.java
@@ -20,12 +20,12 @@
     private final ForwardContext context;
     private final ServerRequest request;
     private final Route route;
-    private final MessageCodec.Ask ask;
+    private final MessageCodec.RequestHead ask;
     private final String service;
     private final Optional<Engine> engine;
     private final long limitMillis;
 
-    private RequestTerms(ForwardContext context, ServerRequest request, Route route, MessageCodec.Ask ask) {
+    private RequestTerms(ForwardContext context, ServerRequest request, Route route, MessageCodec.RequestHead ask) {
         this.context = context;
         this.request = request;
         this.route = route;
@@ -37,7 +37,7 @@
     }
 
     /** The terms of a request that a route takes. */
-    static RequestTerms of(ForwardContext context, ServerRequest request, Route route, MessageCodec.Ask ask) {
+    static RequestTerms of(ForwardContext context, ServerRequest request, Route route, MessageCodec.RequestHead ask) {
         return new RequestTerms(context, request, route, ask);
     }
 
@@ -45,7 +45,7 @@
         return route;
     }
 
-    MessageCodec.Ask ask() {
+    MessageCodec.RequestHead ask() {
         return ask;
     }
 
@@ -119,12 +119,12 @@
      * @param nowMillis the steady time.
      */
     ClientRequest forReplica(Target target, OptionalLong lastEventId, long nowMillis) {
-        MessageCodec.Order order = new MessageCodec.Order(
+        MessageCodec.ForwardedHead order = new MessageCodec.ForwardedHead(
                 target.id(),
                 Math.max(1, leftMillis(nowMillis)),
                 engine.map(each -> rank()),
                 lastEventId.stream().boxed().findFirst());
-        HttpFields fields = context.codec().toReplica(request.fields(), order);
+        HttpFields fields = context.codec().requestFields(request.fields(), order);
         return new ClientRequest(request.method(), request.target(), fields, request.body(), route.mayRepeat());
     }
 
--- a/src/main/java/io/waxwingquay/forward/Suspects.java
+++ b/src/main/java/io/waxwingquay/forward/SuspectTracker.java
@@ -16,7 +16,7 @@
 /**
  * What this entry knows of requests whose replicas went while they ran. All of it runs on the loop.
  */
-public final class Suspects {
+public final class SuspectTracker {
 
     /** Answers that a replica gave before it went may be read a little after its connections have broken. */
     private static final long IN_FLIGHT_MILLIS = 100L;
@@ -42,7 +42,7 @@
      * @param clockMillis the steady clock.
      * @param changed told when there is something that the others should know soon.
      */
-    public Suspects(SharedSuspects shared, LongSupplier clockMillis, Runnable changed) {
+    public SuspectTracker(SharedSuspects shared, LongSupplier clockMillis, Runnable changed) {
         this.shared = shared;
         this.clockMillis = clockMillis;
         this.changed = changed;
@@ -116,7 +116,7 @@
         List<byte[]> parts = new ArrayList<>();
         parts.add(bytes(request.method()));
         parts.add(bytes(request.target()));
-        codec.identity(request.fields()).forEach(text -> parts.add(bytes(text)));
+        codec.identityFields(request.fields()).forEach(text -> parts.add(bytes(text)));
         parts.add(request.body());
         return Fingerprint.of(parts);
     }
--- a/src/main/java/io/waxwingquay/forward/Suspicion.java
+++ b/src/main/java/io/waxwingquay/forward/Suspicion.java
@@ -25,21 +25,21 @@
      */
     private static final long APART_MILLIS = 240L;
 
-    private final Suspects suspects;
+    private final SuspectTracker suspects;
     private final LongSupplier hash;
     private OptionalLong fingerprint = OptionalLong.empty();
     private OptionalLong apartSinceMillis = OptionalLong.empty();
     private Target runningAt;
     private boolean innocent;
 
-    Suspicion(Suspects suspects, LongSupplier hash) {
+    Suspicion(SuspectTracker suspects, LongSupplier hash) {
         this.suspects = suspects;
         this.hash = hash;
     }
 
     /** Why it is refused; its name stands in the log beside each replica that went. */
     String why() {
-        return "replicas went when they began to run it, suspect " + Suspects.name(fingerprint());
+        return "replicas went when they began to run it, suspect " + SuspectTracker.name(fingerprint());
     }
 
     boolean isRefused() {
--- a/src/main/java/io/waxwingquay/hosted/AdminPages.java
+++ b/src/main/java/io/waxwingquay/hosted/AdminPages.java
@@ -5,7 +5,7 @@
 import io.micrometer.prometheusmetrics.PrometheusConfig;
 import io.micrometer.prometheusmetrics.PrometheusMeterRegistry;
 import io.waxwingquay.common.HostPort;
-import io.waxwingquay.forward.ForwardMeters;
+import io.waxwingquay.forward.ForwardMetrics;
 import io.waxwingquay.net.EventLoop;
 import io.waxwingquay.net.HttpServer;
 import io.waxwingquay.net.ServerExchange;
@@ -48,7 +48,7 @@
         copies = newCopies;
     }
 
-    ForwardMeters forwardMeters() {
+    ForwardMetrics forwardMeters() {
         return new Forwards();
     }
 
@@ -63,7 +63,7 @@
         }
     }
 
-    private final class Forwards implements ForwardMeters {
+    private final class Forwards implements ForwardMetrics {
 
         private final Map<Integer, Timer> byStatus = new HashMap<>();
         private final Counter unrouted = Counter.builder("forward.unrouted").register(registry);
--- a/src/main/java/io/waxwingquay/hosted/Departure.java
+++ b/src/main/java/io/waxwingquay/hosted/Departure.java
@@ -1,6 +1,6 @@
 package io.waxwingquay.hosted;
 
-import io.waxwingquay.forward.OpenRequests;
+import io.waxwingquay.forward.RequestDrain;
 import io.waxwingquay.net.EventLoop;
 import io.waxwingquay.net.HttpServer;
 import java.util.concurrent.CompletableFuture;
@@ -37,13 +37,13 @@
 
     private final EventLoop loop;
     private final HttpServer server;
-    private final OpenRequests requests;
+    private final RequestDrain requests;
     private final long graceMillis;
     private final LongSupplier clockMillis;
     private final CompletableFuture<Void> done = new CompletableFuture<>();
     private final AtomicBoolean underWay = new AtomicBoolean();
 
-    Departure(EventLoop loop, HttpServer server, OpenRequests requests, long graceMillis, LongSupplier clockMillis) {
+    Departure(EventLoop loop, HttpServer server, RequestDrain requests, long graceMillis, LongSupplier clockMillis) {
         this.loop = loop;
         this.server = server;
         this.requests = requests;
@@ -68,7 +68,7 @@
         LOG.log(System.Logger.Level.INFO, "hosted: leaving active={0}", requests.activeCount());
         server.leave();
         loop.schedule(UNNOTICED_MILLIS, () -> {
-            requests.leaveWithin(lastMillis - clockMillis.getAsLong());
+            requests.drainWithin(lastMillis - clockMillis.getAsLong());
             look(lastMillis);
         });
     }
--- a/src/main/java/io/waxwingquay/hosted/HostedEntry.java
+++ b/src/main/java/io/waxwingquay/hosted/HostedEntry.java
@@ -6,10 +6,10 @@
 import io.waxwingquay.fleet.ReplicaRecord;
 import io.waxwingquay.fleet.TableWatch;
 import io.waxwingquay.fleet.WatchedTable;
-import io.waxwingquay.forward.EngineMessages;
+import io.waxwingquay.forward.EngineNotifier;
 import io.waxwingquay.forward.ForwardSettings;
 import io.waxwingquay.forward.Forwarder;
-import io.waxwingquay.forward.Suspects;
+import io.waxwingquay.forward.SuspectTracker;
 import io.waxwingquay.manifest.Manifest;
 import io.waxwingquay.net.EventLoop;
 import io.waxwingquay.net.HttpServer;
@@ -91,9 +91,9 @@
                 new HeaderCodec(),
                 admin.forwardMeters(),
                 new Telling(),
-                new Suspects(suspects, EventLoop::nowMillis, this::suspectsChanged),
+                new SuspectTracker(suspects, EventLoop::nowMillis, this::suspectsChanged),
                 random);
-        this.replicas = new ReplicaDirectory(EventLoop::nowMillis, forwarder.replicas());
+        this.replicas = new ReplicaDirectory(EventLoop::nowMillis, forwarder.replicaListener());
         HostPort callers = needed(settings.callers(), "listen.front");
         HostPort readiness = needed(settings.readiness(), "listen.ready");
         this.server = HttpServer.listen(loop, socket(callers), forwarder);
@@ -117,8 +117,9 @@
                 replicaWatch::version,
                 replicaWatch::adopt);
         admin.copies(platform::copy);
-        admin.dump(() -> "active=" + forwarder.activeCount() + " engines_heard=" + forwarder.heardCount() + " suspects="
-                + suspects.count() + " missing=" + replicas.missing() + " replicas=" + replicas.replicas());
+        admin.dump(() ->
+                "active=" + forwarder.activeCount() + " engines_heard=" + forwarder.freshEngineCount() + " suspects="
+                        + suspects.count() + " missing=" + replicas.missing() + " replicas=" + replicas.replicas());
         loop.execute(this::begin);
     }
 
@@ -158,7 +159,7 @@
     }
 
     private void suspectsChanged() {
-        forwarder.tellSoon();
+        forwarder.updateSoon();
     }
 
     private long configurationVersion() {
@@ -183,7 +184,7 @@
 
     private void received(HostPort sender, PeerDatagram datagram) {
         if (datagram.isSetEngine()) {
-            forwarder.engineNews(datagram.getEngine());
+            forwarder.engineUpdate(datagram.getEngine());
             suspects.take(datagram.getEngine().getSuspects());
             tablesTold(datagram.getEngine());
         } else if (datagram.isSetAdapterReply()) {
@@ -205,7 +206,7 @@
         TableVersions tables = new TableVersions(configurationVersion(), replicaWatch.changedVersion());
         List<SuspectNews> page = suspects.page();
         forwarder
-                .news(settings.node())
+                .entryUpdates(settings.node())
                 .forEach((engine, news) -> peers.send(
                         beside(engine),
                         PeerDatagram.entry(news.setTables(tables).setSuspects(page.isEmpty() ? null : page))));
@@ -233,11 +234,11 @@
                 ASSUMED_ENTRIES);
     }
 
-    private final class Telling implements EngineMessages {
+    private final class Telling implements EngineNotifier {
 
         /** {@inheritDoc} */
         @Override
-        public void askAdapter(HostPort engine, long id, String model, String adapter) {
+        public void requestAdapter(HostPort engine, long id, String model, String adapter) {
             peers.send(beside(engine), PeerDatagram.adapterCall(new AdapterCall(id, model, adapter)));
         }
 
--- a/src/main/java/io/waxwingquay/platform/HeaderCodec.java
+++ b/src/main/java/io/waxwingquay/platform/HeaderCodec.java
@@ -66,7 +66,7 @@
 
     /** {@inheritDoc} */
     @Override
-    public Ask read(HttpFields fields) {
+    public RequestHead readRequest(HttpFields fields) {
         String model = fields.get(MODEL);
         int slash = model == null ? -1 : model.indexOf('/');
         Optional<String> name = Optional.ofNullable(model).map(text -> slash < 0 ? text : text.substring(0, slash));
@@ -74,7 +74,7 @@
         String[] tokens =
                 COMMA.split(Optional.ofNullable(fields.get(TOKEN_COUNTS)).orElse(""));
         String prefix = Optional.ofNullable(fields.get(PROMPT_PREFIX)).orElse("");
-        return new Ask(
+        return new RequestHead(
                 Optional.ofNullable(fields.get(ATTEMPT_ID)).orElse(""),
                 whole(fields.get(DEADLINE_REMAINING)),
                 name,
@@ -87,24 +87,24 @@
 
     /** {@inheritDoc} */
     @Override
-    public HttpFields toReplica(HttpFields fields, Order order) {
+    public HttpFields requestFields(HttpFields fields, ForwardedHead order) {
         HttpFields.Mutable out = MessageHead.endToEnd(fields);
         RESERVED.forEach(out::remove);
         out.put(TARGET_REPLICA, order.replicaId());
         out.put(DEADLINE_REMAINING, Long.toString(order.remainingMillis()));
-        order.rank().ifPresent(rank -> out.put(REQUEST_PRIORITY, Integer.toString(rank)));
+        order.priority().ifPresent(rank -> out.put(REQUEST_PRIORITY, Integer.toString(rank)));
         order.lastEventId().ifPresent(id -> out.put(LAST_EVENT_ID, Long.toString(id)));
         return out;
     }
 
     /** {@inheritDoc} */
     @Override
-    public Reply reply(int status, HttpFields fields) {
+    public ResponseHead readResponse(int status, HttpFields fields) {
         boolean notExecuted = fields.contains(NOT_EXECUTED);
         boolean misdirected = status == MISDIRECTED;
         boolean full = notExecuted && (status == UNAVAILABLE || status == TOO_MANY);
         String id = Optional.ofNullable(fields.get(ATTEMPT_ID)).orElse("");
-        return new Reply(
+        return new ResponseHead(
                 id,
                 notExecuted || misdirected,
                 misdirected,
@@ -115,7 +115,7 @@
 
     /** {@inheritDoc} */
     @Override
-    public List<String> identity(HttpFields fields) {
+    public List<String> identityFields(HttpFields fields) {
         return IDENTITY.stream()
                 .map(name -> Optional.ofNullable(fields.get(name)).orElse(""))
                 .toList();
@@ -123,7 +123,7 @@
 
     /** {@inheritDoc} */
     @Override
-    public HttpFields refusal(Optional<Long> comeBackMillis) {
+    public HttpFields refusalFields(Optional<Long> comeBackMillis) {
         HttpFields.Mutable fields = HttpFields.build();
         comeBackMillis.ifPresent(
                 millis -> fields.put(RETRY_AFTER, String.format(Locale.ROOT, "%.3f", millis / MILLIS_PER_SECOND)));
--- a/src/test/java/io/waxwingquay/forward/SuspectsTest.java
+++ b/src/test/java/io/waxwingquay/forward/SuspectsTest.java
@@ -22,8 +22,8 @@
 class SuspectsTest {
 
     private final AtomicInteger told = new AtomicInteger();
-    private final Suspects suspects =
-            new Suspects(new SharedSuspects(() -> 0, new Random(3)), () -> 0, told::incrementAndGet);
+    private final SuspectTracker suspects =
+            new SuspectTracker(new SharedSuspects(() -> 0, new Random(3)), () -> 0, told::incrementAndGet);
 
     @BeforeEach
     void crashTwoReplicas() {
--- a/src/test/java/io/waxwingquay/forward/SuspicionTest.java
+++ b/src/test/java/io/waxwingquay/forward/SuspicionTest.java
@@ -24,8 +24,8 @@
     private static final long INNOCENT = 8;
 
     private long nowMillis = 1_000;
-    private final Suspects suspects =
-            new Suspects(new SharedSuspects(() -> nowMillis, new Random(3)), () -> nowMillis, () -> {});
+    private final SuspectTracker suspects =
+            new SuspectTracker(new SharedSuspects(() -> nowMillis, new Random(3)), () -> nowMillis, () -> {});
     private final Target a = target("a");
     private final Target b = target("b");
     private final Target c = target("c");
--- a/src/test/java/io/waxwingquay/hosted/DepartureTest.java
+++ b/src/test/java/io/waxwingquay/hosted/DepartureTest.java
@@ -2,7 +2,7 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import io.waxwingquay.forward.OpenRequests;
+import io.waxwingquay.forward.RequestDrain;
 import io.waxwingquay.net.EventLoop;
 import io.waxwingquay.net.HttpServer;
 import io.waxwingquay.testing.Await;
@@ -67,7 +67,7 @@
     }
 
     /** No request is open. */
-    private static final class Requests implements OpenRequests {
+    private static final class Requests implements RequestDrain {
 
         private final List<Long> leftMillis = new CopyOnWriteArrayList<>();
 
@@ -85,7 +85,7 @@
 
         /** {@inheritDoc} */
         @Override
-        public void leaveWithin(long millis) {
+        public void drainWithin(long millis) {
             leftMillis.add(millis);
         }
 
--- a/src/test/java/io/waxwingquay/platform/HeaderCodecTest.java
+++ b/src/test/java/io/waxwingquay/platform/HeaderCodecTest.java
@@ -17,7 +17,7 @@
 
     @Test
     void readsWhatACallerAsks() {
-        MessageCodec.Ask ask = codec.read(HttpFields.build()
+        MessageCodec.RequestHead ask = codec.readRequest(HttpFields.build()
                 .put("Attempt-Id", "9c")
                 .put("Deadline-Remaining", "1500")
                 .put("Model", "daka/a3")
@@ -27,8 +27,8 @@
         assertEquals(Optional.of("a3"), ask.adapter());
         assertEquals(Optional.of(1_500L), ask.remainingMillis());
         assertEquals(1_460, ask.inputTokens());
-        assertEquals(80, ask.outputTokens());
-        assertEquals("5c:800,91:410", ask.promptKey());
+        assertEquals(80, ask.maxOutputTokens());
+        assertEquals("5c:800,91:410", ask.sharedPromptPrefix());
     }
 
     @Test
@@ -37,18 +37,21 @@
         assertEquals(OptionalDouble.empty(), limit("-1"));
         assertEquals(OptionalDouble.empty(), limit("NaN"));
         assertEquals(OptionalDouble.empty(), limit("few"));
-        assertEquals(OptionalDouble.empty(), codec.reply(200, HttpFields.EMPTY).limitPerSecond());
+        assertEquals(
+                OptionalDouble.empty(),
+                codec.readResponse(200, HttpFields.EMPTY).limitPerSecond());
     }
 
     private OptionalDouble limit(String text) {
-        return codec.reply(200, HttpFields.build().put("Server-Limit", text)).limitPerSecond();
+        return codec.readResponse(200, HttpFields.build().put("Server-Limit", text))
+                .limitPerSecond();
     }
 
     // A client sends fields that are the system's to set. A replica that saw them would hold memory, skip its queue or
     // go on from another request's memory, as the client pleases.
     @Test
     void dropsWhatIsTheSystemsToSet() {
-        HttpFields out = codec.toReplica(
+        HttpFields out = codec.requestFields(
                 HttpFields.build()
                         .put("Host", "x.test")
                         .put("Attempt-Id", "9c")
@@ -61,7 +64,7 @@
                         .put("Connection", "x-secret")
                         .put("X-Secret", "1")
                         .put("X-Other", "kept"),
-                new MessageCodec.Order("i-1", 900, Optional.of(3), Optional.empty()));
+                new MessageCodec.ForwardedHead("i-1", 900, Optional.of(3), Optional.empty()));
         assertEquals("i-1", out.get("Target-Replica"));
         assertEquals("3", out.get("Request-Priority"));
         assertEquals("900", out.get("Deadline-Remaining"));
@@ -78,14 +81,15 @@
     @Test
     void onlyAReplicasOwnWordSaysThatItDidNotRun() {
         HttpFields none = HttpFields.build().put("Attempt-Id", "9c");
-        assertTrue(codec.reply(503, HttpFields.build().put("Not-Executed", "1")).didNotRun());
-        assertTrue(codec.reply(421, none).didNotRun());
-        assertFalse(codec.reply(503, none).didNotRun());
-        assertFalse(codec.reply(500, none).didNotRun());
+        assertTrue(codec.readResponse(503, HttpFields.build().put("Not-Executed", "1"))
+                .didNotRun());
+        assertTrue(codec.readResponse(421, none).didNotRun());
+        assertFalse(codec.readResponse(503, none).didNotRun());
+        assertFalse(codec.readResponse(500, none).didNotRun());
     }
 
     @Test
     void refusalSaysWhenToComeBackInSeconds() {
-        assertEquals("1.250", codec.refusal(Optional.of(1_250L)).get("Retry-After"));
+        assertEquals("1.250", codec.refusalFields(Optional.of(1_250L)).get("Retry-After"));
     }
 }
