--- a/src/main/java/io/waxwingquay/forward/ActiveRequests.java
+++ b/src/main/java/io/waxwingquay/forward/ActiveRequests.java
@@ -21,10 +21,10 @@
 
     private final EventLoop loop;
     private final Set<Exchange> exchanges = new HashSet<>();
-    private boolean ticking;
-    private boolean leaving;
-    private long tickedMillis;
-    private boolean passedOver;
+    private boolean tickScheduled;
+    private boolean draining;
+    private long lastTickMillis;
+    private boolean skippedLastTick;
 
     ActiveRequests(EventLoop loop) {
         this.loop = loop;
@@ -32,10 +32,10 @@
 
     void add(Exchange exchange) {
         exchanges.add(exchange);
-        if (!ticking) {
-            ticking = true;
-            passedOver = false;
-            tickedMillis = EventLoop.nowMillis();
+        if (!tickScheduled) {
+            tickScheduled = true;
+            skippedLastTick = false;
+            lastTickMillis = EventLoop.nowMillis();
             loop.schedule(TICK_MILLIS, this::tick);
         }
     }
@@ -49,21 +49,21 @@
     }
 
     List<String> ids() {
-        return exchanges.stream().map(exchange -> exchange.ask().id()).toList();
+        return exchanges.stream().map(exchange -> exchange.head().id()).toList();
     }
 
     /** From now on requests that their replicas turn away, or that wait here, are answered at once. */
-    void leave() {
-        leaving = true;
-        each(Exchange::leave);
+    void drain() {
+        draining = true;
+        forEach(Exchange::drain);
     }
 
-    void exit() {
-        each(Exchange::exit);
+    void terminate() {
+        forEach(Exchange::terminate);
     }
 
     /** Some end meanwhile. */
-    private void each(Consumer<Exchange> action) {
+    private void forEach(Consumer<Exchange> action) {
         new ArrayList<>(exchanges).forEach(action);
     }
 
@@ -74,23 +74,23 @@
      */
     private void tick() {
         if (exchanges.isEmpty()) {
-            ticking = false;
+            tickScheduled = false;
             return;
         }
         loop.schedule(TICK_MILLIS, this::tick);
         long nowMillis = EventLoop.nowMillis();
-        passedOver = !passedOver && nowMillis - tickedMillis > STALL_MILLIS;
-        tickedMillis = nowMillis;
-        if (passedOver) {
+        skippedLastTick = !skippedLastTick && nowMillis - lastTickMillis > STALL_MILLIS;
+        lastTickMillis = nowMillis;
+        if (skippedLastTick) {
             return;
         }
         exchanges.stream()
                 .sorted(Comparator.comparingLong(exchange -> exchange.slackMillis(nowMillis)))
                 .toList()
                 .forEach(exchange -> tick(exchange, nowMillis));
-        if (leaving) {
+        if (draining) {
             // A request that was turned away by its replica since then would wait here too.
-            each(Exchange::leave);
+            forEach(Exchange::drain);
         }
     }
 
@@ -101,7 +101,7 @@
         } catch (RuntimeException failure) {
             LOG.log(
                     System.Logger.Level.ERROR,
-                    "forward: a request failed id=" + exchange.ask().id(),
+                    "forward: a request failed id=" + exchange.head().id(),
                     failure);
         }
     }
--- a/src/main/java/io/waxwingquay/forward/AdapterDesk.java
+++ b/src/main/java/io/waxwingquay/forward/AdapterRequester.java
@@ -11,17 +11,17 @@
 /**
  * Asks the processes beside engines for adapters that waiting requests need, once for all that wait for the same one.
  */
-final class AdapterDesk {
+final class AdapterRequester {
 
     /** A datagram may be lost; an answer normally takes 20 to 30 ms. */
-    private static final long ASK_AGAIN_MILLIS = 60L;
+    private static final long RESEND_MILLIS = 60L;
 
-    private static final int MOST_ASKS = 5;
+    private static final int MAX_SENDS = 5;
 
     private final EventLoop loop;
     private final BiConsumer<Target, Call> sender;
-    private final Map<Key, Call> open = new HashMap<>();
-    private final Map<Long, Call> byId = new HashMap<>();
+    private final Map<Key, Call> pendingByKey = new HashMap<>();
+    private final Map<Long, Call> pendingById = new HashMap<>();
     private long lastId;
 
     /**
@@ -30,7 +30,7 @@
      * @param loop where everything runs.
      * @param sender sends the call to the process beside a target's engine.
      */
-    AdapterDesk(EventLoop loop, BiConsumer<Target, Call> sender) {
+    AdapterRequester(EventLoop loop, BiConsumer<Target, Call> sender) {
         this.loop = loop;
         this.sender = sender;
     }
@@ -43,42 +43,42 @@
      * @param adapter the adapter.
      * @param done told whether it is there.
      */
-    void need(Target target, String model, String adapter, Consumer<Boolean> done) {
+    void request(Target target, String model, String adapter, Consumer<Boolean> done) {
         Key key = new Key(target, model, adapter);
-        Call call = open.get(key);
+        Call call = pendingByKey.get(key);
         if (call == null) {
             call = new Call(++lastId, key);
-            open.put(key, call);
-            byId.put(call.id, call);
-            ask(call);
+            pendingByKey.put(key, call);
+            pendingById.put(call.id, call);
+            send(call);
         }
         call.waiters.add(done);
     }
 
     /** An answer has come. */
-    void replied(long id, boolean present) {
-        Call call = byId.get(id);
+    void answered(long id, boolean present) {
+        Call call = pendingById.get(id);
         if (call != null) {
-            settle(call, present);
+            complete(call, present);
         }
     }
 
-    private void ask(Call call) {
-        if (byId.get(call.id) != call) {
+    private void send(Call call) {
+        if (pendingById.get(call.id) != call) {
             return;
         }
-        if (call.asks == MOST_ASKS) {
-            settle(call, false);
+        if (call.sendCount == MAX_SENDS) {
+            complete(call, false);
             return;
         }
-        call.asks++;
+        call.sendCount++;
         sender.accept(call.key.target, call);
-        loop.schedule(ASK_AGAIN_MILLIS, () -> ask(call));
+        loop.schedule(RESEND_MILLIS, () -> send(call));
     }
 
-    private void settle(Call call, boolean present) {
-        byId.remove(call.id);
-        open.remove(call.key);
+    private void complete(Call call, boolean present) {
+        pendingById.remove(call.id);
+        pendingByKey.remove(call.key);
         if (present) {
             call.key.target.adapterPresent(call.key.model, call.key.adapter);
         }
@@ -93,7 +93,7 @@
         private final long id;
         private final Key key;
         private final List<Consumer<Boolean>> waiters = new ArrayList<>();
-        private int asks;
+        private int sendCount;
 
         private Call(long id, Key key) {
             this.id = id;
--- a/src/main/java/io/waxwingquay/forward/Attempt.java
+++ b/src/main/java/io/waxwingquay/forward/Attempt.java
@@ -14,7 +14,7 @@
 final class Attempt implements ClientListener {
 
     /** A whole answer is kept until it is complete, so that a broken one can be replaced; a longer one is refused. */
-    private static final int MAX_ANSWER_BYTES = 8 * 1024 * 1024;
+    private static final int MAX_RESPONSE_BYTES = 8 * 1024 * 1024;
 
     private static final int OK = 200;
     private static final int SERVER_ERROR = 500;
@@ -23,16 +23,16 @@
     private final Target target;
     private final long sentMillis = EventLoop.nowMillis();
     private final ByteArrayOutputStream body = new ByteArrayOutputStream(0);
-    private final EventCutter cutter = new EventCutter(this::event);
+    private final EventSplitter splitter = new EventSplitter(this::onEvent);
     private ClientCall call;
     private int status;
     private HttpFields fields = HttpFields.EMPTY;
-    private MessageCodec.ResponseHead reply;
-    private boolean streams;
-    private boolean over;
-    private boolean bodyBegan;
-    private boolean ranWell;
-    private long heardMillis = sentMillis;
+    private MessageCodec.ResponseHead response;
+    private boolean streaming;
+    private boolean finished;
+    private boolean bodyStarted;
+    private boolean provedHarmless;
+    private long lastReceivedMillis = sentMillis;
 
     Attempt(Exchange exchange, Target target) {
         this.exchange = exchange;
@@ -48,8 +48,8 @@
     }
 
     /** When something of an answer came last, or else when it was sent. */
-    long heardMillis() {
-        return heardMillis;
+    long lastReceivedMillis() {
+        return lastReceivedMillis;
     }
 
     HttpFields fields() {
@@ -60,26 +60,26 @@
         return status;
     }
 
-    boolean isOver() {
-        return over;
+    boolean isFinished() {
+        return finished;
     }
 
     void call(ClientCall newCall) {
         call = newCall;
-        if (over) {
+        if (finished) {
             call.cancel();
         }
     }
 
     /** Whether the replica may have got some of it. */
-    boolean mayHaveLeft() {
+    boolean mayHaveBeenSent() {
         return call != null && call.mayHaveLeft();
     }
 
     /** Gives it up; closing the connection ends the replica's work. */
     void cancel() {
-        if (!over) {
-            over = true;
+        if (!finished) {
+            finished = true;
             if (call != null) {
                 call.cancel();
             }
@@ -91,34 +91,34 @@
     public void onHead(int newStatus, HttpFields newFields) {
         status = newStatus;
         fields = newFields;
-        heard();
-        reply = exchange.codec().readResponse(status, fields);
-        if (!reply.id().isEmpty() && !reply.id().equals(exchange.ask().id())) {
+        noteReceived();
+        response = exchange.codec().readResponse(status, fields);
+        if (!response.id().isEmpty() && !response.id().equals(exchange.head().id())) {
             // The answer of another request, late or doubled; nothing on this connection can be told apart any more.
-            breakOff("an answer to request " + reply.id());
+            abort("an answer to request " + response.id());
             return;
         }
-        if (reply.replicaId().map(target.id()::equals).orElse(true)) {
+        if (response.replicaId().map(target.id()::equals).orElse(true)) {
             target.answerBegan(fields.contains(HttpHeader.CONNECTION, HttpHeaderValue.CLOSE.asString()));
-            exchange.limited(target, reply.limitPerSecond());
+            exchange.rateLimitAnnounced(target, response.limitPerSecond());
         }
-        streams = status == OK && exchange.isStream() && !reply.didNotRun();
+        streaming = status == OK && exchange.isStream() && !response.didNotRun();
     }
 
     /** {@inheritDoc} */
     @Override
     public void onBody(ByteBuffer bytes) {
-        if (over) {
+        if (finished) {
             return;
         }
-        heard();
-        bodyBegan = true;
-        if (streams) {
-            cutter.take(bytes);
+        noteReceived();
+        bodyStarted = true;
+        if (streaming) {
+            splitter.feed(bytes);
             return;
         }
-        if (body.size() + bytes.remaining() > MAX_ANSWER_BYTES) {
-            breakOff("an answer of more than " + MAX_ANSWER_BYTES + " bytes");
+        if (body.size() + bytes.remaining() > MAX_RESPONSE_BYTES) {
+            abort("an answer of more than " + MAX_RESPONSE_BYTES + " bytes");
             return;
         }
         byte[] part = new byte[bytes.remaining()];
@@ -129,58 +129,58 @@
     /** {@inheritDoc} */
     @Override
     public void onEnd() {
-        if (over) {
+        if (finished) {
             return;
         }
-        over = true;
-        if (status < SERVER_ERROR && !reply.didNotRun()) {
-            ranWell();
+        finished = true;
+        if (status < SERVER_ERROR && !response.didNotRun()) {
+            markHarmless();
         }
-        if (streams) {
-            exchange.streamEnded(this, cutter.rest());
+        if (streaming) {
+            exchange.streamEnded(this, splitter.incompleteEvent());
         } else {
-            exchange.answered(this, reply, body.toByteArray());
+            exchange.answered(this, response, body.toByteArray());
         }
     }
 
     /** {@inheritDoc} */
     @Override
     public void onFailure(boolean sent, String why) {
-        if (!over) {
-            over = true;
-            if (sent && !bodyBegan) {
-                exchange.suspicion().broke(target);
+        if (!finished) {
+            finished = true;
+            if (sent && !bodyStarted) {
+                exchange.suspicion().connectionBroke(target);
             }
             exchange.failed(this, sent, why);
         }
     }
 
     /** Its replica is known to answer, and in what time. */
-    void succeeded() {
+    void recordSuccess() {
         long nowMillis = EventLoop.nowMillis();
-        target.tries().succeeded(nowMillis - sentMillis, nowMillis);
+        target.attemptHistory().succeeded(nowMillis - sentMillis, nowMillis);
     }
 
-    private void heard() {
-        heardMillis = EventLoop.nowMillis();
-        target.heard(heardMillis);
+    private void noteReceived() {
+        lastReceivedMillis = EventLoop.nowMillis();
+        target.answerReceived(lastReceivedMillis);
     }
 
-    private void event(byte[] bytes, OptionalLong id) {
-        if (!over) {
-            ranWell();
-            exchange.event(this, bytes, id);
+    private void onEvent(byte[] bytes, OptionalLong id) {
+        if (!finished) {
+            markHarmless();
+            exchange.eventReceived(this, bytes, id);
         }
     }
 
-    private void ranWell() {
-        if (!ranWell) {
-            ranWell = true;
+    private void markHarmless() {
+        if (!provedHarmless) {
+            provedHarmless = true;
             exchange.suspicion().answered(target, sentMillis);
         }
     }
 
-    private void breakOff(String why) {
+    private void abort(String why) {
         cancel();
         exchange.failed(this, true, why);
     }
--- a/src/main/java/io/waxwingquay/forward/Choice.java
+++ b/src/main/java/io/waxwingquay/forward/Choice.java
@@ -29,22 +29,22 @@
     /**
      * Replicas that could run it have no room.
      *
-     * @param freeMillis how long until there is expected to be room for one more.
-     * @param placeMillis how long from one place that comes free to the next; 0 if nothing is known of that.
-     * @param copyMillis how long until another replica is expected to hold its model.
+     * @param firstSlotMillis how long until there is expected to be room for one more.
+     * @param slotIntervalMillis how long from one place that comes free to the next; 0 if nothing is known of that.
+     * @param copyReadyMillis how long until another replica is expected to hold its model.
      */
-    record Full(long freeMillis, double placeMillis, OptionalLong copyMillis) implements Choice {
+    record Full(long firstSlotMillis, double slotIntervalMillis, OptionalLong copyReadyMillis) implements Choice {
 
         /** How long until there is room for a request that so many others are served before. */
-        long waitMillis(int ahead) {
-            long placedMillis = freeMillis + Math.round(ahead * placeMillis);
-            return Math.min(placedMillis, copyMillis.orElse(Long.MAX_VALUE));
+        long expectedWaitMillis(int requestsAhead) {
+            long slotMillis = firstSlotMillis + Math.round(requestsAhead * slotIntervalMillis);
+            return Math.min(slotMillis, copyReadyMillis.orElse(Long.MAX_VALUE));
         }
     }
 
     /** It may be what ends replicas, and those that could run it run another such one. */
-    record Apart() implements Choice {}
+    record AwaitIsolation() implements Choice {}
 
     /** No replica can be reached that could run it. */
-    record Nowhere() implements Choice {}
+    record NoReplica() implements Choice {}
 }
--- a/src/main/java/io/waxwingquay/forward/Decayed.java
+++ b/src/main/java/io/waxwingquay/forward/DecayingSum.java
@@ -1,23 +1,23 @@
 package io.waxwingquay.forward;
 
 /** A sum whose parts fade with time: each counts half after one half-life. */
-final class Decayed {
+final class DecayingSum {
 
     private final double halfLifeMillis;
     private double sum;
-    private long atMillis;
+    private long updatedAtMillis;
 
-    Decayed(double halfLifeMillis) {
+    DecayingSum(double halfLifeMillis) {
         this.halfLifeMillis = halfLifeMillis;
     }
 
     void add(double amount, long nowMillis) {
         sum = value(nowMillis) + amount;
-        atMillis = nowMillis;
+        updatedAtMillis = nowMillis;
     }
 
     double value(long nowMillis) {
-        return sum * Math.pow(0.5, (nowMillis - atMillis) / halfLifeMillis);
+        return sum * Math.pow(0.5, (nowMillis - updatedAtMillis) / halfLifeMillis);
     }
 
     /** What was added each second, if it came at an even pace. */
--- a/src/main/java/io/waxwingquay/forward/DemandMeter.java
+++ b/src/main/java/io/waxwingquay/forward/DemandMeter.java
@@ -21,46 +21,46 @@
     private static final double TREND_FACTOR = 1.5;
 
     /** A rise is carried on to no more than this many times the rate, as a few requests make a steep one. */
-    private static final double MOST_RISE = 3.0;
+    private static final double MAX_RISE_FACTOR = 3.0;
 
     /** Long enough to tell a model that is asked for every few seconds from one that nobody asks for. */
     private static final double SLOW_HALF_LIFE_MILLIS = 12_000.0;
 
-    private static final double FORGOTTEN = 0.01;
+    private static final double NEGLIGIBLE_REQUESTS = 0.01;
     private static final double MILLIS_PER_SECOND = 1_000.0;
 
     /** What a request is taken to last before one has ended, and the weight of the newest. */
-    private static final double FIRST_DURATION_MILLIS = 800.0;
+    private static final double INITIAL_DURATION_MILLIS = 800.0;
 
-    private static final double SMOOTHING = 0.05;
+    private static final double DURATION_SMOOTHING = 0.05;
 
     private final Map<String, Demand> byModel = new HashMap<>();
 
-    void asked(String model, long nowMillis) {
-        demand(model).asked(nowMillis);
+    void requested(String model, long nowMillis) {
+        demand(model).requested(nowMillis);
     }
 
-    void began(String model) {
+    void started(String model) {
         demand(model).inFlight++;
     }
 
     void ended(String model, long tookMillis) {
         Demand demand = demand(model);
         demand.inFlight--;
-        demand.durationMillis += SMOOTHING * (tookMillis - demand.durationMillis);
+        demand.durationMillis += DURATION_SMOOTHING * (tookMillis - demand.durationMillis);
     }
 
     /** What requests for a model usually take once they have been sent. */
     double durationMillis(String model) {
         return Optional.ofNullable(byModel.get(model))
                 .map(known -> known.durationMillis)
-                .orElse(FIRST_DURATION_MILLIS);
+                .orElse(INITIAL_DURATION_MILLIS);
     }
 
     Map<String, ModelDemand> snapshot(long nowMillis) {
         Map<String, ModelDemand> all = new HashMap<>();
-        byModel.entrySet().removeIf(entry -> entry.getValue().isOver(nowMillis));
-        byModel.forEach((model, demand) -> all.put(model, demand.tell(nowMillis)));
+        byModel.entrySet().removeIf(entry -> entry.getValue().isNegligible(nowMillis));
+        byModel.forEach((model, demand) -> all.put(model, demand.estimate(nowMillis)));
         return all;
     }
 
@@ -70,34 +70,34 @@
 
     private static final class Demand {
 
-        private final Decayed askedFast = new Decayed(FAST_HALF_LIFE_MILLIS);
-        private final Decayed askedLately = new Decayed(TREND_HALF_LIFE_MILLIS);
-        private final Decayed askedSlowly = new Decayed(SLOW_HALF_LIFE_MILLIS);
-        private double durationMillis = FIRST_DURATION_MILLIS;
+        private final DecayingSum fastArrivals = new DecayingSum(FAST_HALF_LIFE_MILLIS);
+        private final DecayingSum trendArrivals = new DecayingSum(TREND_HALF_LIFE_MILLIS);
+        private final DecayingSum slowArrivals = new DecayingSum(SLOW_HALF_LIFE_MILLIS);
+        private double durationMillis = INITIAL_DURATION_MILLIS;
         private int inFlight;
 
-        private void asked(long nowMillis) {
-            askedFast.add(1, nowMillis);
-            askedLately.add(1, nowMillis);
-            askedSlowly.add(1, nowMillis);
+        private void requested(long nowMillis) {
+            fastArrivals.add(1, nowMillis);
+            trendArrivals.add(1, nowMillis);
+            slowArrivals.add(1, nowMillis);
         }
 
         /** The rate to be expected when a copy that is asked for now has been loaded. */
         private double expectedPerSecond(long nowMillis) {
-            double fast = askedFast.perSecond(nowMillis);
-            double trend = TREND_FACTOR * (fast - askedLately.perSecond(nowMillis));
-            return Math.min(Math.max(0, fast + trend), MOST_RISE * fast);
+            double fast = fastArrivals.perSecond(nowMillis);
+            double trend = TREND_FACTOR * (fast - trendArrivals.perSecond(nowMillis));
+            return Math.min(Math.max(0, fast + trend), MAX_RISE_FACTOR * fast);
         }
 
-        private boolean isOver(long nowMillis) {
-            return inFlight == 0 && askedSlowly.value(nowMillis) < FORGOTTEN;
+        private boolean isNegligible(long nowMillis) {
+            return inFlight == 0 && slowArrivals.value(nowMillis) < NEGLIGIBLE_REQUESTS;
         }
 
         /** Those that were refused are not under way; they count by what they would have taken. */
-        private ModelDemand tell(long nowMillis) {
+        private ModelDemand estimate(long nowMillis) {
             double perSecond = expectedPerSecond(nowMillis);
             double atOnce = Math.max(inFlight, perSecond * durationMillis / MILLIS_PER_SECOND);
-            return new ModelDemand(perSecond, atOnce, askedSlowly.perSecond(nowMillis));
+            return new ModelDemand(perSecond, atOnce, slowArrivals.perSecond(nowMillis));
         }
     }
 }
--- a/src/main/java/io/waxwingquay/forward/NewsWriter.java
+++ b/src/main/java/io/waxwingquay/forward/EntryUpdateWriter.java
@@ -17,16 +17,16 @@
  * ceiling of loads. All of it is told in rounds that take the longer the more engines there are; what is in use at one
  * engine is told to it as soon as it changes.
  */
-final class NewsWriter {
+final class EntryUpdateWriter {
 
     /** The part of a round after which one may begin early: what is missed is asked for by all entries at once. */
-    private static final int SOONER = 4;
+    private static final int EARLY_ROUND_DIVISOR = 4;
 
     private final TargetTable targets;
     private final DemandMeter demand;
-    private final NewsNumber number;
-    private long toldMillis = Long.MIN_VALUE / 2;
-    private boolean isHastened;
+    private final NewsNumber numbers;
+    private long lastRoundMillis = Long.MIN_VALUE / 2;
+    private boolean hastened;
 
     /**
      * A writer that has told nothing.
@@ -35,62 +35,62 @@
      * @param demand what is asked for.
      * @param nowMillis the steady time.
      */
-    NewsWriter(TargetTable targets, DemandMeter demand, long nowMillis) {
+    EntryUpdateWriter(TargetTable targets, DemandMeter demand, long nowMillis) {
         this.targets = targets;
         this.demand = demand;
-        this.number = new NewsNumber(nowMillis);
+        this.numbers = new NewsNumber(nowMillis);
     }
 
     /** Something that can't wait for the next round has changed. */
     void hasten() {
-        isHastened = true;
+        hastened = true;
     }
 
     /** What is due now, by the engine's address. */
     Map<HostPort, EntryNews> write(String node, Manifest manifest, long nowMillis) {
         int engines = manifest.services().values().stream()
                 .filter(service -> service.engine().isPresent())
-                .mapToInt(service -> targets.sizeOf(service.name()))
+                .mapToInt(service -> targets.replicaCount(service.name()))
                 .sum();
         long periodMillis = NewsPace.periodMillis(engines);
-        long sinceMillis = nowMillis - toldMillis;
-        if (sinceMillis < periodMillis && !(isHastened && sinceMillis >= periodMillis / SOONER)) {
-            return uses(node, manifest, nowMillis);
+        long sinceMillis = nowMillis - lastRoundMillis;
+        if (sinceMillis < periodMillis && !(hastened && sinceMillis >= periodMillis / EARLY_ROUND_DIVISOR)) {
+            return usageUpdates(node, manifest, nowMillis);
         }
-        toldMillis = nowMillis;
-        isHastened = false;
-        return whole(node, manifest, nowMillis);
+        lastRoundMillis = nowMillis;
+        hastened = false;
+        return fullUpdates(node, manifest, nowMillis);
     }
 
-    private Map<HostPort, EntryNews> whole(String node, Manifest manifest, long nowMillis) {
-        Map<String, ModelDemand> asked = demand.snapshot(nowMillis);
+    private Map<HostPort, EntryNews> fullUpdates(String node, Manifest manifest, long nowMillis) {
+        Map<String, ModelDemand> demandByModel = demand.snapshot(nowMillis);
         Map<HostPort, EntryNews> all = new HashMap<>();
         manifest.services().values().forEach(service -> service.engine().ifPresent(engine -> {
-            List<Target> engines = targets.of(service.name());
+            List<Target> engines = targets.ofService(service.name());
             List<String> addresses =
                     engines.stream().map(target -> target.address().toString()).toList();
             engines.forEach(target -> {
-                target.isUseChanged(nowMillis);
-                EntryNews news = use(node, engine, target);
-                all.put(target.address(), news.setDemand(asked).setEngineAddresses(addresses));
+                target.pollUsageChanged(nowMillis);
+                EntryNews update = usageUpdate(node, engine, target);
+                all.put(target.address(), update.setDemand(demandByModel).setEngineAddresses(addresses));
             });
         }));
         return all;
     }
 
-    private Map<HostPort, EntryNews> uses(String node, Manifest manifest, long nowMillis) {
+    private Map<HostPort, EntryNews> usageUpdates(String node, Manifest manifest, long nowMillis) {
         Map<HostPort, EntryNews> changed = new HashMap<>();
         manifest.services().values().forEach(service -> service.engine()
-                .ifPresent(engine -> targets.of(service.name()).stream()
-                        .filter(target -> target.isUseChanged(nowMillis))
-                        .forEach(target -> changed.put(target.address(), use(node, engine, target)))));
+                .ifPresent(engine -> targets.ofService(service.name()).stream()
+                        .filter(target -> target.pollUsageChanged(nowMillis))
+                        .forEach(target -> changed.put(target.address(), usageUpdate(node, engine, target)))));
         return changed;
     }
 
-    private EntryNews use(String node, Engine engine, Target target) {
+    private EntryNews usageUpdate(String node, Engine engine, Target target) {
         return new EntryNews()
                 .setNode(node)
-                .setNumber(number.next())
+                .setNumber(numbers.next())
                 .setEngineDigest(engine.digest())
                 .setAdaptersInUse(List.copyOf(target.adaptersInUse().keySet()))
                 .setModelsInUse(List.copyOf(target.modelsInUse()));
--- a/src/main/java/io/waxwingquay/forward/EventCutter.java
+++ b/src/main/java/io/waxwingquay/forward/EventSplitter.java
@@ -12,7 +12,7 @@
  * passed on as they come: half an event of one run is joined with the next run's. Nothing of an event leaves here
  * before its blank line has come.
  */
-final class EventCutter {
+final class EventSplitter {
 
     private static final byte LINE_FEED = '\n';
     private static final byte CARRIAGE_RETURN = '\r';
@@ -22,12 +22,12 @@
     private ByteArrayOutputStream pending = new ByteArrayOutputStream();
     private boolean lineEmpty = true;
 
-    EventCutter(Sink sink) {
+    EventSplitter(Sink sink) {
         this.sink = sink;
     }
 
     /** Takes bytes in; each event that they complete goes to the sink. */
-    void take(ByteBuffer bytes) {
+    void feed(ByteBuffer bytes) {
         while (bytes.hasRemaining()) {
             byte next = bytes.get();
             pending.write(next);
@@ -48,27 +48,27 @@
     }
 
     /** What has come of an event without an end. */
-    byte[] rest() {
+    byte[] incompleteEvent() {
         return pending.toByteArray();
     }
 
     private void emit() {
         byte[] event = pending.toByteArray();
         pending = new ByteArrayOutputStream();
-        sink.event(event, id(event));
+        sink.onEvent(event, idOf(event));
     }
 
-    private static OptionalLong id(byte[] event) {
+    private static OptionalLong idOf(byte[] event) {
         String text = new String(event, StandardCharsets.ISO_8859_1);
         for (String line : text.split("\r?\n")) {
             if (line.startsWith(ID_FIELD)) {
-                return number(line.substring(ID_FIELD.length()).trim());
+                return parseId(line.substring(ID_FIELD.length()).trim());
             }
         }
         return OptionalLong.empty();
     }
 
-    private static OptionalLong number(String text) {
+    private static OptionalLong parseId(String text) {
         try {
             return OptionalLong.of(Long.parseLong(text));
         } catch (NumberFormatException failure) {
@@ -87,6 +87,6 @@
          * @param bytes all of it, its blank line included.
          * @param id its id, if it has one.
          */
-        void event(byte[] bytes, OptionalLong id);
+        void onEvent(byte[] bytes, OptionalLong id);
     }
 }
--- a/src/main/java/io/waxwingquay/forward/Exchange.java
+++ b/src/main/java/io/waxwingquay/forward/Exchange.java
@@ -21,28 +21,28 @@
     private static final int SERVER_ERROR = 500;
 
     /** How often a request that waits for a model looks again. */
-    private static final long LOOK_AGAIN_MILLIS = 30L;
+    private static final long RECHECK_MILLIS = 30L;
 
     /** A request that waits for room looks again at each look at the time. */
-    private static final long LOOK_FOR_ROOM_MILLIS = 0L;
+    private static final long ROOM_RECHECK_MILLIS = 0L;
 
     /** With less time than this another try can't end in time. */
-    private static final long LEAST_TRY_MILLIS = 30L;
+    private static final long MIN_ATTEMPT_MILLIS = 30L;
 
-    private static final int MOST_CONNECT_FAILURES = 4;
+    private static final int MAX_CONNECT_FAILURES = 4;
 
     /** When to come back if nothing better is known: most replicas that went are replaced or found again by then. */
-    private static final long FORWARD_AGAIN_MILLIS = 400L;
+    private static final long DEFAULT_RETRY_AFTER_MILLIS = 400L;
 
     private final ForwardContext context;
     private final ServerExchange caller;
-    private final CallerAnswers answers;
+    private final CallerResponder responder;
     private final RequestTerms terms;
     private final Route route;
-    private final MessageCodec.RequestHead ask;
+    private final MessageCodec.RequestHead head;
     private final Suspicion suspicion;
-    private final QueuedRequest queued;
-    private final Set<Target> tried = new HashSet<>();
+    private final QueuedRequest queuedRequest;
+    private final Set<Target> triedTargets = new HashSet<>();
     private ExchangeState state = ExchangeState.CHART.initial();
     private Attempt attempt;
     private int attempts;
@@ -50,34 +50,34 @@
     private boolean mayHaveRun;
     private boolean callerGone;
     private final StreamProgress stream;
-    private long lookAgainMillis = Long.MAX_VALUE;
-    private long brokenMillis;
+    private long recheckAtMillis = Long.MAX_VALUE;
+    private long streamBrokenAtMillis;
     private String lastFailure = "";
 
     Exchange(
             ForwardContext context,
             ServerExchange caller,
             Route route,
-            MessageCodec.RequestHead ask,
+            MessageCodec.RequestHead head,
             Suspicion suspicion) {
         this.context = context;
         this.caller = caller;
-        this.answers = new CallerAnswers(caller, context);
-        this.terms = RequestTerms.of(context, caller.request(), route, ask);
-        this.queued = new QueuedRequest(context, terms);
+        this.responder = new CallerResponder(caller, context);
+        this.terms = RequestTerms.of(context, caller.request(), route, head);
+        this.queuedRequest = new QueuedRequest(context, terms);
         this.route = route;
-        this.ask = ask;
+        this.head = head;
         this.suspicion = suspicion;
         this.stream = new StreamProgress(
-                terms.arrivedMillis(), ask.lastEventId().map(OptionalLong::of).orElse(OptionalLong.empty()));
+                terms.arrivedMillis(), head.lastEventId().map(OptionalLong::of).orElse(OptionalLong.empty()));
     }
 
     MessageCodec codec() {
         return context.codec();
     }
 
-    MessageCodec.RequestHead ask() {
-        return ask;
+    MessageCodec.RequestHead head() {
+        return head;
     }
 
     Suspicion suspicion() {
@@ -94,13 +94,13 @@
 
     /** Which of those that wait is looked at first: the lowest. */
     long slackMillis(long nowMillis) {
-        return queued.slackMillis(nowMillis);
+        return queuedRequest.slackMillis(nowMillis);
     }
 
     void start() {
-        caller.onGone(this::callerGone);
+        caller.onGone(this::onCallerGone);
         if (needsModel()) {
-            context.demand().asked(ask.model().get(), EventLoop.nowMillis());
+            context.demandMeter().requested(head.model().get(), EventLoop.nowMillis());
         }
         choose();
     }
@@ -109,27 +109,27 @@
         if (state == ExchangeState.DONE) {
             return;
         }
-        if (terms.leftMillis(nowMillis) <= 0) {
-            timeUp();
+        if (terms.remainingMillis(nowMillis) <= 0) {
+            deadlineExceeded();
             return;
         }
-        if (nowMillis >= lookAgainMillis) {
-            if (!queued.canSkipLook(nowMillis)) {
-                lookAgainMillis = Long.MAX_VALUE;
+        if (nowMillis >= recheckAtMillis) {
+            if (!queuedRequest.canSkipCheck(nowMillis)) {
+                recheckAtMillis = Long.MAX_VALUE;
                 choose();
             }
             return;
         }
-        if (attempt != null && route.mayRepeat() && isSilent(nowMillis) && canGoElsewhere(nowMillis)) {
-            Attempt silent = attempt;
-            silent.cancel();
-            failed(silent, true, "silent for " + (nowMillis - silent.heardMillis()) + " ms");
+        if (attempt != null && route.mayRepeat() && isAttemptStalled(nowMillis) && canRetryElsewhere(nowMillis)) {
+            Attempt stalled = attempt;
+            stalled.cancel();
+            failed(stalled, true, "silent for " + (nowMillis - stalled.lastReceivedMillis()) + " ms");
             return;
         }
         if (attempt != null
-                && attempt.target().isInDoubt(attempt.sentMillis(), nowMillis)
-                && Patience.isCallerLeaving(route, stream.callerSilentMillis(nowMillis))) {
-            giveUpInDoubt();
+                && attempt.target().mayBeUnresponsive(attempt.sentMillis(), nowMillis)
+                && WaitPolicy.isCallerAboutToLeave(route, stream.callerIdleMillis(nowMillis))) {
+            giveUpOnDoubtfulTarget();
         }
     }
 
@@ -137,71 +137,71 @@
      * Answers a request while its caller is still there: an unresponsive engine can't be told to cancel, and would run it for
      * nobody later. If the engine is healthy after all, only the little time until the caller would have left is lost.
      */
-    private void giveUpInDoubt() {
-        takeBack();
+    private void giveUpOnDoubtfulTarget() {
+        withdrawAttempt();
         giveUp("its engine may stand still");
     }
 
     /** Ends what is under way; one of which nothing has left is known not to have run. */
-    private void takeBack() {
-        mayHaveRun |= attempt != null && attempt.mayHaveLeft();
+    private void withdrawAttempt() {
+        mayHaveRun |= attempt != null && attempt.mayHaveBeenSent();
         cancelAttempt();
     }
 
     /** The process is about to exit: what waits here is refused while its caller can go elsewhere. */
-    void leave() {
+    void drain() {
         if (state == ExchangeState.CHOOSING || state == ExchangeState.AWAITING) {
             giveUp("this process is about to exit");
         }
     }
 
     /** The process exits now: an answer that promises nothing is better than a connection that ends without a word. */
-    void exit() {
-        if (state != ExchangeState.DONE && !stream.began()) {
-            takeBack();
+    void terminate() {
+        if (state != ExchangeState.DONE && !stream.hasBegun()) {
+            withdrawAttempt();
             giveUp("this process exits");
         }
     }
 
-    private boolean isSilent(long nowMillis) {
-        long silentMillis = nowMillis - attempt.heardMillis();
+    private boolean isAttemptStalled(long nowMillis) {
+        long silentMillis = nowMillis - attempt.lastReceivedMillis();
         return state == ExchangeState.STREAMING
-                ? Patience.isStreamSilent(silentMillis)
-                : Patience.isUnanswered(
-                        route, silentMillis, attempt.target().tries().answerMillis());
+                ? WaitPolicy.isStreamStalled(silentMillis)
+                : WaitPolicy.isAnswerOverdue(
+                        route, silentMillis, attempt.target().attemptHistory().answerMillis());
     }
 
     /**
      * Failure: all replicas are slow for a moment, and one that is given up can't be replaced. Symptom: the caller gets a
      * failure though its answer was under way, so a silent replica is given up only for another one.
      */
-    private boolean canGoElsewhere(long nowMillis) {
-        return mayTryAgain() && budget().available() >= 1 && terms.choose(tried, nowMillis) instanceof Choice.Send;
+    private boolean canRetryElsewhere(long nowMillis) {
+        return mayRetry() && budget().available() >= 1 && terms.choose(triedTargets, nowMillis) instanceof Choice.Send;
     }
 
     private RetryBudget budget() {
         return context.budget(terms.service());
     }
 
-    private boolean mayTryAgain() {
-        boolean timely = terms.leftMillis(EventLoop.nowMillis()) > LEAST_TRY_MILLIS;
-        return !callerGone && timely && attempts < route.maxAttempts();
+    private boolean mayRetry() {
+        boolean hasTime = terms.remainingMillis(EventLoop.nowMillis()) > MIN_ATTEMPT_MILLIS;
+        return !callerGone && hasTime && attempts < route.maxAttempts();
     }
 
     private void choose() {
         long nowMillis = EventLoop.nowMillis();
-        if (isResuming() && !Patience.mayResume(nowMillis - brokenMillis)) {
-            breakOff("it could not go on elsewhere");
+        if (isResuming() && !WaitPolicy.mayResume(nowMillis - streamBrokenAtMillis)) {
+            abortStream("it could not go on elsewhere");
             return;
         }
-        if (suspicion.isRefused()) {
-            unplaced(suspicion.why(), Suspicion.COME_BACK_MILLIS);
+        if (suspicion.isQuarantined()) {
+            notPlaced(suspicion.quarantineReason(), Suspicion.RETRY_AFTER_MILLIS);
             return;
         }
-        Choice choice = suspicion.choose(tried, without -> terms.choose(without, nowMillis));
+        Choice choice = suspicion.choose(triedTargets, without -> terms.choose(without, nowMillis));
         if (choice instanceof Choice.Send send
-                && !terms.mayBegin(send.target(), stream.callerSilentMillis(nowMillis), nowMillis)) {
-            unplaced("its caller would leave before its answer begins", FORWARD_AGAIN_MILLIS);
+                && !terms.callerWaitsForAnswer(send.target(), stream.callerIdleMillis(nowMillis), nowMillis)) {
+            notPlaced("its caller would leave before its answer begins", DEFAULT_RETRY_AFTER_MILLIS);
         } else if (choice instanceof Choice.Send send) {
             send(send.target());
         } else if (choice instanceof Choice.LoadAdapter load) {
@@ -210,10 +210,10 @@
             awaitModel(absent.readyMillis(), nowMillis);
         } else if (choice instanceof Choice.Full full) {
             awaitRoom(full, nowMillis);
-        } else if (choice instanceof Choice.Apart) {
-            lookAgain();
+        } else if (choice instanceof Choice.AwaitIsolation) {
+            recheckLater();
         } else {
-            unplaced("no replica can be reached", FORWARD_AGAIN_MILLIS);
+            notPlaced("no replica can be reached", DEFAULT_RETRY_AFTER_MILLIS);
         }
     }
 
@@ -227,126 +227,126 @@
      */
     private void awaitAdapter(Target target, long nowMillis) {
         if (!isResuming() && !terms.mayWaitForRoom(nowMillis)) {
-            unplaced("adapter " + ask.adapter().get() + " does not come", FORWARD_AGAIN_MILLIS);
+            notPlaced("adapter " + head.adapter().get() + " does not come", DEFAULT_RETRY_AFTER_MILLIS);
             return;
         }
-        move(ExchangeState.Event.AWAIT);
-        context.adapters().need(target, ask.model().get(), ask.adapter().get(), present -> {
-            if (state == ExchangeState.AWAITING || isResuming()) {
-                if (present) {
-                    move(ExchangeState.Event.RETRY);
-                    choose();
-                } else {
-                    lookAgain();
-                }
-            }
-        });
+        transition(ExchangeState.Event.AWAIT);
+        context.adapterRequester()
+                .request(target, head.model().get(), head.adapter().get(), present -> {
+                    if (state == ExchangeState.AWAITING || isResuming()) {
+                        if (present) {
+                            transition(ExchangeState.Event.RETRY);
+                            choose();
+                        } else {
+                            recheckLater();
+                        }
+                    }
+                });
     }
 
     private void awaitModel(long readyMillis, long nowMillis) {
         context.modelMissed();
         if (isResuming() || terms.mayWaitForModel(readyMillis, nowMillis)) {
-            lookAgain();
+            recheckLater();
         } else {
-            unplaced("model " + ask.model().get() + " is in no engine", readyMillis);
+            notPlaced("model " + head.model().get() + " is in no engine", readyMillis);
         }
     }
 
     private void awaitRoom(Choice.Full full, long nowMillis) {
-        if (queued.await(full, nowMillis) || isResuming()) {
-            lookAgain(LOOK_FOR_ROOM_MILLIS);
+        if (queuedRequest.enqueueFor(full, nowMillis) || isResuming()) {
+            recheckLater(ROOM_RECHECK_MILLIS);
         } else {
-            unplaced("no room", queued.expectedMillis(full));
+            notPlaced("no room", queuedRequest.expectedWaitMillis(full));
         }
     }
 
-    private void lookAgain() {
-        lookAgain(LOOK_AGAIN_MILLIS);
+    private void recheckLater() {
+        recheckLater(RECHECK_MILLIS);
     }
 
-    private void lookAgain(long pauseMillis) {
+    private void recheckLater(long delayMillis) {
         if (state == ExchangeState.CHOOSING) {
-            move(ExchangeState.Event.AWAIT);
+            transition(ExchangeState.Event.AWAIT);
         }
-        lookAgainMillis = EventLoop.nowMillis() + pauseMillis;
+        recheckAtMillis = EventLoop.nowMillis() + delayMillis;
     }
 
     private void send(Target target) {
-        queued.end();
+        queuedRequest.leaveQueue();
         if (state == ExchangeState.AWAITING) {
-            move(ExchangeState.Event.RETRY);
+            transition(ExchangeState.Event.RETRY);
         }
-        move(ExchangeState.Event.SEND);
+        transition(ExchangeState.Event.SEND);
         if (attempts == 0) {
             budget().noteFirstTry();
         }
         attempts++;
-        tried.add(target);
+        triedTargets.add(target);
         suspicion.sent(target);
         Attempt next = new Attempt(this, target);
-        stream.sent(next.sentMillis());
+        stream.requestSent(next.sentMillis());
         attempt = next;
-        target.began(ask.model(), ask.adapter(), EngineNeed.tokens(ask), next.sentMillis());
-        ask.model().ifPresent(context.demand()::began);
-        ClientRequest request = terms.forReplica(target, stream.lastEventId(), EventLoop.nowMillis());
+        target.requestSent(head.model(), head.adapter(), EngineRequirements.kvTokens(head), next.sentMillis());
+        head.model().ifPresent(context.demandMeter()::started);
+        ClientRequest request = terms.toClientRequest(target, stream.lastEventId(), EventLoop.nowMillis());
         next.call(target.pool().send(request, next));
     }
 
     /** An answer's head has told which limit its replica names, if any. */
-    void limited(Target by, OptionalDouble perSecond) {
-        context.limited(by, perSecond);
+    void rateLimitAnnounced(Target target, OptionalDouble perSecond) {
+        context.rateLimitAnnounced(target, perSecond);
     }
 
     /** A whole answer has come, of any status. */
-    void answered(Attempt from, MessageCodec.ResponseHead reply, byte[] body) {
+    void answered(Attempt from, MessageCodec.ResponseHead response, byte[] body) {
         release(from);
-        if (reply.didNotRun()) {
-            notRun(from, reply);
+        if (response.didNotRun()) {
+            rejected(from, response);
             return;
         }
         if (from.status() >= SERVER_ERROR) {
-            from.target().tries().failed(EventLoop.nowMillis());
+            from.target().attemptHistory().failed(EventLoop.nowMillis());
             mayHaveRun = true;
             lastFailure = "status " + from.status();
-            if (!stream.began() && route.mayRepeat() && tryAgain()) {
+            if (!stream.hasBegun() && route.mayRepeat() && tryRetry()) {
                 return;
             }
         } else {
-            from.succeeded();
+            from.recordSuccess();
         }
-        if (stream.began()) {
-            breakOff("a resumed stream was answered " + from.status());
+        if (stream.hasBegun()) {
+            abortStream("a resumed stream was answered " + from.status());
             return;
         }
-        end(answers.whole(from, body), "answered by " + from.target().id());
+        end(responder.respond(from, body), "answered by " + from.target().id());
     }
 
-    /** A whole event has come. */
-    void event(Attempt from, byte[] bytes, OptionalLong id) {
-        if (stream.has(id)) {
+    void eventReceived(Attempt from, byte[] bytes, OptionalLong id) {
+        if (stream.wasDelivered(id)) {
             return;
         }
-        if (!stream.began()) {
-            move(ExchangeState.Event.BEGIN);
-            from.succeeded();
-            answers.begin(from);
+        if (!stream.hasBegun()) {
+            transition(ExchangeState.Event.BEGIN);
+            from.recordSuccess();
+            responder.beginStream(from);
         }
-        stream.passed(id, EventLoop.nowMillis());
-        if (!answers.event(bytes)) {
+        stream.eventDelivered(id, EventLoop.nowMillis());
+        if (!responder.writeEvent(bytes)) {
             from.cancel();
             release(from);
-            breakOff("its caller takes nothing");
+            abortStream("its caller takes nothing");
         }
     }
 
     /** A stream has come to its orderly end. */
-    void streamEnded(Attempt from, byte[] rest) {
+    void streamEnded(Attempt from, byte[] tail) {
         release(from);
-        if (!stream.began()) {
-            end(answers.whole(from, rest), "answered by " + from.target().id() + " without an event");
+        if (!stream.hasBegun()) {
+            end(responder.respond(from, tail), "answered by " + from.target().id() + " without an event");
             return;
         }
-        end(answers.streamEnd(from, rest), "streamed by " + from.target().id());
+        end(responder.endStream(from, tail), "streamed by " + from.target().id());
     }
 
     /** There is no whole answer. */
@@ -354,48 +354,48 @@
         release(from);
         lastFailure = why;
         if (sent) {
-            from.target().tries().failed(EventLoop.nowMillis());
+            from.target().attemptHistory().failed(EventLoop.nowMillis());
             mayHaveRun = true;
         } else {
-            if (from.target().takesWork() && !from.target().mayHaveLeft()) {
-                from.target().tries().unreachable(EventLoop.nowMillis());
+            if (from.target().acceptsRequests() && !from.target().mayHaveDeparted()) {
+                from.target().attemptHistory().unreachable(EventLoop.nowMillis());
             }
             attempts--;
             connectFailures++;
         }
-        if (stream.began()) {
-            brokenMillis = EventLoop.nowMillis();
-            if (!route.mayRepeat() || !tryAgain()) {
-                breakOff(why);
+        if (stream.hasBegun()) {
+            streamBrokenAtMillis = EventLoop.nowMillis();
+            if (!route.mayRepeat() || !tryRetry()) {
+                abortStream(why);
             }
             return;
         }
-        boolean unsentAgain = !sent && !callerGone && connectFailures <= MOST_CONNECT_FAILURES;
-        if (unsentAgain) {
+        boolean resendUnsent = !sent && !callerGone && connectFailures <= MAX_CONNECT_FAILURES;
+        if (resendUnsent) {
             retry();
-        } else if (!(sent && route.mayRepeat()) || !tryAgain()) {
+        } else if (!(sent && route.mayRepeat()) || !tryRetry()) {
             giveUp(why);
         }
     }
 
-    private void notRun(Attempt from, MessageCodec.ResponseHead reply) {
+    private void rejected(Attempt from, MessageCodec.ResponseHead response) {
         lastFailure = "not run by " + from.target().id() + ", status " + from.status();
-        if (reply.misdirected()) {
-            context.misdirected(from.target(), ask, reply);
-        } else if (reply.full()) {
-            from.target().tries().full(EventLoop.nowMillis());
+        if (response.misdirected()) {
+            context.misdirected(from.target(), head, response);
+        } else if (response.full()) {
+            from.target().attemptHistory().full(EventLoop.nowMillis());
         }
-        if (stream.began()) {
-            brokenMillis = EventLoop.nowMillis();
+        if (stream.hasBegun()) {
+            streamBrokenAtMillis = EventLoop.nowMillis();
         }
-        if (!tryAgain()) {
+        if (!tryRetry()) {
             giveUp(lastFailure);
         }
     }
 
     /** Sends it once more if its route, its time and the budget of the service allow that. */
-    private boolean tryAgain() {
-        if (!mayTryAgain()) {
+    private boolean tryRetry() {
+        if (!mayRetry()) {
             return false;
         }
         if (!budget().tryRetry()) {
@@ -407,50 +407,50 @@
     }
 
     private void retry() {
-        move(ExchangeState.Event.RETRY);
+        transition(ExchangeState.Event.RETRY);
         choose();
     }
 
     /** It could not be placed now. */
-    private void unplaced(String why, long comeBackMillis) {
+    private void notPlaced(String why, long retryAfterMillis) {
         if (isResuming()) {
-            lookAgain();
+            recheckLater();
             return;
         }
         if (mayHaveRun) {
             giveUp(lastFailure.isEmpty() ? why : lastFailure);
             return;
         }
-        refuse(why, comeBackMillis);
+        reject(why, retryAfterMillis);
     }
 
     private void giveUp(String why) {
-        if (stream.began()) {
-            breakOff(why);
+        if (stream.hasBegun()) {
+            abortStream(why);
         } else if (mayHaveRun) {
-            end(answers.failed(), why);
+            end(responder.badGateway(), why);
         } else {
-            refuse(why, FORWARD_AGAIN_MILLIS);
+            reject(why, DEFAULT_RETRY_AFTER_MILLIS);
         }
     }
 
-    private void refuse(String why, long comeBackMillis) {
-        end(answers.refused(why, comeBackMillis), why);
+    private void reject(String why, long retryAfterMillis) {
+        end(responder.reject(why, retryAfterMillis), why);
     }
 
-    private void breakOff(String why) {
-        end(answers.cut(), why);
+    private void abortStream(String why) {
+        end(responder.abort(), why);
     }
 
-    private void timeUp() {
+    private void deadlineExceeded() {
         boolean wasSent = attempt != null || mayHaveRun;
         cancelAttempt();
-        if (stream.began()) {
-            breakOff("its time is over");
+        if (stream.hasBegun()) {
+            abortStream("its time is over");
         } else if (wasSent) {
-            end(answers.late(), "its time is over");
+            end(responder.gatewayTimeout(), "its time is over");
         } else {
-            refuse("its time is over", FORWARD_AGAIN_MILLIS);
+            reject("its time is over", DEFAULT_RETRY_AFTER_MILLIS);
         }
     }
 
@@ -460,9 +460,9 @@
      * end, as its caller will ask what became of it. Of one that still waits for its connection nothing has left, so it
      * is given up too, and not sent elsewhere.
      */
-    private void callerGone() {
+    private void onCallerGone() {
         callerGone = true;
-        if (attempt != null && attempt.mayHaveLeft() && route.kind() == Route.Kind.UNSAFE) {
+        if (attempt != null && attempt.mayHaveBeenSent() && route.kind() == Route.Kind.UNSAFE) {
             return;
         }
         cancelAttempt();
@@ -477,24 +477,24 @@
         }
     }
 
-    private void release(Attempt of) {
-        if (attempt == of) {
+    private void release(Attempt ended) {
+        if (attempt == ended) {
             attempt = null;
         }
         suspicion.ended();
-        of.target().ended(ask.model(), ask.adapter());
-        ask.model().ifPresent(model -> context.demand().ended(model, EventLoop.nowMillis() - of.sentMillis()));
+        ended.target().requestEnded(head.model(), head.adapter());
+        head.model().ifPresent(model -> context.demandMeter().ended(model, EventLoop.nowMillis() - ended.sentMillis()));
     }
 
-    private void move(ExchangeState.Event event) {
+    private void transition(ExchangeState.Event event) {
         ExchangeState.CHART.next(state, event).ifPresent(next -> state = next);
     }
 
     private void end(int status, String why) {
-        queued.end();
-        move(ExchangeState.Event.END);
-        lookAgainMillis = Long.MAX_VALUE;
+        queuedRequest.leaveQueue();
+        transition(ExchangeState.Event.END);
+        recheckAtMillis = Long.MAX_VALUE;
         context.ended(
-                this, new Outcome(ask, route, terms.service(), status, attempts, why, terms.arrivedMillis(), stream));
+                this, new Outcome(head, route, terms.service(), status, attempts, why, terms.arrivedMillis(), stream));
     }
 }
--- a/src/main/java/io/waxwingquay/forward/ForwardContext.java
+++ b/src/main/java/io/waxwingquay/forward/ForwardContext.java
@@ -13,11 +13,11 @@
 
     TargetChooser chooser();
 
-    AdapterDesk adapters();
+    AdapterRequester adapterRequester();
 
-    DemandMeter demand();
+    DemandMeter demandMeter();
 
-    WaitQueues queues();
+    WaitQueues waitQueues();
 
     /** How many entries there are, this one among them. */
     int entryCount();
@@ -29,7 +29,7 @@
     RetryBudget budget(String service);
 
     /** A number from 0 up to 1 that a text always gets. */
-    double uniform(String text);
+    double stableUniform(String text);
 
     /** A time and up to half more, so that those refused together do not come back together. */
     long jitter(long millis);
@@ -38,10 +38,10 @@
     void modelMissed();
 
     /** A replica said that it is another one, or lacks what was asked for. */
-    void misdirected(Target target, MessageCodec.RequestHead ask, MessageCodec.ResponseHead reply);
+    void misdirected(Target target, MessageCodec.RequestHead request, MessageCodec.ResponseHead response);
 
     /** A replica named how many requests a second it takes from all entries together, or named no limit. */
-    void limited(Target target, OptionalDouble perSecond);
+    void rateLimitAnnounced(Target target, OptionalDouble perSecond);
 
     void ended(Exchange exchange, Outcome outcome);
 }
--- a/src/main/java/io/waxwingquay/forward/Forwarder.java
+++ b/src/main/java/io/waxwingquay/forward/Forwarder.java
@@ -35,10 +35,10 @@
     private static final int UNAVAILABLE = 503;
 
     /** A caller refused by this process alone may come back soon: it reaches another entry. */
-    private static final long ELSEWHERE_MILLIS = 200L;
+    private static final long OTHER_ENTRY_RETRY_AFTER_MILLIS = 200L;
 
     /** How many times its objective a call of a plain service may take. */
-    private static final long PLAIN_OBJECTIVES = 4L;
+    private static final long MAX_PLAIN_OBJECTIVES = 4L;
 
     /** Kept free at each replica for other callers than our entries, such as health checks. */
     private static final double CONNECTION_SHARE = 0.9;
@@ -54,19 +54,19 @@
     private final RandomGenerator random;
     private final SuspectTracker suspects;
     private final TargetChooser chooser;
-    private final AdapterDesk adapters;
-    private final ForwardMetrics meters;
-    private final Runnable changed;
-    private final DemandMeter demand = new DemandMeter();
-    private final WaitQueues queues = new WaitQueues();
+    private final AdapterRequester adapterRequester;
+    private final ForwardMetrics metrics;
+    private final Runnable onStateChanged;
+    private final DemandMeter demandMeter = new DemandMeter();
+    private final WaitQueues waitQueues = new WaitQueues();
     private final TargetTable targets;
-    private final NewsWriter newsWriter;
+    private final EntryUpdateWriter updateWriter;
     private final Map<String, RetryBudget> budgets = new HashMap<>();
-    private final ActiveRequests active;
+    private final ActiveRequests activeRequests;
     private Optional<Manifest> manifest = Optional.empty();
     private RouteTable routes = RouteTable.of(List.of());
-    private int entries;
-    private long exitMillis = Long.MAX_VALUE;
+    private int entryCount;
+    private long exitAtMillis = Long.MAX_VALUE;
     private boolean admitting = true;
 
     /**
@@ -75,8 +75,8 @@
      * @param loop where everything runs.
      * @param settings its figures.
      * @param codec reads and writes header fields.
-     * @param meters counts what becomes of requests.
-     * @param peers tells the processes beside engines.
+     * @param metrics counts what becomes of requests.
+     * @param engineNotifier tells the processes beside engines.
      * @param suspects requests whose replicas went.
      * @param random the source of noise.
      */
@@ -84,25 +84,26 @@
             EventLoop loop,
             ForwardSettings settings,
             MessageCodec codec,
-            ForwardMetrics meters,
-            EngineNotifier peers,
+            ForwardMetrics metrics,
+            EngineNotifier engineNotifier,
             SuspectTracker suspects,
             RandomGenerator random) {
         this.loop = loop;
         this.settings = settings;
         this.codec = codec;
-        this.meters = meters;
+        this.metrics = metrics;
         this.suspects = suspects;
         this.random = random;
-        this.entries = settings.assumedEntryCount();
+        this.entryCount = settings.assumedEntryCount();
         this.chooser = new TargetChooser(settings.zone(), random);
-        this.adapters = new AdapterDesk(
+        this.adapterRequester = new AdapterRequester(
                 loop,
-                (target, call) -> peers.requestAdapter(target.address(), call.id(), call.model(), call.adapter()));
-        this.changed = peers::demandChanged;
-        this.targets = new TargetTable(this::pool);
-        this.newsWriter = new NewsWriter(targets, demand, EventLoop.nowMillis());
-        this.active = new ActiveRequests(loop);
+                (target, call) ->
+                        engineNotifier.requestAdapter(target.address(), call.id(), call.model(), call.adapter()));
+        this.onStateChanged = engineNotifier::demandChanged;
+        this.targets = new TargetTable(this::newPool);
+        this.updateWriter = new EntryUpdateWriter(targets, demandMeter, EventLoop.nowMillis());
+        this.activeRequests = new ActiveRequests(loop);
     }
 
     /**
@@ -117,7 +118,7 @@
         manifest = Optional.of(newer);
         updateSoon();
         routes = RouteTable.of(newer.routes());
-        targets.all().forEach(target -> target.pool().limit(connections(target.record())));
+        targets.all().forEach(target -> target.pool().limit(maxConnections(target.record())));
         LOG.log(
                 System.Logger.Level.INFO,
                 "forward: configuration in force version={0} routes={1}",
@@ -146,15 +147,15 @@
     /** {@inheritDoc} */
     @Override
     public void drainWithin(long millis) {
-        exitMillis = EventLoop.nowMillis() + millis;
-        active.leave();
+        exitAtMillis = EventLoop.nowMillis() + millis;
+        activeRequests.drain();
     }
 
     /** {@inheritDoc} */
     @Override
     public void endAdmission() {
         admitting = false;
-        active.exit();
+        activeRequests.terminate();
     }
 
     /** {@inheritDoc} */
@@ -162,48 +163,49 @@
     public void handle(ServerExchange caller) {
         if (!admitting) {
             // The exit follows without another look at what is under way, and would cut whatever is taken now.
-            refuse(caller, "this process exits");
+            reject(caller, "this process exits");
             return;
         }
         if (manifest.isEmpty()) {
-            refuse(caller, "no configuration is known here yet");
+            reject(caller, "no configuration is known here yet");
             return;
         }
-        MessageCodec.RequestHead ask = codec.readRequest(caller.request().fields());
+        MessageCodec.RequestHead head = codec.readRequest(caller.request().fields());
         String host = Optional.ofNullable(caller.request().fields().get("Host")).orElse("");
         Optional<Route> route = routes.find(host, caller.request().path());
         if (route.isEmpty()) {
-            meters.unrouted();
+            metrics.unrouted();
             LOG.log(
                     System.Logger.Level.INFO,
                     "forward: no route id={0} version={1}",
-                    ask.id(),
+                    head.id(),
                     manifest.get().version());
             caller.respond(NOT_FOUND, HttpFields.EMPTY, "no route leads there");
             return;
         }
-        if (mayOutlast(route.get())) {
-            refuse(caller, "this process is about to exit");
+        if (mayOutlastProcess(route.get())) {
+            reject(caller, "this process is about to exit");
             return;
         }
-        Exchange exchange = new Exchange(this, caller, route.get(), ask, suspects.of(codec, caller.request()));
-        active.add(exchange);
+        Exchange exchange = new Exchange(this, caller, route.get(), head, suspects.forRequest(codec, caller.request()));
+        activeRequests.add(exchange);
         exchange.start();
     }
 
     /**
      * Takes in what the process beside an engine tells.
      *
-     * @param news the news.
+     * @param update the news.
      */
-    public void engineUpdate(EngineNews news) {
+    public void engineUpdate(EngineNews update) {
         long nowMillis = EventLoop.nowMillis();
-        targets.livingAt(HostPort.of(news.getEngineAddress())).ifPresent(target -> {
-            target.tellers(entries + targets.sizeOf(target.record().service()));
-            target.news(news, nowMillis);
+        targets.currentAt(HostPort.of(update.getEngineAddress())).ifPresent(target -> {
+            target.receiverCount(
+                    entryCount + targets.replicaCount(target.record().service()));
+            target.update(update, nowMillis);
         });
-        if (news.getEntries() > 0) {
-            entries(news.getEntries());
+        if (update.getEntries() > 0) {
+            setEntryCount(update.getEntries());
         }
     }
 
@@ -214,7 +216,7 @@
      * @param present whether the adapter is there.
      */
     public void adapterReply(long id, boolean present) {
-        adapters.replied(id, present);
+        adapterRequester.answered(id, present);
     }
 
     /**
@@ -224,7 +226,7 @@
      * @return the news by the engine's address; none before a configuration is known.
      */
     public Map<HostPort, EntryNews> entryUpdates(String node) {
-        return manifest.map(known -> newsWriter.write(node, known, EventLoop.nowMillis()))
+        return manifest.map(known -> updateWriter.write(node, known, EventLoop.nowMillis()))
                 .orElse(Map.of());
     }
 
@@ -236,20 +238,20 @@
     public int freshEngineCount() {
         long nowMillis = EventLoop.nowMillis();
         return (int) targets.all().stream()
-                .filter(target -> target.freshNews(nowMillis).isPresent())
+                .filter(target -> target.freshUpdate(nowMillis).isPresent())
                 .count();
     }
 
     /** {@inheritDoc} */
     @Override
     public int activeCount() {
-        return active.count();
+        return activeRequests.count();
     }
 
     /** {@inheritDoc} */
     @Override
     public List<String> activeIds() {
-        return active.ids();
+        return activeRequests.ids();
     }
 
     /** {@inheritDoc} */
@@ -266,32 +268,32 @@
 
     /** {@inheritDoc} */
     @Override
-    public AdapterDesk adapters() {
-        return adapters;
+    public AdapterRequester adapterRequester() {
+        return adapterRequester;
     }
 
     /** {@inheritDoc} */
     @Override
-    public DemandMeter demand() {
-        return demand;
+    public DemandMeter demandMeter() {
+        return demandMeter;
     }
 
     /** {@inheritDoc} */
     @Override
-    public WaitQueues queues() {
-        return queues;
+    public WaitQueues waitQueues() {
+        return waitQueues;
     }
 
     /** {@inheritDoc} */
     @Override
     public int entryCount() {
-        return Math.max(1, entries);
+        return Math.max(1, entryCount);
     }
 
     /** {@inheritDoc} */
     @Override
     public Collection<Target> targets(String service) {
-        return targets.of(service);
+        return targets.ofService(service);
     }
 
     /** {@inheritDoc} */
@@ -306,12 +308,15 @@
         return budgets.computeIfAbsent(
                 service,
                 key -> RetryBudget.sharedBy(
-                        settings.retryRatio() * BUDGET_SHARE, burst(), random.nextDouble(), EventLoop::nowMillis));
+                        settings.retryRatio() * BUDGET_SHARE,
+                        retryBurstPerEntry(),
+                        random.nextDouble(),
+                        EventLoop::nowMillis));
     }
 
     /** {@inheritDoc} */
     @Override
-    public double uniform(String text) {
+    public double stableUniform(String text) {
         byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
         return (MurmurHash3.hash32x86(bytes) >>> 1) / (double) Integer.MAX_VALUE;
     }
@@ -330,42 +335,42 @@
 
     /** {@inheritDoc} */
     @Override
-    public void misdirected(Target target, MessageCodec.RequestHead ask, MessageCodec.ResponseHead reply) {
-        Optional<String> other = reply.replicaId().filter(id -> !id.equals(target.id()));
+    public void misdirected(Target target, MessageCodec.RequestHead request, MessageCodec.ResponseHead response) {
+        Optional<String> other = response.replicaId().filter(id -> !id.equals(target.id()));
         if (other.isPresent()) {
-            target.replaced();
+            target.markReplaced();
         } else {
-            target.misdirected(ask.model(), ask.adapter());
+            target.misdirected(request.model(), request.adapter());
         }
         LOG.log(
                 System.Logger.Level.INFO,
                 "forward: misdirected id={0} replica={1} answered_by={2}",
-                ask.id(),
+                request.id(),
                 target.id(),
                 other.orElse(target.id()));
     }
 
     /** {@inheritDoc} */
     @Override
-    public void limited(Target target, OptionalDouble perSecond) {
-        target.limit(perSecond, entryCount(), random::nextDouble, EventLoop.nowMillis());
+    public void rateLimitAnnounced(Target target, OptionalDouble perSecond) {
+        target.rateLimitAnnounced(perSecond, entryCount(), random::nextDouble, EventLoop.nowMillis());
     }
 
     /** {@inheritDoc} */
     @Override
     public void ended(Exchange exchange, Outcome outcome) {
-        active.remove(exchange);
+        activeRequests.remove(exchange);
         long tookMillis = EventLoop.nowMillis() - outcome.arrivedMillis();
-        meters.ended(outcome.status(), tookMillis);
+        metrics.ended(outcome.status(), tookMillis);
         LOG.log(
                 System.Logger.Level.INFO,
                 "forward: ended id={0} route={1} service={2} model={3} status={4} sent={5} took_ms={6} first_ms={7} pause_ms={8}"
                         + " waited_ms={9} objective_ms={10} pause_objective_ms={11} why={12}",
-                outcome.ask().id(),
+                outcome.head().id(),
                 outcome.route().name(),
                 outcome.service(),
-                outcome.ask().model().orElse("")
-                        + outcome.ask().adapter().map(name -> "/" + name).orElse(""),
+                outcome.head().model().orElse("")
+                        + outcome.head().adapter().map(name -> "/" + name).orElse(""),
                 outcome.status(),
                 outcome.attempts(),
                 tookMillis,
@@ -377,53 +382,53 @@
                 outcome.why());
     }
 
-    private void refuse(ServerExchange caller, String why) {
+    private void reject(ServerExchange caller, String why) {
         LOG.log(
                 System.Logger.Level.INFO,
                 "forward: refused id={0} why={1}",
                 codec.readRequest(caller.request().fields()).id(),
                 why);
-        HttpFields fields = codec.refusalFields(Optional.of(jitter(ELSEWHERE_MILLIS)));
+        HttpFields fields = codec.refusalFields(Optional.of(jitter(OTHER_ENTRY_RETRY_AFTER_MILLIS)));
         caller.respond(UNAVAILABLE, fields, "it has not run: " + why);
     }
 
     /** A request that is cut by this process's exit may have run; one that is refused before can go elsewhere. */
-    private boolean mayOutlast(Route route) {
-        if (exitMillis == Long.MAX_VALUE) {
+    private boolean mayOutlastProcess(Route route) {
+        if (exitAtMillis == Long.MAX_VALUE) {
             return false;
         }
-        long leftMillis = exitMillis - EventLoop.nowMillis();
-        return route.kind() == Route.Kind.STREAM || leftMillis < PLAIN_OBJECTIVES * route.objectiveMillis();
+        long remainingMillis = exitAtMillis - EventLoop.nowMillis();
+        return route.kind() == Route.Kind.STREAM || remainingMillis < MAX_PLAIN_OBJECTIVES * route.objectiveMillis();
     }
 
     /** The processes beside engines should know soon of what has changed here. */
     public void updateSoon() {
-        newsWriter.hasten();
-        changed.run();
+        updateWriter.hasten();
+        onStateChanged.run();
     }
 
-    private void entries(int count) {
-        if (count != entries) {
-            entries = count;
-            budgets.values().forEach(budget -> budget.limitBurst(burst()));
-            targets.all().forEach(target -> target.pool().limit(connections(target.record())));
+    private void setEntryCount(int count) {
+        if (count != entryCount) {
+            entryCount = count;
+            budgets.values().forEach(budget -> budget.limitBurst(retryBurstPerEntry()));
+            targets.all().forEach(target -> target.pool().limit(maxConnections(target.record())));
         }
     }
 
-    private double burst() {
-        return settings.retryBurst() * BUDGET_SHARE / entries;
+    private double retryBurstPerEntry() {
+        return settings.retryBurst() * BUDGET_SHARE / entryCount;
     }
 
-    private ClientPool pool(ReplicaRecord record) {
+    private ClientPool newPool(ReplicaRecord record) {
         HostPort address = record.address();
-        return new ClientPool(loop, new InetSocketAddress(address.host(), address.port()), connections(record));
+        return new ClientPool(loop, new InetSocketAddress(address.host(), address.port()), maxConnections(record));
     }
 
     /** All entries together stay below what a replica takes. */
-    private int connections(ReplicaRecord record) {
+    private int maxConnections(ReplicaRecord record) {
         int atReplica = manifest.map(known -> known.services().get(record.service()))
                 .map(Manifest.Service::maxConnections)
                 .orElse(record.slots());
-        return (int) Math.max(1, atReplica * CONNECTION_SHARE / entries);
+        return (int) Math.max(1, atReplica * CONNECTION_SHARE / entryCount);
     }
 }
--- a/src/main/java/io/waxwingquay/forward/Listing.java
+++ b/src/main/java/io/waxwingquay/forward/ListingStatus.java
@@ -8,28 +8,28 @@
  * about to exit. What comes from the replica itself, or from the process beside it, after its row was found missing tells
  * which; until then it counts as one that may have left.
  */
-final class Listing {
+final class ListingStatus {
 
-    private boolean missing;
-    private boolean stays;
+    private boolean unlisted;
+    private boolean staying;
 
     /** Its row is there. */
     void listed() {
-        missing = false;
+        unlisted = false;
     }
 
     /** Its row was found missing. */
-    void missing() {
-        missing = true;
-        stays = false;
+    void unlisted() {
+        unlisted = true;
+        staying = false;
     }
 
     /** It was heard, and told whether it is about to leave. */
-    void heard(boolean leaving) {
-        stays = !leaving;
+    void heard(boolean draining) {
+        staying = !draining;
     }
 
-    boolean mayHaveLeft() {
-        return missing && !stays;
+    boolean mayHaveDeparted() {
+        return unlisted && !staying;
     }
 }
--- a/src/main/java/io/waxwingquay/forward/Outcome.java
+++ b/src/main/java/io/waxwingquay/forward/Outcome.java
@@ -5,7 +5,7 @@
 /**
  * How a request ended.
  *
- * @param ask what was asked.
+ * @param head what was asked.
  * @param route its route.
  * @param service the service that it went to.
  * @param status the status that its caller got; 0 if it got no whole answer.
@@ -15,7 +15,7 @@
  * @param stream how it came along, and its stream.
  */
 record Outcome(
-        MessageCodec.RequestHead ask,
+        MessageCodec.RequestHead head,
         Route route,
         String service,
         int status,
--- a/src/main/java/io/waxwingquay/forward/QueuedRequest.java
+++ b/src/main/java/io/waxwingquay/forward/QueuedRequest.java
@@ -5,7 +5,7 @@
 
     private final ForwardContext context;
     private final RequestTerms terms;
-    private boolean waits;
+    private boolean waiting;
 
     QueuedRequest(ForwardContext context, RequestTerms terms) {
         this.context = context;
@@ -14,17 +14,18 @@
 
     /** Which of those that wait is looked at first: the lowest. What does not wait comes before. */
     long slackMillis(long nowMillis) {
-        return waits ? terms.slackMillis(nowMillis) : Long.MIN_VALUE;
+        return waiting ? terms.slackMillis(nowMillis) : Long.MIN_VALUE;
     }
 
     /** Whether a look would find what one before it in its queue has just found, and its time to wait is not over. */
-    boolean canSkipLook(long nowMillis) {
-        return waits && context.queues().isFull(terms.queueKey(), nowMillis) && terms.mayWaitForRoom(nowMillis);
+    boolean canSkipCheck(long nowMillis) {
+        return waiting && context.waitQueues().isFull(terms.queueKey(), nowMillis) && terms.mayWaitForRoom(nowMillis);
     }
 
     /** How long until room for it is expected; others that wait here are taken to be as many at each entry. */
-    long expectedMillis(Choice.Full full) {
-        return full.waitMillis(waits ? 0 : context.queues().size(terms.queueKey()) * context.entryCount());
+    long expectedWaitMillis(Choice.Full full) {
+        return full.expectedWaitMillis(
+                waiting ? 0 : context.waitQueues().size(terms.queueKey()) * context.entryCount());
     }
 
     /**
@@ -33,23 +34,23 @@
      *
      * @return whether it waits.
      */
-    boolean await(Choice.Full full, long nowMillis) {
-        context.queues().markFull(terms.queueKey(), nowMillis);
-        long placeMillis = waits ? 0 : expectedMillis(full);
-        if (!terms.mayEnqueue(placeMillis, nowMillis)) {
+    boolean enqueueFor(Choice.Full full, long nowMillis) {
+        context.waitQueues().markFull(terms.queueKey(), nowMillis);
+        long expectedWaitMillis = waiting ? 0 : expectedWaitMillis(full);
+        if (!terms.mayEnqueue(expectedWaitMillis, nowMillis)) {
             return false;
         }
-        if (!waits) {
-            waits = true;
-            context.queues().joined(terms.queueKey());
+        if (!waiting) {
+            waiting = true;
+            context.waitQueues().joined(terms.queueKey());
         }
         return true;
     }
 
-    void end() {
-        if (waits) {
-            waits = false;
-            context.queues().left(terms.queueKey());
+    void leaveQueue() {
+        if (waiting) {
+            waiting = false;
+            context.waitQueues().left(terms.queueKey());
         }
     }
 }
--- a/src/main/java/io/waxwingquay/forward/RequestTerms.java
+++ b/src/main/java/io/waxwingquay/forward/RequestTerms.java
@@ -15,38 +15,38 @@
     /** Of two requests of the same rank the one with an objective above this can wait. */
     private static final long RELAXED_OBJECTIVE_MILLIS = 1_000L;
 
-    private static final int LOWEST_RANK = 9;
+    private static final int LOWEST_PRIORITY = 9;
 
     private final ForwardContext context;
     private final ServerRequest request;
     private final Route route;
-    private final MessageCodec.RequestHead ask;
+    private final MessageCodec.RequestHead head;
     private final String service;
     private final Optional<Engine> engine;
-    private final long limitMillis;
+    private final long deadlineAtMillis;
 
-    private RequestTerms(ForwardContext context, ServerRequest request, Route route, MessageCodec.RequestHead ask) {
+    private RequestTerms(ForwardContext context, ServerRequest request, Route route, MessageCodec.RequestHead head) {
         this.context = context;
         this.request = request;
         this.route = route;
-        this.ask = ask;
-        this.service = route.service(context.uniform(ask.id()));
+        this.head = head;
+        this.service = route.service(context.stableUniform(head.id()));
         this.engine = context.engine(service);
-        long callerMillis = ask.remainingMillis().orElse(route.timeoutMillis());
-        this.limitMillis = request.arrivedMillis() + Math.min(callerMillis, route.timeoutMillis());
+        long callerTimeoutMillis = head.remainingMillis().orElse(route.timeoutMillis());
+        this.deadlineAtMillis = request.arrivedMillis() + Math.min(callerTimeoutMillis, route.timeoutMillis());
     }
 
     /** The terms of a request that a route takes. */
-    static RequestTerms of(ForwardContext context, ServerRequest request, Route route, MessageCodec.RequestHead ask) {
-        return new RequestTerms(context, request, route, ask);
+    static RequestTerms of(ForwardContext context, ServerRequest request, Route route, MessageCodec.RequestHead head) {
+        return new RequestTerms(context, request, route, head);
     }
 
     Route route() {
         return route;
     }
 
-    MessageCodec.RequestHead ask() {
-        return ask;
+    MessageCodec.RequestHead head() {
+        return head;
     }
 
     String service() {
@@ -63,52 +63,53 @@
 
     /** Whether it needs a model of an engine; else any replica of its service will do. */
     boolean needsModel() {
-        return engine.isPresent() && ask.model().isPresent();
+        return engine.isPresent() && head.model().isPresent();
     }
 
     /** What is left of its time; none or less when it is over. */
-    long leftMillis(long nowMillis) {
-        return limitMillis - nowMillis;
+    long remainingMillis(long nowMillis) {
+        return deadlineAtMillis - nowMillis;
     }
 
     boolean mayWaitForModel(long readyMillis, long nowMillis) {
-        return Patience.mayWaitForModel(route, waitedMillis(nowMillis), readyMillis, leftMillis(nowMillis));
+        return WaitPolicy.mayWaitForModel(route, waitedMillis(nowMillis), readyMillis, remainingMillis(nowMillis));
     }
 
     boolean mayWaitForRoom(long nowMillis) {
         return mayEnqueue(0, nowMillis);
     }
 
-    boolean mayEnqueue(long placeMillis, long nowMillis) {
-        long allMillis = limitMillis - request.arrivedMillis();
-        return Patience.mayEnqueue(route, waitedMillis(nowMillis), placeMillis, allMillis);
+    boolean mayEnqueue(long expectedWaitMillis, long nowMillis) {
+        long timeoutMillis = deadlineAtMillis - request.arrivedMillis();
+        return WaitPolicy.mayEnqueue(route, waitedMillis(nowMillis), expectedWaitMillis, timeoutMillis);
     }
 
     long slackMillis(long nowMillis) {
-        return Patience.slackMillis(route, waitedMillis(nowMillis));
+        return WaitPolicy.slackMillis(route, waitedMillis(nowMillis));
     }
 
     /** What those that wait for the same places have in common. */
     String queueKey() {
-        return service + '/' + ask.model().orElse("");
+        return service + '/' + head.model().orElse("");
     }
 
     /** Whether its caller is still there when a replica begins to answer, if it has had nothing new for so long. */
-    boolean mayBegin(Target target, long silentMillis, long nowMillis) {
-        return Patience.mayBegin(route, silentMillis, target.tries().recentAnswerMillis(nowMillis));
+    boolean callerWaitsForAnswer(Target target, long callerIdleMillis, long nowMillis) {
+        return WaitPolicy.callerWaitsForAnswer(
+                route, callerIdleMillis, target.attemptHistory().recentAnswerMillis(nowMillis));
     }
 
     /** Chooses a replica for it, other than those named. */
-    Choice choose(Set<Target> without, long nowMillis) {
+    Choice choose(Set<Target> excluded, long nowMillis) {
         TargetChooser chooser = context.chooser();
         return needsModel()
                 ? chooser.chooseEngine(
                         context.targets(service),
-                        without,
+                        excluded,
                         engine.get(),
-                        EngineNeed.of(ask, context.demand()),
+                        EngineRequirements.of(head, context.demandMeter()),
                         nowMillis)
-                : chooser.choosePlain(context.targets(service), without, nowMillis);
+                : chooser.choosePlain(context.targets(service), excluded, nowMillis);
     }
 
     /**
@@ -118,20 +119,20 @@
      * @param lastEventId the last event of its stream that the caller has.
      * @param nowMillis the steady time.
      */
-    ClientRequest forReplica(Target target, OptionalLong lastEventId, long nowMillis) {
-        MessageCodec.ForwardedHead order = new MessageCodec.ForwardedHead(
+    ClientRequest toClientRequest(Target target, OptionalLong lastEventId, long nowMillis) {
+        MessageCodec.ForwardedHead head = new MessageCodec.ForwardedHead(
                 target.id(),
-                Math.max(1, leftMillis(nowMillis)),
-                engine.map(each -> rank()),
+                Math.max(1, remainingMillis(nowMillis)),
+                engine.map(each -> priority()),
                 lastEventId.stream().boxed().findFirst());
-        HttpFields fields = context.codec().requestFields(request.fields(), order);
+        HttpFields fields = context.codec().requestFields(request.fields(), head);
         return new ClientRequest(request.method(), request.target(), fields, request.body(), route.mayRepeat());
     }
 
     /** An operator's rank first; within it, what must come sooner. */
-    private int rank() {
+    private int priority() {
         int relaxed = route.objectiveMillis() > RELAXED_OBJECTIVE_MILLIS ? 1 : 0;
-        return Math.min(LOWEST_RANK, 2 * route.priority() + relaxed);
+        return Math.min(LOWEST_PRIORITY, 2 * route.priority() + relaxed);
     }
 
     private long waitedMillis(long nowMillis) {
--- a/src/main/java/io/waxwingquay/forward/StreamProgress.java
+++ b/src/main/java/io/waxwingquay/forward/StreamProgress.java
@@ -5,32 +5,32 @@
 /** How far a stream has come at its caller, and how smoothly. */
 final class StreamProgress {
 
-    private final long arrivedMillis;
+    private final long arrivedAtMillis;
     private OptionalLong lastEventId;
-    private boolean began;
+    private boolean hasBegun;
     private long firstEventMillis;
-    private long heardMillis;
+    private long lastEventAtMillis;
     private long longestPauseMillis;
-    private OptionalLong firstSentMillis = OptionalLong.empty();
+    private OptionalLong firstSentAtMillis = OptionalLong.empty();
 
-    StreamProgress(long arrivedMillis, OptionalLong lastEventId) {
-        this.arrivedMillis = arrivedMillis;
+    StreamProgress(long arrivedAtMillis, OptionalLong lastEventId) {
+        this.arrivedAtMillis = arrivedAtMillis;
         this.lastEventId = lastEventId;
     }
 
-    void sent(long nowMillis) {
-        if (firstSentMillis.isEmpty()) {
-            firstSentMillis = OptionalLong.of(nowMillis);
+    void requestSent(long nowMillis) {
+        if (firstSentAtMillis.isEmpty()) {
+            firstSentAtMillis = OptionalLong.of(nowMillis);
         }
     }
 
     /** How long the request waited here before it was sent first; if it was not sent, since it came. */
     long waitedMillis(long nowMillis) {
-        return firstSentMillis.orElse(nowMillis) - arrivedMillis;
+        return firstSentAtMillis.orElse(nowMillis) - arrivedAtMillis;
     }
 
-    boolean began() {
-        return began;
+    boolean hasBegun() {
+        return hasBegun;
     }
 
     /** The last event that the caller has, of this run or of one before. */
@@ -39,26 +39,26 @@
     }
 
     /** Whether the caller has this event already, from an earlier run of the stream. */
-    boolean has(OptionalLong id) {
+    boolean wasDelivered(OptionalLong id) {
         return id.isPresent() && lastEventId.isPresent() && id.getAsLong() <= lastEventId.getAsLong();
     }
 
-    void passed(OptionalLong id, long nowMillis) {
-        if (!began) {
-            began = true;
-            firstEventMillis = nowMillis - arrivedMillis;
-            heardMillis = nowMillis;
+    void eventDelivered(OptionalLong id, long nowMillis) {
+        if (!hasBegun) {
+            hasBegun = true;
+            firstEventMillis = nowMillis - arrivedAtMillis;
+            lastEventAtMillis = nowMillis;
         }
         if (id.isPresent()) {
             lastEventId = id;
         }
-        longestPauseMillis = Math.max(longestPauseMillis, nowMillis - heardMillis);
-        heardMillis = nowMillis;
+        longestPauseMillis = Math.max(longestPauseMillis, nowMillis - lastEventAtMillis);
+        lastEventAtMillis = nowMillis;
     }
 
     /** How long the caller has had nothing new: since the last event, or since its request came. */
-    long callerSilentMillis(long nowMillis) {
-        return nowMillis - (began ? heardMillis : arrivedMillis);
+    long callerIdleMillis(long nowMillis) {
+        return nowMillis - (hasBegun ? lastEventAtMillis : arrivedAtMillis);
     }
 
     /** How long the caller waited for the first event. */
--- a/src/main/java/io/waxwingquay/forward/SuspectTracker.java
+++ b/src/main/java/io/waxwingquay/forward/SuspectTracker.java
@@ -19,40 +19,40 @@
 public final class SuspectTracker {
 
     /** Answers that a replica gave before it went may be read a little after its connections have broken. */
-    private static final long IN_FLIGHT_MILLIS = 100L;
+    private static final long IN_FLIGHT_ANSWER_MILLIS = 100L;
 
     /** A replica that lives answers what it had by then, or hardly any more. */
-    private static final long BREAK_KEPT_MILLIS = 30_000L;
+    private static final long BREAK_RETENTION_MILLIS = 30_000L;
 
     /** The most broken connections that are remembered to be looked at again. */
-    private static final int MOST_BREAKS = 256;
+    private static final int MAX_BREAKS = 256;
 
     private static final System.Logger LOG = System.getLogger("waxwingquay.forward");
 
     private final SharedSuspects shared;
     private final LongSupplier clockMillis;
-    private final Runnable changed;
-    private final Map<Target, Integer> running = new HashMap<>();
-    private final Deque<Break> breaks = new ArrayDeque<>();
+    private final Runnable onChange;
+    private final Map<Target, Integer> runningSuspectCounts = new HashMap<>();
+    private final Deque<ConnectionBreak> breaks = new ArrayDeque<>();
 
     /**
      * The suspects of an entry.
      *
      * @param shared what it knows together with other processes.
      * @param clockMillis the steady clock.
-     * @param changed told when there is something that the others should know soon.
+     * @param onChange told when there is something that the others should know soon.
      */
-    public SuspectTracker(SharedSuspects shared, LongSupplier clockMillis, Runnable changed) {
+    public SuspectTracker(SharedSuspects shared, LongSupplier clockMillis, Runnable onChange) {
         this.shared = shared;
         this.clockMillis = clockMillis;
-        this.changed = changed;
+        this.onChange = onChange;
     }
 
-    Suspicion of(MessageCodec codec, ServerRequest request) {
+    Suspicion forRequest(MessageCodec codec, ServerRequest request) {
         return new Suspicion(this, () -> fingerprint(codec, request));
     }
 
-    static String name(long fingerprint) {
+    static String displayName(long fingerprint) {
         return Long.toHexString(fingerprint);
     }
 
@@ -65,31 +65,31 @@
     }
 
     /** Replicas to which this entry has sent a suspect that has not begun to be answered. */
-    Set<Target> runningSuspects() {
-        return running.keySet();
+    Set<Target> targetsRunningSuspects() {
+        return runningSuspectCounts.keySet();
     }
 
-    void began(Target target) {
-        running.merge(target, 1, Integer::sum);
+    void suspectStarted(Target target) {
+        runningSuspectCounts.merge(target, 1, Integer::sum);
     }
 
-    void ended(Target target) {
-        running.computeIfPresent(target, (key, count) -> count > 1 ? count - 1 : null);
+    void suspectEnded(Target target) {
+        runningSuspectCounts.computeIfPresent(target, (key, count) -> count > 1 ? count - 1 : null);
     }
 
     void crashed(Target target, long fingerprint) {
-        String life = target.id() + "/" + target.record().bornMillis();
-        shared.crashed(life, fingerprint);
+        String incarnation = target.id() + "/" + target.record().bornMillis();
+        shared.crashed(incarnation, fingerprint);
         LOG.log(
                 System.Logger.Level.INFO,
                 "forward: broke before an answer replica={0} suspect={1}",
                 target.id(),
-                name(fingerprint));
-        breaks.addLast(new Break(target, life, fingerprint, nowMillis()));
-        if (breaks.size() > MOST_BREAKS) {
+                displayName(fingerprint));
+        breaks.addLast(new ConnectionBreak(target, incarnation, fingerprint, nowMillis()));
+        if (breaks.size() > MAX_BREAKS) {
             breaks.removeFirst();
         }
-        changed.run();
+        onChange.run();
     }
 
     /**
@@ -97,18 +97,18 @@
      * Symptom: a request that this happens to twice is taken for one that ends replicas, and is refused. What a replica
      * was sent before a break and answers after it shows that it lives, so that break was no crash.
      */
-    void answered(Target target, long sentMillis) {
+    void answered(Target target, long sentAtMillis) {
         if (breaks.isEmpty()) {
             return;
         }
-        long keptMillis = nowMillis() - BREAK_KEPT_MILLIS;
-        breaks.removeIf(each -> each.atMillis < keptMillis);
-        long provenMillis = nowMillis() - IN_FLIGHT_MILLIS;
-        List<Break> disproved = breaks.stream()
+        long retainedSinceMillis = nowMillis() - BREAK_RETENTION_MILLIS;
+        breaks.removeIf(each -> each.atMillis < retainedSinceMillis);
+        long provenBeforeMillis = nowMillis() - IN_FLIGHT_ANSWER_MILLIS;
+        List<ConnectionBreak> disproved = breaks.stream()
                 .filter(each -> each.target == target)
-                .filter(each -> sentMillis < each.atMillis && each.atMillis < provenMillis)
+                .filter(each -> sentAtMillis < each.atMillis && each.atMillis < provenBeforeMillis)
                 .toList();
-        disproved.forEach(each -> shared.survived(each.life, each.fingerprint));
+        disproved.forEach(each -> shared.survived(each.incarnation, each.fingerprint));
         breaks.removeAll(disproved);
     }
 
@@ -125,5 +125,5 @@
         return text.getBytes(StandardCharsets.UTF_8);
     }
 
-    private record Break(Target target, String life, long fingerprint, long atMillis) {}
+    private record ConnectionBreak(Target target, String incarnation, long fingerprint, long atMillis) {}
 }
--- a/src/main/java/io/waxwingquay/forward/Suspicion.java
+++ b/src/main/java/io/waxwingquay/forward/Suspicion.java
@@ -17,32 +17,32 @@
 final class Suspicion {
 
     /** Its caller is asked not to come again soon; it would be refused again. */
-    static final long COME_BACK_MILLIS = 5_000L;
+    static final long RETRY_AFTER_MILLIS = 5_000L;
 
     /**
      * How long a suspect looks for a replica that runs no other one. One that ends replicas does so as it begins to run,
      * so this is enough to part the others from it, and short enough for them to be in time still.
      */
-    private static final long APART_MILLIS = 240L;
+    private static final long ISOLATION_WAIT_MILLIS = 240L;
 
-    private final SuspectTracker suspects;
-    private final LongSupplier hash;
+    private final SuspectTracker tracker;
+    private final LongSupplier fingerprintSupplier;
     private OptionalLong fingerprint = OptionalLong.empty();
-    private OptionalLong apartSinceMillis = OptionalLong.empty();
-    private Target runningAt;
-    private boolean innocent;
+    private OptionalLong isolatingSinceMillis = OptionalLong.empty();
+    private Target runningTarget;
+    private boolean cleared;
 
-    Suspicion(SuspectTracker suspects, LongSupplier hash) {
-        this.suspects = suspects;
-        this.hash = hash;
+    Suspicion(SuspectTracker tracker, LongSupplier fingerprintSupplier) {
+        this.tracker = tracker;
+        this.fingerprintSupplier = fingerprintSupplier;
     }
 
     /** Why it is refused; its name stands in the log beside each replica that went. */
-    String why() {
-        return "replicas went when they began to run it, suspect " + SuspectTracker.name(fingerprint());
+    String quarantineReason() {
+        return "replicas went when they began to run it, suspect " + SuspectTracker.displayName(fingerprint());
     }
 
-    boolean isRefused() {
+    boolean isQuarantined() {
         return standing() == Standing.QUARANTINED;
     }
 
@@ -51,68 +51,70 @@
      * at the second crash too, and are refused with it. So a suspect goes where this entry has no other one under way,
      * waits a little for such a place, and only then goes beside another.
      */
-    Choice choose(Set<Target> tried, Function<Set<Target>, Choice> pick) {
-        Set<Target> occupied = suspects.runningSuspects();
+    Choice choose(Set<Target> triedTargets, Function<Set<Target>, Choice> chooser) {
+        Set<Target> occupied = tracker.targetsRunningSuspects();
         if (occupied.isEmpty() || standing() != Standing.SUSPECT) {
-            return pick.apply(tried);
+            return chooser.apply(triedTargets);
         }
-        Set<Target> without = new HashSet<>(tried);
-        without.addAll(occupied);
-        Choice apart = pick.apply(without);
-        if (apart instanceof Choice.Send || apart instanceof Choice.LoadAdapter) {
-            return apart;
+        Set<Target> excluded = new HashSet<>(triedTargets);
+        excluded.addAll(occupied);
+        Choice isolated = chooser.apply(excluded);
+        if (isolated instanceof Choice.Send || isolated instanceof Choice.LoadAdapter) {
+            return isolated;
         }
-        Choice beside = pick.apply(tried);
-        if (!(beside instanceof Choice.Send)) {
-            return beside;
+        Choice shared = chooser.apply(triedTargets);
+        if (!(shared instanceof Choice.Send)) {
+            return shared;
         }
-        long nowMillis = suspects.nowMillis();
-        apartSinceMillis = OptionalLong.of(apartSinceMillis.orElse(nowMillis));
-        return nowMillis - apartSinceMillis.getAsLong() < APART_MILLIS ? new Choice.Apart() : beside;
+        long nowMillis = tracker.nowMillis();
+        isolatingSinceMillis = OptionalLong.of(isolatingSinceMillis.orElse(nowMillis));
+        return nowMillis - isolatingSinceMillis.getAsLong() < ISOLATION_WAIT_MILLIS
+                ? new Choice.AwaitIsolation()
+                : shared;
     }
 
     void sent(Target target) {
         if (standing() == Standing.SUSPECT) {
-            runningAt = target;
-            suspects.began(target);
+            runningTarget = target;
+            tracker.suspectStarted(target);
         }
     }
 
     /** Nothing of it is under way at a replica any more, or it has shown there to be none that ends replicas. */
     void ended() {
-        if (runningAt != null) {
-            suspects.ended(runningAt);
-            runningAt = null;
+        if (runningTarget != null) {
+            tracker.suspectEnded(runningTarget);
+            runningTarget = null;
         }
     }
 
     /** The connection broke before any part of an answer. */
-    void broke(Target target) {
-        if (!innocent) {
-            suspects.crashed(target, fingerprint());
+    void connectionBroke(Target target) {
+        if (!cleared) {
+            tracker.crashed(target, fingerprint());
         }
     }
 
     /** It was answered well, or its answer has begun. */
-    void answered(Target target, long sentMillis) {
-        suspects.answered(target, sentMillis);
-        innocent = true;
+    void answered(Target target, long sentAtMillis) {
+        tracker.answered(target, sentAtMillis);
+        cleared = true;
         ended();
-        if (!suspects.shared().isEmpty()) {
-            suspects.shared().answered(fingerprint());
+        if (!tracker.shared().isEmpty()) {
+            tracker.shared().answered(fingerprint());
         }
     }
 
     /** While there is no suspect at all a request costs nothing here. */
     private Standing standing() {
-        return innocent || suspects.shared().isEmpty()
+        return cleared || tracker.shared().isEmpty()
                 ? Standing.CLEAR
-                : suspects.shared().standing(fingerprint());
+                : tracker.shared().standing(fingerprint());
     }
 
     private long fingerprint() {
         if (fingerprint.isEmpty()) {
-            fingerprint = OptionalLong.of(hash.getAsLong());
+            fingerprint = OptionalLong.of(fingerprintSupplier.getAsLong());
         }
         return fingerprint.getAsLong();
     }
--- a/src/main/java/io/waxwingquay/forward/Target.java
+++ b/src/main/java/io/waxwingquay/forward/Target.java
@@ -22,16 +22,16 @@
     /** Against the round in which news comes, changed or not: older news is no better than the platform's list. */
     private static final double FRESH_ROUNDS = 2.5;
 
-    private static final long LEAST_FRESH_MILLIS = 1_500L;
+    private static final long MIN_FRESH_MILLIS = 1_500L;
 
     /**
      * An engine with requests from here that is not heard for this long stands still or is cut off: five tellings of its load,
      * and far more than the pause between two events.
      */
-    private static final long SILENT_MILLIS = 1_000L;
+    private static final long UNRESPONSIVE_MILLIS = 1_000L;
 
     /** Against the round in which news comes; one without requests from here is heard in rounds alone. */
-    private static final double SILENT_ROUNDS = 2.0;
+    private static final double UNRESPONSIVE_ROUNDS = 2.0;
 
     /** Two tellings of the load of an engine with requests from here; one that missed them may stand still. */
     private static final long DOUBT_MILLIS = 400L;
@@ -42,23 +42,23 @@
     private static final double MILLIS_PER_SECOND = 1_000.0;
 
     private final ClientPool pool;
-    private final Listing listing = new Listing();
-    private final NamedLimit limit = new NamedLimit();
-    private final TryHistory tries = new TryHistory();
-    private final Decayed sends = new Decayed(SEND_HALF_LIFE_MILLIS);
+    private final ListingStatus listingStatus = new ListingStatus();
+    private final ReplicaRateLimit rateLimit = new ReplicaRateLimit();
+    private final AttemptHistory attemptHistory = new AttemptHistory();
+    private final DecayingSum recentSends = new DecayingSum(SEND_HALF_LIFE_MILLIS);
     private final Map<String, Integer> adaptersInUse = new HashMap<>();
     private final Map<String, Integer> modelsInUse = new HashMap<>();
     private ReplicaRecord record;
-    private EngineNews news;
-    private long newsAtMillis = Long.MIN_VALUE / 2;
-    private long heardMillis = Long.MIN_VALUE / 2;
+    private EngineNews update;
+    private long updatedAtMillis = Long.MIN_VALUE / 2;
+    private long lastAnswerMillis = Long.MIN_VALUE / 2;
     private long busySinceMillis = Long.MIN_VALUE / 2;
-    private long freshMillis = LEAST_FRESH_MILLIS;
-    private long silentMillis = SILENT_MILLIS;
+    private long updateLifetimeMillis = MIN_FRESH_MILLIS;
+    private long unresponsiveAfterMillis = UNRESPONSIVE_MILLIS;
     private int inFlight;
-    private int sentSinceNews;
-    private long tokensSinceNews;
-    private Use toldUse = new Use(Set.of(), Set.of());
+    private int sentSinceUpdate;
+    private long tokensSinceUpdate;
+    private Usage reportedUsage = new Usage(Set.of(), Set.of());
     private boolean gone;
     private boolean replaced;
 
@@ -73,15 +73,15 @@
 
     void record(ReplicaRecord newer) {
         record = newer;
-        listing.listed();
-        if (!takesWork()) {
+        listingStatus.listed();
+        if (!acceptsRequests()) {
             pool.withdrawWaiting();
         }
     }
 
     /** Its row is missing; it may come back. */
-    void missing() {
-        listing.missing();
+    void markUnlisted() {
+        listingStatus.unlisted();
         pool.withdrawWaiting();
     }
 
@@ -97,8 +97,8 @@
         return pool;
     }
 
-    TryHistory tries() {
-        return tries;
+    AttemptHistory attemptHistory() {
+        return attemptHistory;
     }
 
     int inFlight() {
@@ -106,19 +106,19 @@
     }
 
     /** Its pool gives back what waits for a connection there, as it would arrive too late. */
-    void gone() {
+    void markGone() {
         gone = true;
         pool.close();
     }
 
     /** Whether new work may be sent here at all. */
-    boolean takesWork() {
-        return !gone && !replaced && !record.draining() && !(news != null && news.isDraining());
+    boolean acceptsRequests() {
+        return !gone && !replaced && !record.draining() && !(update != null && update.isDraining());
     }
 
     /** Whether its row is missing and nothing has told since that it stays. */
-    boolean mayHaveLeft() {
-        return listing.mayHaveLeft();
+    boolean mayHaveDeparted() {
+        return listingStatus.mayHaveDeparted();
     }
 
     boolean isGone() {
@@ -126,7 +126,7 @@
     }
 
     /** Another replica has this one's address. */
-    void replaced() {
+    void markReplaced() {
         replaced = true;
     }
 
@@ -134,48 +134,48 @@
         return replaced;
     }
 
-    void news(EngineNews newer, long nowMillis) {
-        boolean otherLife =
+    void update(EngineNews newer, long nowMillis) {
+        boolean earlierIncarnation =
                 record.bornMillis() != 0 && newer.getBornMillis() != 0 && newer.getBornMillis() < record.bornMillis();
-        boolean older = news != null
-                && newer.getBornMillis() == news.getBornMillis()
-                && NewsNumber.isOvertaken(newer.getNumber(), news.getNumber());
+        boolean overtaken = update != null
+                && newer.getBornMillis() == update.getBornMillis()
+                && NewsNumber.isOvertaken(newer.getNumber(), update.getNumber());
         boolean isLoadOnly = !newer.isSetModels();
-        boolean isOfUnknown = isLoadOnly && (news == null || newer.getBornMillis() != news.getBornMillis());
-        if (otherLife || older || isOfUnknown) {
+        boolean lacksBase = isLoadOnly && (update == null || newer.getBornMillis() != update.getBornMillis());
+        if (earlierIncarnation || overtaken || lacksBase) {
             return;
         }
         if (isLoadOnly) {
-            newer.setModels(news.getModels()).setNearModels(news.getNearModels());
+            newer.setModels(update.getModels()).setNearModels(update.getNearModels());
         }
-        news = newer;
-        newsAtMillis = nowMillis;
-        listing.heard(newer.isDraining());
-        if (!takesWork()) {
+        update = newer;
+        updatedAtMillis = nowMillis;
+        listingStatus.heard(newer.isDraining());
+        if (!acceptsRequests()) {
             pool.withdrawWaiting();
         }
-        sentSinceNews = 0;
-        tokensSinceNews = 0;
+        sentSinceUpdate = 0;
+        tokensSinceUpdate = 0;
     }
 
     /** An answer has begun; a replica that is about to leave says that it closes the connection. */
-    void answerBegan(boolean closes) {
-        listing.heard(closes);
+    void answerBegan(boolean closesConnection) {
+        listingStatus.heard(closesConnection);
     }
 
     /** What its newest answer names as the requests a second that it takes from all entries together. */
-    void limit(OptionalDouble perSecond, int entries, DoubleSupplier phase, long nowMillis) {
-        limit.named(id(), perSecond, entries, phase, nowMillis);
+    void rateLimitAnnounced(OptionalDouble perSecond, int entryCount, DoubleSupplier phase, long nowMillis) {
+        rateLimit.announced(id(), perSecond, entryCount, phase, nowMillis);
     }
 
     /** How long until its limit lets this entry send it another request; 0 if it may now, or there is no limit. */
-    long limitedMillis(long nowMillis) {
-        return limit.waitMillis(nowMillis);
+    long rateLimitDelayMillis(long nowMillis) {
+        return rateLimit.waitMillis(nowMillis);
     }
 
     /** Bytes of an answer have come from it. */
-    void heard(long nowMillis) {
-        heardMillis = nowMillis;
+    void answerReceived(long nowMillis) {
+        lastAnswerMillis = nowMillis;
     }
 
     /**
@@ -186,42 +186,42 @@
      * it being gone is not enough: the engine's own answers count too. Of an engine without a request from here little is told,
      * so that its silence says less, and counts from its first request on.
      */
-    boolean isSilent(long nowMillis) {
-        if (news == null) {
+    boolean isUnresponsive(long nowMillis) {
+        if (update == null) {
             return false;
         }
-        long heardAtMillis = Math.max(newsAtMillis, heardMillis);
+        long lastHeardMillis = Math.max(updatedAtMillis, lastAnswerMillis);
         return inFlight > 0
-                ? nowMillis - Math.max(heardAtMillis, busySinceMillis) > SILENT_MILLIS
-                : nowMillis - heardAtMillis > silentMillis;
+                ? nowMillis - Math.max(lastHeardMillis, busySinceMillis) > UNRESPONSIVE_MILLIS
+                : nowMillis - lastHeardMillis > unresponsiveAfterMillis;
     }
 
     /**
      * Whether an engine that told of itself before may stand still, though it has not been unheard for long enough to be
      * taken for silent: neither it nor the process beside it was heard since a request was sent there, or lately.
      *
-     * @param sentMillis when the request was sent.
+     * @param sentAtMillis when the request was sent.
      * @param nowMillis the steady time.
      */
-    boolean isInDoubt(long sentMillis, long nowMillis) {
-        long heardAtMillis = Math.max(newsAtMillis, heardMillis);
-        return news != null && (heardAtMillis < sentMillis || nowMillis - heardAtMillis > DOUBT_MILLIS);
+    boolean mayBeUnresponsive(long sentAtMillis, long nowMillis) {
+        long lastHeardMillis = Math.max(updatedAtMillis, lastAnswerMillis);
+        return update != null && (lastHeardMillis < sentAtMillis || nowMillis - lastHeardMillis > DOUBT_MILLIS);
     }
 
     /** What the process beside the engine told, while it counts. */
-    Optional<EngineNews> freshNews(long nowMillis) {
-        return nowMillis - newsAtMillis <= freshMillis ? Optional.of(news) : Optional.empty();
+    Optional<EngineNews> freshUpdate(long nowMillis) {
+        return nowMillis - updatedAtMillis <= updateLifetimeMillis ? Optional.of(update) : Optional.empty();
     }
 
     /** How many processes the one beside the engine tells; the more, the longer its rounds take. */
-    void tellers(int receivers) {
-        long roundMillis = NewsPace.periodMillis(receivers);
-        freshMillis = Math.max(LEAST_FRESH_MILLIS, Math.round(FRESH_ROUNDS * roundMillis));
-        silentMillis = Math.max(SILENT_MILLIS, Math.round(SILENT_ROUNDS * roundMillis));
+    void receiverCount(int receiverCount) {
+        long roundMillis = NewsPace.periodMillis(receiverCount);
+        updateLifetimeMillis = Math.max(MIN_FRESH_MILLIS, Math.round(FRESH_ROUNDS * roundMillis));
+        unresponsiveAfterMillis = Math.max(UNRESPONSIVE_MILLIS, Math.round(UNRESPONSIVE_ROUNDS * roundMillis));
     }
 
     boolean holds(String model, long nowMillis) {
-        return freshNews(nowMillis)
+        return freshUpdate(nowMillis)
                 .map(fresh -> fresh.getModels().stream()
                         .anyMatch(held -> held.getName().equals(model)))
                 .orElseGet(() ->
@@ -229,7 +229,7 @@
     }
 
     boolean holdsAdapter(String model, String adapter, long nowMillis) {
-        return freshNews(nowMillis)
+        return freshUpdate(nowMillis)
                 .map(fresh -> fresh.getModels().stream()
                         .filter(held -> held.getName().equals(model))
                         .map(HeldModel::getAdapters)
@@ -239,18 +239,18 @@
 
     /** Notes an adapter that the process beside the engine has just said to be there, before its next news. */
     void adapterPresent(String model, String adapter) {
-        if (news == null) {
+        if (update == null) {
             return;
         }
-        news.getModels().stream()
+        update.getModels().stream()
                 .filter(held -> held.getName().equals(model))
                 .filter(held -> !held.getAdapters().contains(adapter))
                 .findFirst()
                 .ifPresent(held -> held.addToAdapters(adapter));
     }
 
-    int adaptersHeld(long nowMillis) {
-        return freshNews(nowMillis)
+    int loadedAdapterCount(long nowMillis) {
+        return freshUpdate(nowMillis)
                 .map(fresh -> fresh.getModels().stream()
                         .mapToInt(held -> held.getAdapters().size())
                         .sum())
@@ -259,12 +259,12 @@
 
     /** The replica lacks what the news said it held, or another one has its address; the next news tells. */
     void misdirected(Optional<String> model, Optional<String> adapter) {
-        if (news == null || model.isEmpty()) {
-            tries.unreachable(EventLoop.nowMillis());
+        if (update == null || model.isEmpty()) {
+            attemptHistory.unreachable(EventLoop.nowMillis());
             return;
         }
-        news.getModels().removeIf(held -> adapter.isEmpty() && held.getName().equals(model.get()));
-        adapter.ifPresent(name -> news.getModels().stream()
+        update.getModels().removeIf(held -> adapter.isEmpty() && held.getName().equals(model.get()));
+        adapter.ifPresent(name -> update.getModels().stream()
                 .filter(held -> held.getName().equals(model.get()))
                 .forEach(held -> held.getAdapters().remove(name)));
     }
@@ -274,10 +274,10 @@
      * replica until the next, so what this one has sent since is taken to be sent by each.
      */
     int expectedLoad(long nowMillis) {
-        return freshNews(nowMillis)
+        return freshUpdate(nowMillis)
                 .map(fresh -> Math.max(
                         inFlight,
-                        fresh.getRunning() + fresh.getWaiting() + sentSinceNews * Math.max(1, fresh.getEntries())))
+                        fresh.getRunning() + fresh.getWaiting() + sentSinceUpdate * Math.max(1, fresh.getEntries())))
                 .orElse(inFlight);
     }
 
@@ -286,22 +286,22 @@
      * back and read anew, or lets this one wait in it where nobody can tell whether it runs.
      *
      * @param slots requests that it runs at once.
-     * @param tokens memory that the request is expected to take.
+     * @param kvTokens memory that the request is expected to take.
      * @param nowMillis the steady time.
      */
-    boolean hasRoomFor(int slots, long tokens, long nowMillis) {
-        return freshNews(nowMillis)
-                .map(fresh -> hasRoomFor(fresh, slots, tokens, nowMillis))
+    boolean hasRoomFor(int slots, long kvTokens, long nowMillis) {
+        return freshUpdate(nowMillis)
+                .map(fresh -> hasRoomFor(fresh, slots, kvTokens, nowMillis))
                 .orElse(inFlight < slots);
     }
 
     /** Other entries are taken to have sent, since the news, at the pace at which this one sends lately. */
-    private boolean hasRoomFor(EngineNews fresh, int slots, long tokens, long nowMillis) {
-        double seconds = (nowMillis - newsAtMillis) / MILLIS_PER_SECOND;
-        double byOthers = Math.max(0, fresh.getEntries() - 1) * sends.perSecond(nowMillis) * seconds;
-        double load = Math.max(inFlight, fresh.getRunning() + fresh.getWaiting() + sentSinceNews + byOthers);
-        double usedTokens = fresh.getKvUsedTokens() + tokensSinceNews + byOthers * tokens;
-        boolean fits = fresh.getKvTotalTokens() == 0 || usedTokens + tokens <= fresh.getKvTotalTokens();
+    private boolean hasRoomFor(EngineNews fresh, int slots, long kvTokens, long nowMillis) {
+        double seconds = (nowMillis - updatedAtMillis) / MILLIS_PER_SECOND;
+        double sentByOthers = Math.max(0, fresh.getEntries() - 1) * recentSends.perSecond(nowMillis) * seconds;
+        double load = Math.max(inFlight, fresh.getRunning() + fresh.getWaiting() + sentSinceUpdate + sentByOthers);
+        double usedTokens = fresh.getKvUsedTokens() + tokensSinceUpdate + sentByOthers * kvTokens;
+        boolean fits = fresh.getKvTotalTokens() == 0 || usedTokens + kvTokens <= fresh.getKvTotalTokens();
         return load < slots && fits;
     }
 
@@ -317,39 +317,39 @@
      * Whether what the process beside the engine must know of requests there has changed since this was asked last: it
      * evicts no adapter in use, and waits for the last request of a model that goes.
      */
-    boolean isUseChanged(long nowMillis) {
-        Use now = new Use(
+    boolean pollUsageChanged(long nowMillis) {
+        Usage currentUsage = new Usage(
                 Set.copyOf(adaptersInUse.keySet()),
                 modelsInUse.keySet().stream()
                         .filter(model -> !holds(model, nowMillis))
                         .collect(Collectors.toUnmodifiableSet()));
-        boolean changed = !now.equals(toldUse);
-        toldUse = now;
+        boolean changed = !currentUsage.equals(reportedUsage);
+        reportedUsage = currentUsage;
         return changed;
     }
 
     /** How long the engine loads a model still; meanwhile it takes no order for an adapter. */
-    long loadingMillis(long nowMillis) {
-        return freshNews(nowMillis)
+    long remainingLoadMillis(long nowMillis) {
+        return freshUpdate(nowMillis)
                 .filter(EngineNews::isSetLoadingModel)
-                .map(fresh -> Math.max(1, fresh.getLoadingMillis() - (nowMillis - newsAtMillis)))
+                .map(fresh -> Math.max(1, fresh.getLoadingMillis() - (nowMillis - updatedAtMillis)))
                 .orElse(0L);
     }
 
-    void began(Optional<String> model, Optional<String> adapter, long tokens, long nowMillis) {
-        tokensSinceNews += tokens;
-        sends.add(1, nowMillis);
-        limit.sent(nowMillis);
-        if (inFlight == 0 && !isSilent(nowMillis)) {
+    void requestSent(Optional<String> model, Optional<String> adapter, long kvTokens, long nowMillis) {
+        tokensSinceUpdate += kvTokens;
+        recentSends.add(1, nowMillis);
+        rateLimit.sent(nowMillis);
+        if (inFlight == 0 && !isUnresponsive(nowMillis)) {
             busySinceMillis = nowMillis;
         }
         inFlight++;
-        sentSinceNews++;
+        sentSinceUpdate++;
         model.ifPresent(name -> modelsInUse.merge(name, 1, Integer::sum));
         adapter.ifPresent(name -> adaptersInUse.merge(model.orElse("") + "/" + name, 1, Integer::sum));
     }
 
-    void ended(Optional<String> model, Optional<String> adapter) {
+    void requestEnded(Optional<String> model, Optional<String> adapter) {
         inFlight--;
         model.ifPresent(name -> modelsInUse.computeIfPresent(name, (key, count) -> count > 1 ? count - 1 : null));
         adapter.ifPresent(name -> adaptersInUse.computeIfPresent(
@@ -360,7 +360,7 @@
      * What requests from here use.
      *
      * @param adapters adapters, as {@code model/adapter}.
-     * @param leaving models that the engine no longer offers.
+     * @param departingModels models that the engine no longer offers.
      */
-    private record Use(Set<String> adapters, Set<String> leaving) {}
+    private record Usage(Set<String> adapters, Set<String> departingModels) {}
 }
--- a/src/main/java/io/waxwingquay/forward/TargetChooser.java
+++ b/src/main/java/io/waxwingquay/forward/TargetChooser.java
@@ -18,42 +18,42 @@
 final class TargetChooser {
 
     /** A replica in another data centre costs a round trip and priced bytes; it wins when it is less busy by this. */
-    private static final double OTHER_ZONE_MILLIS = 4.0;
+    private static final double OTHER_ZONE_COST_MILLIS = 4.0;
 
     /** How much a replica that fails is dearer, for a failure share of one. */
-    private static final double FAILURE_FACTOR = 12.0;
+    private static final double FAILURE_COST_FACTOR = 12.0;
 
     /** What is assumed of a replica that has not answered yet. */
-    private static final double UNKNOWN_ANSWER_MILLIS = 20.0;
+    private static final double INITIAL_ANSWER_MILLIS = 20.0;
 
     /** How much dearer a busy engine is: at full batch each token takes about this longer over a short answer. */
-    private static final double FULL_BATCH_MILLIS = 60.0;
+    private static final double FULL_BATCH_COST_MILLIS = 60.0;
 
     /** What a late answer costs against a millisecond of a timely one, and what a failed one does. */
-    private static final double LATE_MILLIS = 400.0;
+    private static final double LATE_COST_MILLIS = 400.0;
 
-    private static final double FAILED_MILLIS = 600.0;
+    private static final double FAILURE_COST_MILLIS = 600.0;
 
     /** The part of an engine's time to a first event that counts; most of it is the prompts' own. */
     private static final double SLOWNESS_SHARE = 0.5;
 
     /** No engine is passed over for slowness more than for failing. */
-    private static final double MOST_SLOWNESS_MILLIS = 300.0;
+    private static final double MAX_SLOWNESS_COST_MILLIS = 300.0;
 
     /** Time to have an adapter loaded, and to have another one make way for it first. */
-    private static final double ADAPTER_MILLIS = 25.0;
+    private static final double ADAPTER_LOAD_MILLIS = 25.0;
 
     private static final double ADAPTER_EVICTION_MILLIS = 40.0;
-    private static final double ADAPTER_SLOTS_TAKEN_MILLIS = 1_000.0;
+    private static final double ADAPTER_SLOTS_BUSY_COST_MILLIS = 1_000.0;
 
     /** Draws entries to the same replica for an adapter that none holds yet. */
-    private static final double AFFINITY_MILLIS = 15.0;
+    private static final double MAX_AFFINITY_COST_MILLIS = 15.0;
 
     /** How long a load is expected to take when no replica tells of one under way. */
-    private static final long LEAST_LOAD_MILLIS = 700L;
+    private static final long LOAD_START_MILLIS = 700L;
 
     /** When a replica that was full is expected to have room: a few short answers' time. */
-    private static final long FULL_RETRY_MILLIS = 150L;
+    private static final long FULL_WAIT_MILLIS = 150L;
 
     private final String zone;
     private final RandomGenerator random;
@@ -67,24 +67,25 @@
      * Chooses among the replicas of a plain service.
      *
      * @param targets the service's replicas.
-     * @param tried those that this request was sent to already.
+     * @param triedTargets those that this request was sent to already.
      * @param nowMillis the steady time.
      */
-    Choice choosePlain(Collection<Target> targets, Set<Target> tried, long nowMillis) {
-        List<Target> there = sureToStay(
-                        targets.stream().filter(Target::takesWork).toList())
+    Choice choosePlain(Collection<Target> targets, Set<Target> triedTargets, long nowMillis) {
+        List<Target> accepting = withoutUnlisted(
+                        targets.stream().filter(Target::acceptsRequests).toList())
                 .stream()
-                .filter(target -> !tried.contains(target))
+                .filter(target -> !triedTargets.contains(target))
                 .toList();
-        List<Target> open =
-                there.stream().filter(target -> isOpen(target, nowMillis)).toList();
-        return cheapest(open, target -> plainMillis(target, nowMillis))
+        List<Target> available = accepting.stream()
+                .filter(target -> isAvailable(target, nowMillis))
+                .toList();
+        return cheapest(available, target -> plainCostMillis(target, nowMillis))
                 .<Choice>map(Choice.Send::new)
-                .orElseGet(() -> there.isEmpty()
-                        ? new Choice.Nowhere()
+                .orElseGet(() -> accepting.isEmpty()
+                        ? new Choice.NoReplica()
                         : new Choice.Full(
-                                Math.max(FULL_RETRY_MILLIS, limitedMillis(there, nowMillis)),
-                                limitedMillis(there, nowMillis),
+                                Math.max(FULL_WAIT_MILLIS, rateLimitDelayMillis(accepting, nowMillis)),
+                                rateLimitDelayMillis(accepting, nowMillis),
                                 OptionalLong.empty()));
     }
 
@@ -92,34 +93,39 @@
      * Chooses among the engines of a service.
      *
      * @param targets the service's replicas.
-     * @param tried those that this request was sent to already.
+     * @param triedTargets those that this request was sent to already.
      * @param engine what they are.
-     * @param need what the request needs of one.
+     * @param requirements what the request needs of one.
      * @param nowMillis the steady time.
      */
-    Choice chooseEngine(Collection<Target> targets, Set<Target> tried, Engine engine, EngineNeed need, long nowMillis) {
-        String model = need.model();
-        Optional<String> adapter = need.adapter();
-        List<Target> holding = sureToStay(targets.stream()
-                .filter(Target::takesWork)
+    Choice chooseEngine(
+            Collection<Target> targets,
+            Set<Target> triedTargets,
+            Engine engine,
+            EngineRequirements requirements,
+            long nowMillis) {
+        String model = requirements.model();
+        Optional<String> adapter = requirements.adapter();
+        List<Target> holding = withoutUnlisted(targets.stream()
+                .filter(Target::acceptsRequests)
                 .filter(target -> target.holds(model, nowMillis))
                 .toList());
         if (holding.isEmpty()) {
-            return new Choice.ModelAbsent(readyMillis(targets, engine, model, nowMillis));
+            return new Choice.ModelAbsent(expectedReadyMillis(targets, engine, model, nowMillis));
         }
-        List<Target> open = heardOf(holding, nowMillis).stream()
-                .filter(target -> !tried.contains(target))
-                .filter(target -> isOpen(target, nowMillis))
+        List<Target> available = responsive(holding, nowMillis).stream()
+                .filter(target -> !triedTargets.contains(target))
+                .filter(target -> isAvailable(target, nowMillis))
                 .toList();
-        List<Target> roomy = open.stream()
-                .filter(target -> target.hasRoomFor(engine.slots(), need.tokens(), nowMillis))
+        List<Target> withRoom = available.stream()
+                .filter(target -> target.hasRoomFor(engine.slots(), requirements.kvTokens(), nowMillis))
                 .toList();
-        if (roomy.isEmpty()) {
-            return holding.stream().allMatch(tried::contains)
-                    ? new Choice.Nowhere()
-                    : full(holding, engine, need, loadUnderWay(targets, model, nowMillis), nowMillis);
+        if (withRoom.isEmpty()) {
+            return holding.stream().allMatch(triedTargets::contains)
+                    ? new Choice.NoReplica()
+                    : full(holding, engine, requirements, loadInProgressMillis(targets, model, nowMillis), nowMillis);
         }
-        Target best = cheapest(roomy, target -> engineMillis(target, engine, need, nowMillis))
+        Target best = cheapest(withRoom, target -> engineCostMillis(target, engine, requirements, nowMillis))
                 .orElseThrow();
         boolean present =
                 adapter.map(name -> best.holdsAdapter(model, name, nowMillis)).orElse(true);
@@ -127,77 +133,86 @@
     }
 
     /** Whether nothing in this entry's way keeps a request from it now. */
-    private static boolean isOpen(Target target, long nowMillis) {
-        return !target.tries().isPaused(nowMillis) && target.pool().hasRoom() && target.limitedMillis(nowMillis) == 0;
+    private static boolean isAvailable(Target target, long nowMillis) {
+        return !target.attemptHistory().isPaused(nowMillis)
+                && target.pool().hasRoom()
+                && target.rateLimitDelayMillis(nowMillis) == 0;
     }
 
     /** How long until the limit of one of them lets this entry send again; 0 if one lets it now. */
-    private static long limitedMillis(List<Target> targets, long nowMillis) {
+    private static long rateLimitDelayMillis(List<Target> targets, long nowMillis) {
         return targets.stream()
-                .mapToLong(target -> target.limitedMillis(nowMillis))
+                .mapToLong(target -> target.rateLimitDelayMillis(nowMillis))
                 .min()
                 .orElse(0L);
     }
 
     /** Leaves out those that may have left, unless all may: then their rows have lapsed together, as in an outage. */
-    private static List<Target> sureToStay(List<Target> targets) {
-        List<Target> staying =
-                targets.stream().filter(target -> !target.mayHaveLeft()).toList();
-        return staying.isEmpty() ? targets : staying;
+    private static List<Target> withoutUnlisted(List<Target> targets) {
+        List<Target> remaining =
+                targets.stream().filter(target -> !target.mayHaveDeparted()).toList();
+        return remaining.isEmpty() ? targets : remaining;
     }
 
     /**
      * Leaves out engines that are silent, unless all are: then the ways between our processes may be cut. Each of these takes
      * one request at a time, whose answer shows that it is well; more would be held there until their callers leave.
      */
-    private static List<Target> heardOf(List<Target> engines, long nowMillis) {
-        List<Target> heard =
-                engines.stream().filter(target -> !target.isSilent(nowMillis)).toList();
-        return heard.isEmpty()
+    private static List<Target> responsive(List<Target> engines, long nowMillis) {
+        List<Target> responsive = engines.stream()
+                .filter(target -> !target.isUnresponsive(nowMillis))
+                .toList();
+        return responsive.isEmpty()
                 ? engines.stream().filter(target -> target.inFlight() == 0).toList()
-                : heard;
+                : responsive;
     }
 
-    private double plainMillis(Target target, long nowMillis) {
-        double answer = target.tries().answerMillis() == 0
-                ? UNKNOWN_ANSWER_MILLIS
-                : target.tries().answerMillis();
-        double busy = (target.inFlight() + 1.0) / Math.max(1, target.record().slots());
-        return answer * (1 + busy) * (1 + FAILURE_FACTOR * target.tries().failureShare(nowMillis)) + zoneMillis(target);
+    private double plainCostMillis(Target target, long nowMillis) {
+        double answerMillis = target.attemptHistory().answerMillis() == 0
+                ? INITIAL_ANSWER_MILLIS
+                : target.attemptHistory().answerMillis();
+        double utilisation =
+                (target.inFlight() + 1.0) / Math.max(1, target.record().slots());
+        return answerMillis
+                        * (1 + utilisation)
+                        * (1 + FAILURE_COST_FACTOR * target.attemptHistory().failureShare(nowMillis))
+                + zoneCostMillis(target);
     }
 
-    private double engineMillis(Target target, Engine engine, EngineNeed need, long nowMillis) {
-        double busy = target.expectedLoad(nowMillis) / (double) engine.slots();
-        double slow =
-                Math.min(MOST_SLOWNESS_MILLIS, SLOWNESS_SHARE * target.tries().recentAnswerMillis(nowMillis));
-        double base = FULL_BATCH_MILLIS * busy
-                + LATE_MILLIS * Crowding.lateShare(busy)
-                + FAILED_MILLIS * target.tries().failureShare(nowMillis)
-                + slow;
-        double adapterMillis = need.adapter()
-                .map(name -> adapterMillis(target, engine, need.model(), name, nowMillis))
+    private double engineCostMillis(Target target, Engine engine, EngineRequirements requirements, long nowMillis) {
+        double utilisation = target.expectedLoad(nowMillis) / (double) engine.slots();
+        double slownessMillis = Math.min(
+                MAX_SLOWNESS_COST_MILLIS,
+                SLOWNESS_SHARE * target.attemptHistory().recentAnswerMillis(nowMillis));
+        double baseMillis = FULL_BATCH_COST_MILLIS * utilisation
+                + LATE_COST_MILLIS * Crowding.lateShare(utilisation)
+                + FAILURE_COST_MILLIS * target.attemptHistory().failureShare(nowMillis)
+                + slownessMillis;
+        double adapterMillis = requirements
+                .adapter()
+                .map(name -> adapterCostMillis(target, engine, requirements.model(), name, nowMillis))
                 .orElse(0.0);
-        return base + adapterMillis + zoneMillis(target);
+        return baseMillis + adapterMillis + zoneCostMillis(target);
     }
 
-    private double adapterMillis(Target target, Engine engine, String model, String adapter, long nowMillis) {
+    private double adapterCostMillis(Target target, Engine engine, String model, String adapter, long nowMillis) {
         if (target.holdsAdapter(model, adapter, nowMillis)) {
             return 0;
         }
-        long loadingMillis = target.loadingMillis(nowMillis);
+        long loadingMillis = target.remainingLoadMillis(nowMillis);
         if (loadingMillis > 0) {
             return ADAPTER_EVICTION_MILLIS + loadingMillis;
         }
-        double affinity = AFFINITY_MILLIS * uniform(target.id(), adapter);
+        double affinityMillis = MAX_AFFINITY_COST_MILLIS * stableUniform(target.id(), adapter);
         if (target.adaptersInUse().size() >= engine.adapterSlots()) {
-            return ADAPTER_SLOTS_TAKEN_MILLIS + affinity;
+            return ADAPTER_SLOTS_BUSY_COST_MILLIS + affinityMillis;
         }
-        boolean free = target.adaptersHeld(nowMillis) < engine.adapterSlots();
-        return (free ? ADAPTER_MILLIS : ADAPTER_EVICTION_MILLIS) + affinity;
+        boolean hasFreeSlot = target.loadedAdapterCount(nowMillis) < engine.adapterSlots();
+        return (hasFreeSlot ? ADAPTER_LOAD_MILLIS : ADAPTER_EVICTION_MILLIS) + affinityMillis;
     }
 
-    private double zoneMillis(Target target) {
-        return target.record().zone().equals(zone) ? 0 : OTHER_ZONE_MILLIS;
+    private double zoneCostMillis(Target target) {
+        return target.record().zone().equals(zone) ? 0 : OTHER_ZONE_COST_MILLIS;
     }
 
     private Optional<Target> cheapest(List<Target> targets, ToDoubleFunction<Target> costMillis) {
@@ -209,47 +224,54 @@
                 .map(Costed::target);
     }
 
-    private static long readyMillis(Collection<Target> targets, Engine engine, String model, long nowMillis) {
-        OptionalLong underWay = loadUnderWay(targets, model, nowMillis);
-        if (underWay.isPresent()) {
-            return underWay.getAsLong();
+    private static long expectedReadyMillis(Collection<Target> targets, Engine engine, String model, long nowMillis) {
+        OptionalLong inProgressMillis = loadInProgressMillis(targets, model, nowMillis);
+        if (inProgressMillis.isPresent()) {
+            return inProgressMillis.getAsLong();
         }
-        boolean near = targets.stream()
-                .map(target -> target.freshNews(nowMillis))
+        boolean onLocalDisk = targets.stream()
+                .map(target -> target.freshUpdate(nowMillis))
                 .flatMap(Optional::stream)
                 .anyMatch(news -> news.getNearModels().contains(model));
         return engine.model(model)
-                        .map(offered -> near ? offered.diskLoadMillis() : offered.storeLoadMillis())
+                        .map(offered -> onLocalDisk ? offered.diskLoadMillis() : offered.storeLoadMillis())
                         .orElse(0L)
-                + LEAST_LOAD_MILLIS;
+                + LOAD_START_MILLIS;
     }
 
     /** How long until the first of the replicas that load a model has it. */
-    private static OptionalLong loadUnderWay(Collection<Target> targets, String model, long nowMillis) {
+    private static OptionalLong loadInProgressMillis(Collection<Target> targets, String model, long nowMillis) {
         return targets.stream()
-                .filter(target -> target.freshNews(nowMillis)
+                .filter(target -> target.freshUpdate(nowMillis)
                         .filter(news -> model.equals(news.getLoadingModel()))
                         .isPresent())
-                .mapToLong(target -> target.loadingMillis(nowMillis))
+                .mapToLong(target -> target.remainingLoadMillis(nowMillis))
                 .min();
     }
 
     /** Engines that run all they can have a place free each time a stream ends. */
     private static Choice.Full full(
-            List<Target> holding, Engine engine, EngineNeed need, OptionalLong copyMillis, long nowMillis) {
-        int least = holding.stream()
+            List<Target> holding,
+            Engine engine,
+            EngineRequirements requirements,
+            OptionalLong copyReadyMillis,
+            long nowMillis) {
+        int leastLoad = holding.stream()
                 .mapToInt(target -> target.expectedLoad(nowMillis))
                 .min()
                 .orElse(0);
-        double placeMillis = need.durationMillis() / (engine.slots() * holding.size());
-        double ahead = Math.max(1, least - engine.slots() + 1);
-        long roomMillis = Math.round(ahead * placeMillis) + FULL_RETRY_MILLIS;
-        long limitedMillis = limitedMillis(holding, nowMillis);
-        return new Choice.Full(Math.max(roomMillis, limitedMillis), Math.max(placeMillis, limitedMillis), copyMillis);
+        double slotIntervalMillis = requirements.durationMillis() / (engine.slots() * holding.size());
+        double requestsAhead = Math.max(1, leastLoad - engine.slots() + 1);
+        long firstSlotMillis = Math.round(requestsAhead * slotIntervalMillis) + FULL_WAIT_MILLIS;
+        long rateLimitDelayMillis = rateLimitDelayMillis(holding, nowMillis);
+        return new Choice.Full(
+                Math.max(firstSlotMillis, rateLimitDelayMillis),
+                Math.max(slotIntervalMillis, rateLimitDelayMillis),
+                copyReadyMillis);
     }
 
     /** A number from 0 up to 1 that a pair always gets. */
-    private static double uniform(String first, String second) {
+    private static double stableUniform(String first, String second) {
         int mixed = (first + '/' + second).hashCode() * 0x9E3779B1;
         return (mixed >>> 8) / (double) (1 << 24);
     }
--- a/src/main/java/io/waxwingquay/forward/TargetTable.java
+++ b/src/main/java/io/waxwingquay/forward/TargetTable.java
@@ -19,31 +19,31 @@
 
     private static final System.Logger LOG = System.getLogger("waxwingquay.forward");
 
-    private final Function<ReplicaRecord, ClientPool> pools;
+    private final Function<ReplicaRecord, ClientPool> poolFactory;
     private final Map<String, Target> byId = new HashMap<>();
 
     /** Looked up for each request and each telling; made anew after a change. */
     private Optional<Index> index = Optional.empty();
 
     TargetTable(Function<ReplicaRecord, ClientPool> pools) {
-        this.pools = pools;
+        this.poolFactory = pools;
     }
 
     Collection<Target> all() {
         return byId.values();
     }
 
-    List<Target> of(String service) {
+    List<Target> ofService(String service) {
         return index().byService.getOrDefault(service, List.of());
     }
 
     /** How many replicas a service has. */
-    int sizeOf(String service) {
-        return of(service).size();
+    int replicaCount(String service) {
+        return ofService(service).size();
     }
 
     /** The replica that has an address now. */
-    Optional<Target> livingAt(HostPort address) {
+    Optional<Target> currentAt(HostPort address) {
         return Optional.ofNullable(index().byAddress.get(address)).filter(target -> !target.isReplaced());
     }
 
@@ -61,11 +61,11 @@
         if (known != null && known.record().sameLife(record)) {
             known.record(record);
         } else {
-            Optional.ofNullable(known).ifPresent(Target::gone);
-            byId.put(record.id(), new Target(record, pools.apply(record)));
+            Optional.ofNullable(known).ifPresent(Target::markGone);
+            byId.put(record.id(), new Target(record, poolFactory.apply(record)));
         }
         index = Optional.empty();
-        replaceEarlierLives(record.address());
+        replaceEarlierIncarnations(record.address());
         boolean stateChanged = before.map(ReplicaRecord::draining).orElse(false) != record.draining();
         if (known == null || stateChanged) {
             LOG.log(
@@ -82,40 +82,40 @@
      * stay listed until they lapse. Symptom: requests go to ids that are no more, are turned away, and use up the
      * retries. An address has one replica, so the one that began last is it.
      */
-    private void replaceEarlierLives(HostPort address) {
-        livingAt(address).ifPresent(living -> byId.values().stream()
+    private void replaceEarlierIncarnations(HostPort address) {
+        currentAt(address).ifPresent(current -> byId.values().stream()
                 .filter(other -> other.address().equals(address))
-                .filter(other -> other.record().bornMillis() < living.record().bornMillis())
-                .forEach(Target::replaced));
+                .filter(other -> other.record().bornMillis() < current.record().bornMillis())
+                .forEach(Target::markReplaced));
         index = Optional.empty();
     }
 
     /** {@inheritDoc} */
     @Override
     public void onMissing(ReplicaRecord record) {
-        Optional.ofNullable(byId.get(record.id())).ifPresent(Target::missing);
+        Optional.ofNullable(byId.get(record.id())).ifPresent(Target::markUnlisted);
     }
 
     /** {@inheritDoc} */
     @Override
     public void onGone(ReplicaRecord record) {
-        Optional.ofNullable(byId.remove(record.id())).ifPresent(Target::gone);
+        Optional.ofNullable(byId.remove(record.id())).ifPresent(Target::markGone);
         index = Optional.empty();
     }
 
     private record Index(Map<String, List<Target>> byService, Map<HostPort, Target> byAddress) {
 
         private static Index of(Collection<Target> targets) {
-            Map<HostPort, Target> living = targets.stream()
+            Map<HostPort, Target> currentByAddress = targets.stream()
                     .filter(target -> !target.isReplaced())
                     .collect(Collectors.toMap(
                             Target::address,
                             target -> target,
                             BinaryOperator.maxBy(Comparator.comparingLong(
                                     target -> target.record().bornMillis()))));
-            Map<String, List<Target>> services = targets.stream()
+            Map<String, List<Target>> byService = targets.stream()
                     .collect(Collectors.groupingBy(target -> target.record().service()));
-            return new Index(services, living);
+            return new Index(byService, currentByAddress);
         }
     }
 }
--- a/src/main/java/io/waxwingquay/forward/WaitQueues.java
+++ b/src/main/java/io/waxwingquay/forward/WaitQueues.java
@@ -11,7 +11,7 @@
 final class WaitQueues {
 
     /** A queue whose first found no room is not looked at again within this; one look of all that wait takes less. */
-    private static final long FULL_MILLIS = 10L;
+    private static final long FULL_VALIDITY_MILLIS = 10L;
 
     private final Map<String, Queue> queues = new HashMap<>();
 
@@ -37,7 +37,7 @@
     void markFull(String name, long nowMillis) {
         Queue queue = queues.get(name);
         if (queue != null) {
-            queue.fullUntilMillis = nowMillis + FULL_MILLIS;
+            queue.fullUntilMillis = nowMillis + FULL_VALIDITY_MILLIS;
         }
     }
 
--- a/src/test/java/io/waxwingquay/forward/DemandMeterTest.java
+++ b/src/test/java/io/waxwingquay/forward/DemandMeterTest.java
@@ -10,9 +10,9 @@
     private final DemandMeter meter = new DemandMeter();
 
     @Test
-    void steadyDemandIsToldAsItIs() {
-        ask(0, 30_000, 50);
-        assertEquals(20, perSecond(30_000), 2);
+    void steadyDemandIsReportedUnchanged() {
+        requestEvery(0, 30_000, 50);
+        assertEquals(20, reportedPerSecond(30_000), 2);
     }
 
     // Demand moves to another model within five seconds, and a copy of it takes six to load. One second in it must
@@ -20,30 +20,30 @@
     // for nearly what it is, of which an average over seconds shows a third, or its copies come when it is at its
     // height already.
     @Test
-    void demandThatRisesIsCarriedOn() {
-        ask(0, 1_000, 100);
-        assertTrue(perSecond(1_000) > 8, "told " + perSecond(1_000));
+    void risingDemandIsExtrapolated() {
+        requestEvery(0, 1_000, 100);
+        assertTrue(reportedPerSecond(1_000) > 8, "told " + reportedPerSecond(1_000));
     }
 
     @Test
-    void demandThatHasEndedIsForgottenWithinSeconds() {
-        ask(0, 30_000, 50);
-        assertTrue(perSecond(32_000) < 2, "told " + perSecond(32_000));
+    void endedDemandDecaysWithinSeconds() {
+        requestEvery(0, 30_000, 50);
+        assertTrue(reportedPerSecond(32_000) < 2, "told " + reportedPerSecond(32_000));
     }
 
     @Test
-    void singleRequestIsNoSteepRise() {
-        meter.asked("m", 0);
-        assertTrue(perSecond(0) <= 3, "told " + perSecond(0));
+    void singleRequestIsNotExtrapolatedSteeply() {
+        meter.requested("m", 0);
+        assertTrue(reportedPerSecond(0) <= 3, "told " + reportedPerSecond(0));
     }
 
-    private void ask(long fromMillis, long toMillis, long everyMillis) {
+    private void requestEvery(long fromMillis, long toMillis, long everyMillis) {
         for (long atMillis = fromMillis; atMillis < toMillis; atMillis += everyMillis) {
-            meter.asked("m", atMillis);
+            meter.requested("m", atMillis);
         }
     }
 
-    private double perSecond(long nowMillis) {
+    private double reportedPerSecond(long nowMillis) {
         return meter.snapshot(nowMillis).get("m").getPerSecond();
     }
 }
--- a/src/test/java/io/waxwingquay/forward/NewsWriterTest.java
+++ b/src/test/java/io/waxwingquay/forward/EntryUpdateWriterTest.java
@@ -21,7 +21,7 @@
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 
-class NewsWriterTest {
+class EntryUpdateWriterTest {
 
     private static final Engine LARGE = engine(64);
     private static final Engine SMALL = engine(8);
@@ -34,7 +34,7 @@
     // Two services have engines, and a third has none. If each process heard of all engines, or of another service's
     // configuration, it would plan for engines that can't hold its models and read its own configuration for ever.
     @Test
-    void eachEngineHearsOfItsOwnServiceOnly() {
+    void eachEngineIsToldOfItsOwnServiceOnly() {
         list("a", "large", "10.0.0.1");
         list("b", "small", "10.0.0.2");
         list("c", "small", "10.0.0.3");
@@ -44,14 +44,15 @@
                 "small", new Manifest.Service("small", 9, Optional.of(SMALL)),
                 "plain", new Manifest.Service("plain", 9, Optional.empty()));
         Manifest manifest = new Manifest(1, List.of(), services, ServerLimits.DEFAULT);
-        Map<HostPort, EntryNews> news = new NewsWriter(targets, new DemandMeter(), 0).write("entry", manifest, 0);
-        assertEquals(3, news.size());
-        assertEquals(List.of("10.0.0.1:80"), at(news, "10.0.0.1").getEngineAddresses());
+        Map<HostPort, EntryNews> updates =
+                new EntryUpdateWriter(targets, new DemandMeter(), 0).write("entry", manifest, 0);
+        assertEquals(3, updates.size());
+        assertEquals(List.of("10.0.0.1:80"), at(updates, "10.0.0.1").getEngineAddresses());
         assertEquals(
                 Set.of("10.0.0.2:80", "10.0.0.3:80"),
-                Set.copyOf(at(news, "10.0.0.2").getEngineAddresses()));
-        assertEquals(LARGE.digest(), at(news, "10.0.0.1").getEngineDigest());
-        assertEquals(SMALL.digest(), at(news, "10.0.0.3").getEngineDigest());
+                Set.copyOf(at(updates, "10.0.0.2").getEngineAddresses()));
+        assertEquals(LARGE.digest(), at(updates, "10.0.0.1").getEngineDigest());
+        assertEquals(SMALL.digest(), at(updates, "10.0.0.3").getEngineDigest());
     }
 
     // Each entry told each engine all of it four times a second, and up to twenty-five times while a model was missed:
@@ -59,7 +60,7 @@
     // same
     // however many engines there are.
     @Test
-    void whatIsSentDoesNotGrowWithTheFleet() {
+    void datagramRateDoesNotGrowWithTheNumberOfEngines() {
         List.of(8, 40, 300, 2_400).forEach(engines -> {
             double perSecond = datagramsPerSecond(engines);
             assertTrue(perSecond <= 100, engines + " engines: " + perSecond);
@@ -70,7 +71,7 @@
         TargetTable listed = new TargetTable(record -> new ClientPool(null, new InetSocketAddress("127.0.0.1", 1), 1));
         IntStream.range(0, engines)
                 .forEach(each -> list(listed, "i" + each, "large", "10.1." + each / 250 + "." + each % 250));
-        NewsWriter writer = new NewsWriter(listed, new DemandMeter(), 0);
+        EntryUpdateWriter writer = new EntryUpdateWriter(listed, new DemandMeter(), 0);
         writer.write("entry", MANIFEST, 0);
         long seconds = 400;
         long sent = 0;
@@ -82,9 +83,9 @@
     }
 
     @Test
-    void whatIsMissedIsToldBeforeTheRoundEnds() {
+    void hastenedRoundBeginsEarly() {
         IntStream.range(0, 100).forEach(each -> list("i" + each, "large", "10.0.1." + each));
-        NewsWriter writer = new NewsWriter(targets, new DemandMeter(), 0);
+        EntryUpdateWriter writer = new EntryUpdateWriter(targets, new DemandMeter(), 0);
         long roundMillis = NewsPace.periodMillis(100);
         assertEquals(100, writer.write("entry", MANIFEST, 0).size());
         assertEquals(0, writer.write("entry", MANIFEST, roundMillis - 1).size());
@@ -98,24 +99,24 @@
     // that a
     // request sent from here uses.
     @Test
-    void useOfAnAdapterIsToldToItsEngineBeforeTheRoundEnds() {
+    void adapterUsageIsSentToItsEngineBetweenRounds() {
         list("a", "large", "10.0.0.1");
         list("b", "large", "10.0.0.2");
-        NewsWriter writer = new NewsWriter(targets, new DemandMeter(), 0);
+        EntryUpdateWriter writer = new EntryUpdateWriter(targets, new DemandMeter(), 0);
         writer.write("entry", MANIFEST, 0);
-        Target used = targets.livingAt(new HostPort("10.0.0.1", 80)).orElseThrow();
-        used.began(Optional.of("m"), Optional.of("a1"), 0, 0);
-        Map<HostPort, EntryNews> news = writer.write("entry", MANIFEST, 50);
-        assertEquals(Set.of(new HostPort("10.0.0.1", 80)), news.keySet());
-        assertEquals(List.of("m/a1"), at(news, "10.0.0.1").getAdaptersInUse());
-        assertFalse(at(news, "10.0.0.1").isSetDemand());
+        Target used = targets.currentAt(new HostPort("10.0.0.1", 80)).orElseThrow();
+        used.requestSent(Optional.of("m"), Optional.of("a1"), 0, 0);
+        Map<HostPort, EntryNews> updates = writer.write("entry", MANIFEST, 50);
+        assertEquals(Set.of(new HostPort("10.0.0.1", 80)), updates.keySet());
+        assertEquals(List.of("m/a1"), at(updates, "10.0.0.1").getAdaptersInUse());
+        assertFalse(at(updates, "10.0.0.1").isSetDemand());
         assertEquals(0, writer.write("entry", MANIFEST, 100).size());
-        used.ended(Optional.of("m"), Optional.of("a1"));
+        used.requestEnded(Optional.of("m"), Optional.of("a1"));
         assertEquals(1, writer.write("entry", MANIFEST, 150).size());
     }
 
-    private static EntryNews at(Map<HostPort, EntryNews> news, String host) {
-        return news.get(new HostPort(host, 80));
+    private static EntryNews at(Map<HostPort, EntryNews> updates, String host) {
+        return updates.get(new HostPort(host, 80));
     }
 
     private void list(String id, String service, String host) {
--- a/src/test/java/io/waxwingquay/forward/EventCutterTest.java
+++ b/src/test/java/io/waxwingquay/forward/EventSplitterTest.java
@@ -14,13 +14,13 @@
 import net.jqwik.api.constraints.IntRange;
 import org.junit.jupiter.api.Test;
 
-class EventCutterTest {
+class EventSplitterTest {
 
     private static final String STREAM = "id: 1\ndata: a\n\nid: 2\r\ndata: b\r\n\r\nid: 3\ndata: c\n\n";
 
     private final List<String> events = new ArrayList<>();
     private final List<OptionalLong> ids = new ArrayList<>();
-    private final EventCutter cutter = new EventCutter((bytes, id) -> {
+    private final EventSplitter splitter = new EventSplitter((bytes, id) -> {
         events.add(new String(bytes, StandardCharsets.UTF_8));
         ids.add(id);
     });
@@ -28,16 +28,16 @@
     // A replica stops in the middle of an event and the stream goes on elsewhere. The caller would see half an event of
     // one run joined with the next one's; so nothing of an event may leave before its blank line.
     @Test
-    void holdsBackAnEventWithoutItsEnd() {
-        take("id: 1\ndata: a\n\nid: 2\ndata: b\n");
+    void holdsBackAnIncompleteEvent() {
+        feed("id: 1\ndata: a\n\nid: 2\ndata: b\n");
         assertEquals(List.of("id: 1\ndata: a\n\n"), events);
-        assertFalse(cutter.isBetweenEvents());
-        assertEquals("id: 2\ndata: b\n", new String(cutter.rest(), StandardCharsets.UTF_8));
+        assertFalse(splitter.isBetweenEvents());
+        assertEquals("id: 2\ndata: b\n", new String(splitter.incompleteEvent(), StandardCharsets.UTF_8));
     }
 
     @Test
     void readsTheIdOfEachEvent() {
-        take(STREAM + "data: no id\n\nid: x\n\n");
+        feed(STREAM + "data: no id\n\nid: x\n\n");
         assertEquals(
                 List.of(
                         OptionalLong.of(1),
@@ -49,18 +49,18 @@
     }
 
     @Property(seed = "7")
-    void cutsTheSameHoweverTheBytesCome(@ForAll @IntRange(min = 1, max = 47) int partBytes) {
+    void splitsAlikeWhateverTheSizeOfTheChunks(@ForAll @IntRange(min = 1, max = 47) int chunkBytes) {
         events.clear();
         byte[] all = STREAM.getBytes(StandardCharsets.UTF_8);
-        for (int from = 0; from < all.length; from += partBytes) {
-            cutter.take(ByteBuffer.wrap(all, from, Math.min(partBytes, all.length - from)));
+        for (int from = 0; from < all.length; from += chunkBytes) {
+            splitter.feed(ByteBuffer.wrap(all, from, Math.min(chunkBytes, all.length - from)));
         }
         assertEquals(3, events.size());
         assertEquals(STREAM, String.join("", events));
-        assertTrue(cutter.isBetweenEvents());
+        assertTrue(splitter.isBetweenEvents());
     }
 
-    private void take(String text) {
-        cutter.take(ByteBuffer.wrap(text.getBytes(StandardCharsets.UTF_8)));
+    private void feed(String text) {
+        splitter.feed(ByteBuffer.wrap(text.getBytes(StandardCharsets.UTF_8)));
     }
 }
--- a/src/test/java/io/waxwingquay/forward/ExchangeStateTest.java
+++ b/src/test/java/io/waxwingquay/forward/ExchangeStateTest.java
@@ -13,13 +13,13 @@
     // stayed
     // for good, and the look at the time stopped there for every request behind it.
     @Test
-    void requestThatWaitsMayWaitAgain() {
+    void waitingRequestMayWaitAgain() {
         assertEquals(Optional.of(ExchangeState.AWAITING), next(ExchangeState.AWAITING, ExchangeState.Event.AWAIT));
     }
 
     // The caller has a part of a stream. From then on only the rest may follow, never a new beginning.
     @Test
-    void streamThatBeganNeverBeginsAgain() {
+    void streamNeverBeginsTwice() {
         assertEquals(Optional.of(ExchangeState.RESUMING), next(ExchangeState.STREAMING, ExchangeState.Event.RETRY));
         assertEquals(Optional.of(ExchangeState.STREAMING), next(ExchangeState.RESUMING, ExchangeState.Event.SEND));
         assertThrows(ChartException.IllegalEvent.class, () -> next(ExchangeState.STREAMING, ExchangeState.Event.BEGIN));
--- a/src/test/java/io/waxwingquay/forward/NamedLimitTest.java
+++ b/src/test/java/io/waxwingquay/forward/ReplicaRateLimitTest.java
@@ -6,20 +6,20 @@
 import java.util.OptionalDouble;
 import org.junit.jupiter.api.Test;
 
-class NamedLimitTest {
+class ReplicaRateLimitTest {
 
     private static final int ENTRIES = 4;
 
-    private final NamedLimit limit = new NamedLimit();
+    private final ReplicaRateLimit limit = new ReplicaRateLimit();
 
     @Test
-    void nothingIsLimitedBeforeAnAnswerNamesALimit() {
+    void requestsAreNotLimitedBeforeAnAnswerAnnouncesALimit() {
         assertEquals(0, limit.waitMillis(0));
     }
 
     @Test
-    void limitHoldsForThisEntrysPart() {
-        name(OptionalDouble.of(2.0), 0);
+    void limitAppliesToTheShareOfThisEntry() {
+        announce(OptionalDouble.of(2.0), 0);
         assertEquals(2_000, limit.waitMillis(0));
         assertEquals(0, limit.waitMillis(2_000));
         limit.sent(2_000);
@@ -28,21 +28,21 @@
 
     // Guards against a replica that stays limited after it has recovered.
     @Test
-    void answerThatNamesNoLimitEndsIt() {
-        name(OptionalDouble.of(2.0), 0);
-        name(OptionalDouble.empty(), 100);
+    void answerWithoutALimitRemovesIt() {
+        announce(OptionalDouble.of(2.0), 0);
+        announce(OptionalDouble.empty(), 100);
         assertEquals(0, limit.waitMillis(100));
     }
 
     // Guards against a burst by each answer that names another limit.
     @Test
-    void otherLimitKeepsWhatWasEarned() {
-        name(OptionalDouble.of(2.0), 0);
-        name(OptionalDouble.of(1.0), 1_000);
+    void changedLimitKeepsTheEarnedCredit() {
+        announce(OptionalDouble.of(2.0), 0);
+        announce(OptionalDouble.of(1.0), 1_000);
         assertTrue(limit.waitMillis(1_000) > 1_000);
     }
 
-    private void name(OptionalDouble perSecond, long nowMillis) {
-        limit.named("r", perSecond, ENTRIES, () -> 0.0, nowMillis);
+    private void announce(OptionalDouble perSecond, long nowMillis) {
+        limit.announced("r", perSecond, ENTRIES, () -> 0.0, nowMillis);
     }
 }
--- a/src/test/java/io/waxwingquay/forward/SuspectsTest.java
+++ b/src/test/java/io/waxwingquay/forward/SuspectTrackerTest.java
@@ -19,49 +19,50 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-class SuspectsTest {
+class SuspectTrackerTest {
 
-    private final AtomicInteger told = new AtomicInteger();
-    private final SuspectTracker suspects =
-            new SuspectTracker(new SharedSuspects(() -> 0, new Random(3)), () -> 0, told::incrementAndGet);
+    private final AtomicInteger changeCount = new AtomicInteger();
+    private final SuspectTracker tracker =
+            new SuspectTracker(new SharedSuspects(() -> 0, new Random(3)), () -> 0, changeCount::incrementAndGet);
 
     @BeforeEach
     void crashTwoReplicas() {
         HttpFields fields = fields("h", "m", "p:1").put("Attempt-Id", "1").put("Deadline-Remaining", "900");
-        of("/x", fields, "body").broke(target("a"));
-        of("/x", fields, "body").broke(target("b"));
+        suspicionOf("/x", fields, "body").connectionBroke(target("a"));
+        suspicionOf("/x", fields, "body").connectionBroke(target("b"));
     }
 
     // A caller sends its request again: another attempt, less time left, and for a stream the last event that it
     // has. What is asked for is the same.
     @Test
-    void anotherAttemptIsTheSameRequest() {
+    void otherAttemptHasTheSameFingerprint() {
         HttpFields fields = fields("h", "m", "p:1")
                 .put("Attempt-Id", "2")
                 .put("Deadline-Remaining", "400")
                 .put("Last-Event-Id", "7");
-        assertTrue(of("/x", fields, "body").isRefused());
+        assertTrue(suspicionOf("/x", fields, "body").isQuarantined());
     }
 
     @Test
-    void whatDiffersInOnePartIsAnotherRequest() {
-        assertFalse(of("/y", fields("h", "m", "p:1"), "body").isRefused());
-        assertFalse(of("/x?q", fields("h", "m", "p:1"), "body").isRefused());
-        assertFalse(of("/x", fields("i", "m", "p:1"), "body").isRefused());
-        assertFalse(of("/x", fields("h", "n", "p:1"), "body").isRefused());
-        assertFalse(of("/x", fields("h", "m", "p:2"), "body").isRefused());
-        assertFalse(of("/x", fields("h", "m", "p:1"), "").isRefused());
-        assertFalse(of("/x", HttpFields.build().put("Host", "h"), "body").isRefused());
+    void requestThatDiffersInOnePartHasAnotherFingerprint() {
+        assertFalse(suspicionOf("/y", fields("h", "m", "p:1"), "body").isQuarantined());
+        assertFalse(suspicionOf("/x?q", fields("h", "m", "p:1"), "body").isQuarantined());
+        assertFalse(suspicionOf("/x", fields("i", "m", "p:1"), "body").isQuarantined());
+        assertFalse(suspicionOf("/x", fields("h", "n", "p:1"), "body").isQuarantined());
+        assertFalse(suspicionOf("/x", fields("h", "m", "p:2"), "body").isQuarantined());
+        assertFalse(suspicionOf("/x", fields("h", "m", "p:1"), "").isQuarantined());
+        assertFalse(
+                suspicionOf("/x", HttpFields.build().put("Host", "h"), "body").isQuarantined());
     }
 
     // The caller comes again at once, through another entry. That one has to know sooner than with the next news.
     @Test
-    void crashIsToldSoon() {
-        assertTrue(told.get() >= 2);
+    void crashTriggersAnEarlyUpdate() {
+        assertTrue(changeCount.get() >= 2);
     }
 
-    private Suspicion of(String target, HttpFields fields, String body) {
-        return suspects.of(
+    private Suspicion suspicionOf(String target, HttpFields fields, String body) {
+        return tracker.forRequest(
                 new HeaderCodec(), new ServerRequest("POST", target, fields, body.getBytes(StandardCharsets.UTF_8), 0));
     }
 
--- a/src/test/java/io/waxwingquay/forward/SuspicionTest.java
+++ b/src/test/java/io/waxwingquay/forward/SuspicionTest.java
@@ -21,215 +21,221 @@
 class SuspicionTest {
 
     private static final long POISON = 7;
-    private static final long INNOCENT = 8;
+    private static final long HARMLESS = 8;
 
     private long nowMillis = 1_000;
-    private final SuspectTracker suspects =
+    private final SuspectTracker tracker =
             new SuspectTracker(new SharedSuspects(() -> nowMillis, new Random(3)), () -> nowMillis, () -> {});
     private final Target a = target("a");
     private final Target b = target("b");
     private final Target c = target("c");
 
     @Test
-    void twoReplicasThatWentAreEnoughWhoeverSendsIt() {
-        of(POISON).broke(a);
-        assertFalse(of(POISON).isRefused());
-        of(POISON).broke(b);
-        assertTrue(of(POISON).isRefused());
-        assertFalse(of(INNOCENT).isRefused());
+    void crashesOfTwoReplicasQuarantineARequestForEveryCaller() {
+        suspicionOf(POISON).connectionBroke(a);
+        assertFalse(suspicionOf(POISON).isQuarantined());
+        suspicionOf(POISON).connectionBroke(b);
+        assertTrue(suspicionOf(POISON).isQuarantined());
+        assertFalse(suspicionOf(HARMLESS).isQuarantined());
     }
 
     // Of two connections to one replica both break when it goes. That is one crash.
     @Test
-    void oneReplicaThatWentTwiceOverIsNotEnough() {
-        of(POISON).broke(a);
-        of(POISON).broke(a);
-        assertFalse(of(POISON).isRefused());
+    void twoBrokenConnectionsToOneReplicaCountAsOneCrash() {
+        suspicionOf(POISON).connectionBroke(a);
+        suspicionOf(POISON).connectionBroke(a);
+        assertFalse(suspicionOf(POISON).isQuarantined());
     }
 
     // A request is there by chance when a replica goes, is sent again and answered. It is free, here and for later.
     @Test
-    void oneThatIsAnsweredGoesFree() {
-        Suspicion innocent = of(INNOCENT);
-        innocent.broke(a);
-        innocent.answered(b, nowMillis);
-        of(INNOCENT).broke(c);
-        assertFalse(of(INNOCENT).isRefused());
+    void answeredRequestIsCleared() {
+        Suspicion harmless = suspicionOf(HARMLESS);
+        harmless.connectionBroke(a);
+        harmless.answered(b, nowMillis);
+        suspicionOf(HARMLESS).connectionBroke(c);
+        assertFalse(suspicionOf(HARMLESS).isQuarantined());
     }
 
     // A stream's answer has begun when its replica goes, and goes on elsewhere, where that replica goes too. A
     // request that ends replicas as it begins to run would never have got an event.
     @Test
-    void oneWhoseAnswerHasBegunIsNoSuspect() {
-        Suspicion stream = of(INNOCENT);
+    void requestWhoseAnswerHasBegunIsNoSuspect() {
+        Suspicion stream = suspicionOf(HARMLESS);
         stream.answered(a, nowMillis);
-        stream.broke(a);
-        stream.broke(b);
-        assertFalse(stream.isRefused());
-        assertFalse(of(INNOCENT).isRefused());
+        stream.connectionBroke(a);
+        stream.connectionBroke(b);
+        assertFalse(stream.isQuarantined());
+        assertFalse(suspicionOf(HARMLESS).isQuarantined());
     }
 
     // Two requests were at the first crash. Sent on together, both would be at the second one; apart, one is answered.
     @Test
-    void suspectGoesWhereNoOtherOneRuns() {
+    void suspectIsSentToAReplicaWithoutAnotherSuspect() {
         Suspicion poison = suspect(POISON, a);
-        Suspicion innocent = suspect(INNOCENT, a);
+        Suspicion harmless = suspect(HARMLESS, a);
         poison.sent(b);
-        assertEquals(new Choice.Send(c), choose(innocent, a));
+        assertEquals(new Choice.Send(c), choose(harmless, a));
     }
 
     @Test
-    void suspectWaitsForTheOtherToEndAndThenGoes() {
+    void suspectWaitsUntilTheOtherSuspectHasEnded() {
         Suspicion poison = suspect(POISON, a);
-        Suspicion innocent = suspect(INNOCENT, a);
+        Suspicion harmless = suspect(HARMLESS, a);
         poison.sent(b);
         poison.sent(c);
-        suspects.began(b);
-        assertInstanceOf(Choice.Apart.class, choose(innocent, a));
+        tracker.suspectStarted(b);
+        assertInstanceOf(Choice.AwaitIsolation.class, choose(harmless, a));
         poison.ended();
-        assertEquals(new Choice.Send(c), choose(innocent, a));
+        assertEquals(new Choice.Send(c), choose(harmless, a));
     }
 
     // The other one takes long. The caller's time runs, so the wait has an end.
     @Test
-    void suspectThatHasWaitedGoesBesideTheOther() {
+    void suspectSharesAReplicaAfterTheIsolationWait() {
         Suspicion poison = suspect(POISON, a);
-        Suspicion innocent = suspect(INNOCENT, a);
+        Suspicion harmless = suspect(HARMLESS, a);
         poison.sent(b);
-        assertInstanceOf(Choice.Apart.class, choose(innocent, a, c));
+        assertInstanceOf(Choice.AwaitIsolation.class, choose(harmless, a, c));
         nowMillis += 239;
-        assertInstanceOf(Choice.Apart.class, choose(innocent, a, c));
+        assertInstanceOf(Choice.AwaitIsolation.class, choose(harmless, a, c));
         nowMillis += 1;
-        assertEquals(new Choice.Send(b), choose(innocent, a, c));
+        assertEquals(new Choice.Send(b), choose(harmless, a, c));
     }
 
     @Test
-    void othersGoWhereTheyLike() {
+    void otherRequestsAreNotIsolated() {
         suspect(POISON, a).sent(b);
-        assertEquals(new Choice.Send(b), choose(of(INNOCENT), a));
+        assertEquals(new Choice.Send(b), choose(suspicionOf(HARMLESS), a));
     }
 
     // A replica with too many connections resets one and lives on, as its other answers show. Were that taken for a
     // crash, a request that meets two crowded replicas would be refused for good.
     @Test
-    void breakThatTheReplicaOutlivedCountsNoMore() {
-        Suspicion before = of(INNOCENT);
+    void breakThatTheReplicaSurvivedIsDiscounted() {
+        Suspicion before = suspicionOf(HARMLESS);
         long sentMillis = nowMillis;
         nowMillis += 10;
-        of(POISON).broke(a);
-        of(POISON).broke(b);
-        assertTrue(of(POISON).isRefused());
+        suspicionOf(POISON).connectionBroke(a);
+        suspicionOf(POISON).connectionBroke(b);
+        assertTrue(suspicionOf(POISON).isQuarantined());
         nowMillis += 101;
         before.answered(a, sentMillis);
-        assertFalse(of(POISON).isRefused());
+        assertFalse(suspicionOf(POISON).isQuarantined());
     }
 
     // The answer of what was sent after the break may come from the replica's next life, and one that is read right
     // after it may have left before the crash. Neither shows that the replica lived on.
     @Test
-    void laterSendsAndAnswersOfTheSameInstantDisproveNothing() {
+    void laterSendsAndAnswersInFlightDoNotDisproveACrash() {
         long sentMillis = nowMillis;
         nowMillis += 10;
-        of(POISON).broke(a);
-        of(POISON).broke(b);
+        suspicionOf(POISON).connectionBroke(a);
+        suspicionOf(POISON).connectionBroke(b);
         nowMillis += 100;
-        of(INNOCENT).answered(a, sentMillis);
+        suspicionOf(HARMLESS).answered(a, sentMillis);
         nowMillis += 1_000;
-        of(INNOCENT).answered(a, sentMillis + 10);
-        assertTrue(of(POISON).isRefused());
+        suspicionOf(HARMLESS).answered(a, sentMillis + 10);
+        assertTrue(suspicionOf(POISON).isQuarantined());
     }
 
     // Forty requests run at each of five replicas when one of them begins to end replicas, and its caller sends it
     // again whenever it fails. Whatever the order in which the others are sent on, two replicas go, and nobody else
     // is refused.
     @Test
-    void oneAmongManyIsFoundWithTwoReplicasAndNoneBesideItIsRefused() {
+    void crashingRequestIsFoundAfterTwoCrashesAndNoOtherIsQuarantined() {
         Random random = new Random(17);
         for (int round = 0; round < 50; round++) {
-            suspects.shared().answered(POISON);
+            tracker.shared().answered(POISON);
             nowMillis += 700_000;
-            suspects.shared().page();
+            tracker.shared().page();
             List<Target> fleet = new ArrayList<>();
             for (int number = 0; number < 5; number++) {
                 fleet.add(target("r" + round + "-" + number));
             }
-            assertEquals(2, crashes(fleet, random));
+            assertEquals(2, crashesUntilQuarantine(fleet, random));
         }
     }
 
-    private int crashes(List<Target> fleet, Random random) {
+    private int crashesUntilQuarantine(List<Target> fleet, Random random) {
         List<Suspicion> bystanders = new ArrayList<>();
-        List<Suspicion> again = new ArrayList<>();
+        List<Suspicion> pending = new ArrayList<>();
         Target first = fleet.get(random.nextInt(fleet.size()));
         for (long number = 0; number < 40; number++) {
-            Suspicion bystander = of(1_000 + number);
-            bystander.broke(first);
+            Suspicion bystander = suspicionOf(1_000 + number);
+            bystander.connectionBroke(first);
             bystanders.add(bystander);
         }
-        of(POISON).broke(first);
+        suspicionOf(POISON).connectionBroke(first);
         int crashes = 1;
-        again.addAll(bystanders);
-        Suspicion poison = of(POISON);
-        again.add(random.nextInt(again.size() + 1), poison);
-        while (!again.isEmpty()) {
+        pending.addAll(bystanders);
+        Suspicion poison = suspicionOf(POISON);
+        pending.add(random.nextInt(pending.size() + 1), poison);
+        while (!pending.isEmpty()) {
             List<Suspicion> sent = new ArrayList<>();
-            List<Target> at = new ArrayList<>();
-            for (Suspicion each : again) {
-                if (!each.isRefused() && choose(each, fleet, first, random) instanceof Choice.Send send) {
+            List<Target> targets = new ArrayList<>();
+            for (Suspicion each : pending) {
+                if (!each.isQuarantined() && choose(each, fleet, first, random) instanceof Choice.Send send) {
                     each.sent(send.target());
                     sent.add(each);
-                    at.add(send.target());
+                    targets.add(send.target());
                 }
             }
-            again.removeAll(sent);
-            again.removeIf(Suspicion::isRefused);
-            int where = sent.indexOf(poison);
-            if (where >= 0) {
+            pending.removeAll(sent);
+            pending.removeIf(Suspicion::isQuarantined);
+            int poisonIndex = sent.indexOf(poison);
+            if (poisonIndex >= 0) {
                 crashes++;
-                assertEquals(1, at.stream().filter(at.get(where)::equals).count());
+                assertEquals(
+                        1,
+                        targets.stream()
+                                .filter(targets.get(poisonIndex)::equals)
+                                .count());
                 poison.ended();
-                poison.broke(at.get(where));
+                poison.connectionBroke(targets.get(poisonIndex));
             }
             nowMillis += 20;
             for (int number = 0; number < sent.size(); number++) {
-                if (number != where) {
+                if (number != poisonIndex) {
                     sent.get(number).ended();
-                    sent.get(number).answered(at.get(number), nowMillis - 20);
+                    sent.get(number).answered(targets.get(number), nowMillis - 20);
                 }
             }
         }
-        assertTrue(of(POISON).isRefused());
+        assertTrue(suspicionOf(POISON).isQuarantined());
         for (long number = 0; number < 40; number++) {
-            assertFalse(of(1_000 + number).isRefused());
+            assertFalse(suspicionOf(1_000 + number).isQuarantined());
         }
         return crashes;
     }
 
-    private Choice choose(Suspicion suspicion, List<Target> fleet, Target without, Random random) {
-        return suspicion.choose(Set.of(without), tried -> {
-            List<Target> open =
+    private Choice choose(Suspicion suspicion, List<Target> fleet, Target excluded, Random random) {
+        return suspicion.choose(Set.of(excluded), tried -> {
+            List<Target> available =
                     fleet.stream().filter(each -> !tried.contains(each)).toList();
-            return open.isEmpty() ? new Choice.Nowhere() : new Choice.Send(open.get(random.nextInt(open.size())));
+            return available.isEmpty()
+                    ? new Choice.NoReplica()
+                    : new Choice.Send(available.get(random.nextInt(available.size())));
         });
     }
 
     private Choice choose(Suspicion suspicion, Target... tried) {
         Set<Target> all = new HashSet<>(List.of(tried));
-        return suspicion.choose(all, without -> List.of(a, b, c).stream()
-                .filter(each -> !without.contains(each))
+        return suspicion.choose(all, excluded -> List.of(a, b, c).stream()
+                .filter(each -> !excluded.contains(each))
                 .findFirst()
                 .<Choice>map(Choice.Send::new)
-                .orElseGet(Choice.Nowhere::new));
+                .orElseGet(Choice.NoReplica::new));
     }
 
-    private Suspicion suspect(long fingerprint, Target where) {
-        Suspicion suspicion = of(fingerprint);
-        suspicion.broke(where);
+    private Suspicion suspect(long fingerprint, Target crashed) {
+        Suspicion suspicion = suspicionOf(fingerprint);
+        suspicion.connectionBroke(crashed);
         return suspicion;
     }
 
-    private Suspicion of(long fingerprint) {
-        return new Suspicion(suspects, () -> fingerprint);
+    private Suspicion suspicionOf(long fingerprint) {
+        return new Suspicion(tracker, () -> fingerprint);
     }
 
     private static Target target(String id) {
--- a/src/test/java/io/waxwingquay/forward/TargetChooserTest.java
+++ b/src/test/java/io/waxwingquay/forward/TargetChooserTest.java
@@ -33,9 +33,9 @@
     @Test
     void sendsToTheLessBusyEngineThatHoldsTheModel() {
         Target busy = target("busy", "a", false);
-        busy.news(news(busy, 8, List.of()), nowMillis);
+        busy.update(update(busy, 8, List.of()), nowMillis);
         Target free = target("free", "b", false);
-        free.news(news(free, 1, List.of()), nowMillis);
+        free.update(update(free, 1, List.of()), nowMillis);
         Choice choice = choose(List.of(busy, free), Optional.empty());
         assertEquals(free, assertInstanceOf(Choice.Send.class, choice).target());
     }
@@ -43,13 +43,13 @@
     // Half the engines lose one answer in twenty. Were they shunned, the others would be full and half of what they
     // run be late; a stream that breaks off goes on elsewhere.
     @Test
-    void engineThatFailsNowAndThenIsBetterThanAFullOne() {
+    void engineWithRareFailuresIsPreferredToAFullOne() {
         Target full = target("full", "a", false);
-        full.news(news(full, 10, List.of()), nowMillis);
+        full.update(update(full, 10, List.of()), nowMillis);
         Target failing = target("failing", "a", false);
-        failing.news(news(failing, 1, List.of()), nowMillis);
-        IntStream.range(0, 19).forEach(number -> failing.tries().succeeded(30, nowMillis));
-        failing.tries().failed(nowMillis);
+        failing.update(update(failing, 1, List.of()), nowMillis);
+        IntStream.range(0, 19).forEach(number -> failing.attemptHistory().succeeded(30, nowMillis));
+        failing.attemptHistory().failed(nowMillis);
         Choice choice = choose(List.of(full, failing), Optional.empty());
         assertEquals(failing, assertInstanceOf(Choice.Send.class, choice).target());
     }
@@ -57,12 +57,12 @@
     // All entries hear the same news. Were each to send all that comes until the next news to the engine that was
     // least busy, it would be full by then.
     @Test
-    void requestsBetweenTwoNewsAreSpread() {
+    void requestsBetweenTwoUpdatesAreSpread() {
         Target first = target("first", "a", false);
-        first.news(news(first, 1, List.of()).setEntries(5), nowMillis);
+        first.update(update(first, 1, List.of()).setEntries(5), nowMillis);
         Target second = target("second", "a", false);
-        second.news(news(second, 3, List.of()).setEntries(5), nowMillis);
-        first.began(Optional.of("m"), Optional.empty(), 0, EventLoop.nowMillis());
+        second.update(update(second, 3, List.of()).setEntries(5), nowMillis);
+        first.requestSent(Optional.of("m"), Optional.empty(), 0, EventLoop.nowMillis());
         Choice choice = choose(List.of(first, second), Optional.empty());
         assertEquals(second, assertInstanceOf(Choice.Send.class, choice).target());
     }
@@ -70,138 +70,139 @@
     // A replica that is leaving is emptied and taken away. A caller sent there late is cut off, so it gets nothing
     // new, though it is the least busy of all.
     @Test
-    void sendsNothingToAReplicaThatLeaves() {
-        Target leaving = target("leaving", "a", true);
+    void sendsNothingToADrainingReplica() {
+        Target draining = target("leaving", "a", true);
         Target staying = target("staying", "b", false);
-        Choice choice = chooser.choosePlain(List.of(leaving, staying), Set.of(), nowMillis);
+        Choice choice = chooser.choosePlain(List.of(draining, staying), Set.of(), nowMillis);
         assertEquals(staying, assertInstanceOf(Choice.Send.class, choice).target());
-        assertInstanceOf(Choice.Nowhere.class, chooser.choosePlain(List.of(leaving), Set.of(), nowMillis));
+        assertInstanceOf(Choice.NoReplica.class, chooser.choosePlain(List.of(draining), Set.of(), nowMillis));
     }
 
     // Guards against requests to a replica that left without notice, whose row may come back as far as is known.
     @Test
-    void sendsNothingToAReplicaWhoseRowIsMissingWhileAnotherIsListed() {
-        Target missing = target("missing", "a", false);
+    void sendsNothingToAnUnlistedReplicaWhileAnotherIsListed() {
+        Target unlisted = target("missing", "a", false);
         Target listed = target("listed", "b", false);
-        missing.missing();
-        Choice choice = chooser.choosePlain(List.of(missing, listed), Set.of(), nowMillis);
+        unlisted.markUnlisted();
+        Choice choice = chooser.choosePlain(List.of(unlisted, listed), Set.of(), nowMillis);
         assertEquals(listed, assertInstanceOf(Choice.Send.class, choice).target());
         assertInstanceOf(
-                Choice.Nowhere.class, chooser.choosePlain(List.of(missing, listed), Set.of(listed), nowMillis));
+                Choice.NoReplica.class, chooser.choosePlain(List.of(unlisted, listed), Set.of(listed), nowMillis));
     }
 
     // Guards against refusing everything after an outage in which the rows of living replicas lapsed.
     @Test
-    void sendsToReplicasWhoseRowsAreAllMissing() {
+    void sendsToUnlistedReplicasWhenAllAre() {
         Target first = target("first", "a", false);
         Target second = target("second", "a", false);
-        first.missing();
-        second.missing();
+        first.markUnlisted();
+        second.markUnlisted();
         assertInstanceOf(Choice.Send.class, chooser.choosePlain(List.of(first, second), Set.of(first), nowMillis));
     }
 
     // Guards against piling all work on the first replica whose row is back after an outage.
     @Test
-    void replicaThatShowsThatItStaysIsUsedBeforeItsRowIsBack() {
-        Target missing = target("missing", "a", false);
-        missing.answerBegan(false);
-        missing.missing();
-        assertTrue(missing.mayHaveLeft());
-        missing.answerBegan(false);
-        assertFalse(missing.mayHaveLeft());
-        missing.answerBegan(true);
-        assertTrue(missing.mayHaveLeft());
-        missing.news(news(missing, 1, List.of()), nowMillis);
-        assertFalse(missing.mayHaveLeft());
+    void unlistedReplicaThatIsHeardAndNotDrainingStaysInUse() {
+        Target unlisted = target("missing", "a", false);
+        unlisted.answerBegan(false);
+        unlisted.markUnlisted();
+        assertTrue(unlisted.mayHaveDeparted());
+        unlisted.answerBegan(false);
+        assertFalse(unlisted.mayHaveDeparted());
+        unlisted.answerBegan(true);
+        assertTrue(unlisted.mayHaveDeparted());
+        unlisted.update(update(unlisted, 1, List.of()), nowMillis);
+        assertFalse(unlisted.mayHaveDeparted());
     }
 
     // An engine's machine stands still, and so does the process beside it that tells how busy the engine is. What
     // was told last makes it the least busy of all, and nothing that is sent there is answered.
     @Test
-    void sendsNothingToAnEngineThatIsSilentWhileAnotherIsHeard() {
-        Target silent = target("silent", "a", false);
-        silent.news(news(silent, 0, List.of()), nowMillis - 1_200);
-        Target heard = target("heard", "b", false);
-        heard.news(news(heard, 9, List.of()), nowMillis - 100);
-        Choice choice = choose(List.of(silent, heard), Optional.empty());
-        assertEquals(heard, assertInstanceOf(Choice.Send.class, choice).target());
+    void sendsNothingToAnUnresponsiveEngineWhileAnotherResponds() {
+        Target unresponsive = target("silent", "a", false);
+        unresponsive.update(update(unresponsive, 0, List.of()), nowMillis - 1_200);
+        Target responsive = target("heard", "b", false);
+        responsive.update(update(responsive, 9, List.of()), nowMillis - 100);
+        Choice choice = choose(List.of(unresponsive, responsive), Optional.empty());
+        assertEquals(responsive, assertInstanceOf(Choice.Send.class, choice).target());
     }
 
     // Nothing was heard of any engine for a while, as with the ways between our processes cut. They may all be well.
     @Test
-    void sendsToASilentEngineWhenNoneIsHeard() {
-        Target silent = target("silent", "a", false);
-        silent.news(news(silent, 0, List.of()), nowMillis - 1_200);
-        Choice choice = choose(List.of(silent), Optional.empty());
-        assertEquals(silent, assertInstanceOf(Choice.Send.class, choice).target());
+    void sendsToAnUnresponsiveEngineWhenNoneResponds() {
+        Target unresponsive = target("silent", "a", false);
+        unresponsive.update(update(unresponsive, 0, List.of()), nowMillis - 1_200);
+        Choice choice = choose(List.of(unresponsive), Optional.empty());
+        assertEquals(unresponsive, assertInstanceOf(Choice.Send.class, choice).target());
     }
 
     // The only engine with the model stands still. One request may find out that it does not; all that were sent
     // after it would be held until their callers leave.
     @Test
-    void sendsOneRequestAtATimeToASilentEngine() {
-        Target silent = target("silent", "a", false);
-        silent.news(news(silent, 0, List.of()), nowMillis - 1_200);
-        silent.began(Optional.of("m"), Optional.empty(), 0, nowMillis);
-        assertInstanceOf(Choice.Full.class, choose(List.of(silent), Optional.empty()));
+    void sendsOneRequestAtATimeToAnUnresponsiveEngine() {
+        Target unresponsive = target("silent", "a", false);
+        unresponsive.update(update(unresponsive, 0, List.of()), nowMillis - 1_200);
+        unresponsive.requestSent(Optional.of("m"), Optional.empty(), 0, nowMillis);
+        assertInstanceOf(Choice.Full.class, choose(List.of(unresponsive), Optional.empty()));
     }
 
     // In a large deployment an engine without requests from here is heard every few seconds. The first request that is
     // sent
     // to it is no reason to call it silent; nothing could have been heard of that yet.
     @Test
-    void engineIsNotSilentForItsFirstRequest() {
+    void idleEngineIsNotUnresponsiveAtItsFirstRequest() {
         Target idle = target("idle", "a", false);
-        idle.tellers(70);
-        idle.news(news(idle, 0, List.of()), nowMillis - 1_200);
-        idle.began(Optional.of("m"), Optional.empty(), 0, nowMillis);
-        assertFalse(idle.isSilent(nowMillis));
-        assertTrue(idle.isSilent(nowMillis + 1_200));
+        idle.receiverCount(70);
+        idle.update(update(idle, 0, List.of()), nowMillis - 1_200);
+        idle.requestSent(Optional.of("m"), Optional.empty(), 0, nowMillis);
+        assertFalse(idle.isUnresponsive(nowMillis));
+        assertTrue(idle.isUnresponsive(nowMillis + 1_200));
     }
 
     @Test
-    void hasAnAdapterLoadedWhereItCanBeSoonest() {
+    void loadsAnAdapterIntoTheEngineWithAFreeSlot() {
         Target full = target("full", "a", false);
-        full.news(news(full, 0, List.of("a1", "a2")), nowMillis);
-        Target room = target("room", "a", false);
-        room.news(news(room, 0, List.of("a1")), nowMillis);
-        Choice choice = choose(List.of(full, room), Optional.of("a9"));
-        assertEquals(room, assertInstanceOf(Choice.LoadAdapter.class, choice).target());
+        full.update(update(full, 0, List.of("a1", "a2")), nowMillis);
+        Target withRoom = target("room", "a", false);
+        withRoom.update(update(withRoom, 0, List.of("a1")), nowMillis);
+        Choice choice = choose(List.of(full, withRoom), Optional.of("a9"));
+        assertEquals(
+                withRoom, assertInstanceOf(Choice.LoadAdapter.class, choice).target());
     }
 
     // An engine that loads a model refuses orders for adapters until it is done. A request that waits there for its
     // adapter is refused seconds later; another engine takes it at once.
     @Test
-    void asksNoAdapterOfAnEngineThatLoadsAModel() {
+    void requestsNoAdapterFromAnEngineThatLoadsAModel() {
         Target loading = target("loading", "a", false);
-        loading.news(news(loading, 0, List.of()).setLoadingModel("n").setLoadingMillis(3_000), nowMillis);
+        loading.update(update(loading, 0, List.of()).setLoadingModel("n").setLoadingMillis(3_000), nowMillis);
         Target busy = target("busy", "b", false);
-        busy.news(news(busy, 9, List.of("a1", "a2")), nowMillis);
+        busy.update(update(busy, 9, List.of("a1", "a2")), nowMillis);
         Choice choice = choose(List.of(loading, busy), Optional.of("a9"));
         assertEquals(busy, assertInstanceOf(Choice.LoadAdapter.class, choice).target());
     }
 
     @Test
-    void tellsWhenAnAbsentModelIsExpected() {
+    void reportsWhenAnAbsentModelIsExpected() {
         Target other = target("other", "a", false);
-        EngineNews news = news(other, 0, List.of()).setModels(new ArrayList<>());
-        other.news(news.setLoadingModel("m").setLoadingMillis(900), nowMillis);
+        EngineNews update = update(other, 0, List.of()).setModels(new ArrayList<>());
+        other.update(update.setLoadingModel("m").setLoadingMillis(900), nowMillis);
         Choice choice = choose(List.of(other), Optional.empty());
         assertEquals(900, assertInstanceOf(Choice.ModelAbsent.class, choice).readyMillis());
     }
 
     @Test
-    void saysFullWhenAllThatHoldTheModelAreFull() {
+    void reportsFullWhenAllEnginesWithTheModelAreFull() {
         Target full = target("full", "a", false);
-        full.news(news(full, 40, List.of()), nowMillis);
+        full.update(update(full, 40, List.of()), nowMillis);
         assertInstanceOf(Choice.Full.class, choose(List.of(full), Optional.empty()));
     }
 
     private Choice choose(List<Target> targets, Optional<String> adapter) {
-        return chooser.chooseEngine(targets, Set.of(), ENGINE, new EngineNeed("m", adapter, 0, 800), nowMillis);
+        return chooser.chooseEngine(targets, Set.of(), ENGINE, new EngineRequirements("m", adapter, 0, 800), nowMillis);
     }
 
-    private static EngineNews news(Target target, int running, List<String> adapters) {
+    private static EngineNews update(Target target, int running, List<String> adapters) {
         return new EngineNews()
                 .setEngineAddress(target.address().toString())
                 .setNumber(1)
--- a/src/test/java/io/waxwingquay/forward/TargetTableTest.java
+++ b/src/test/java/io/waxwingquay/forward/TargetTableTest.java
@@ -23,28 +23,28 @@
     // A replica loses power and starts again under another id; its earlier row stays listed for seconds. A request sent
     // to the earlier id is turned away and costs a retry, so it must go to the later one only.
     @Test
-    void earlierLifeAtAnAddressTakesNoWork() {
+    void earlierIncarnationAtAnAddressGetsNoRequests() {
         list("early", 1_000);
         list("late", 2_000);
-        assertFalse(target("early").takesWork());
-        assertTrue(target("late").takesWork());
-        assertEquals("late", table.livingAt(ADDRESS).orElseThrow().id());
+        assertFalse(target("early").acceptsRequests());
+        assertTrue(target("late").acceptsRequests());
+        assertEquals("late", table.currentAt(ADDRESS).orElseThrow().id());
     }
 
     // The rows come in no particular order when the list is read whole.
     @Test
-    void earlierLifeThatIsReadLaterTakesNoWorkEither() {
+    void earlierIncarnationReadLaterGetsNoRequests() {
         list("late", 2_000);
         list("early", 1_000);
-        assertFalse(target("early").takesWork());
-        assertEquals("late", table.livingAt(ADDRESS).orElseThrow().id());
+        assertFalse(target("early").acceptsRequests());
+        assertEquals("late", table.currentAt(ADDRESS).orElseThrow().id());
     }
 
     @Test
-    void replicaThatAnsweredForAnotherIsNoLongerUsed() {
+    void replacedReplicaIsNoLongerFoundByItsAddress() {
         list("one", 0);
-        target("one").replaced();
-        assertTrue(table.livingAt(ADDRESS).isEmpty());
+        target("one").markReplaced();
+        assertTrue(table.currentAt(ADDRESS).isEmpty());
     }
 
     private void list(String id, long bornMillis) {
--- /dev/null
+++ b/src/test/java/io/waxwingquay/forward/WaitPolicyTest.java
@@ -0,0 +1,100 @@
+package io.waxwingquay.forward;
+
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import io.waxwingquay.manifest.Route;
+import java.util.List;
+import org.junit.jupiter.api.Test;
+
+class WaitPolicyTest {
+
+    // Clients give a stream up after two seconds of silence. A stream that hangs must go on elsewhere before that,
+    // and one that only pauses must not be run twice.
+    @Test
+    void stalledStreamIsResumedBeforeItsCallerLeaves() {
+        assertFalse(WaitPolicy.isStreamStalled(200));
+        assertTrue(WaitPolicy.isStreamStalled(1_000));
+        assertTrue(WaitPolicy.mayResume(1_000));
+        assertFalse(WaitPolicy.mayResume(1_900));
+    }
+
+    @Test
+    void slowReplicaIsAllowedItsUsualAnswerTime() {
+        Route lookup = route(Route.Kind.SAFE);
+        assertFalse(WaitPolicy.isAnswerOverdue(lookup, 900, 400));
+        assertTrue(WaitPolicy.isAnswerOverdue(lookup, 1_300, 400));
+        assertTrue(WaitPolicy.isAnswerOverdue(lookup, 400, 50));
+    }
+
+    @Test
+    void firstEventOfAStreamIsAllowedTimeInTheEngineQueue() {
+        assertFalse(WaitPolicy.isAnswerOverdue(route(Route.Kind.STREAM), 1_100, 0));
+        assertTrue(WaitPolicy.isAnswerOverdue(route(Route.Kind.STREAM), 1_300, 0));
+    }
+
+    // What can't be served is refused while there is time to come back; nothing is held to its deadline.
+    @Test
+    void requestWaitsForASmallShareOfItsTimeOnly() {
+        Route patient = route(Route.Kind.SAFE);
+        assertTrue(WaitPolicy.mayWaitForRoom(patient, 700, 4_000));
+        assertFalse(WaitPolicy.mayWaitForRoom(patient, 800, 4_000));
+        assertTrue(WaitPolicy.mayWaitForModel(patient, 0, 2_000, 12_000));
+        assertFalse(WaitPolicy.mayWaitForModel(patient, 0, 6_400, 12_000));
+    }
+
+    // A stream's caller leaves after two seconds without an event. A model that takes longer to come is no reason
+    // to keep it here: it is told when to come back, and finds the model then.
+    @Test
+    void streamDoesNotWaitBeyondTheTimeoutOfItsCaller() {
+        Route stream = route(Route.Kind.STREAM);
+        assertTrue(WaitPolicy.mayWaitForModel(stream, 0, 1_300, 12_000));
+        assertFalse(WaitPolicy.mayWaitForModel(stream, 0, 2_000, 12_000));
+        assertFalse(WaitPolicy.mayWaitForModel(stream, 900, 1_300, 12_000));
+        assertFalse(WaitPolicy.mayWaitForRoom(stream, 1_900, 12_000));
+    }
+
+    // A stream that waited for room is sent when its caller is about to leave, and the engine works for nobody.
+    @Test
+    void streamIsNotSentWhenItsCallerWouldLeaveBeforeTheFirstEvent() {
+        Route stream = route(Route.Kind.STREAM);
+        assertTrue(WaitPolicy.callerWaitsForAnswer(stream, 1_300, 400));
+        assertFalse(WaitPolicy.callerWaitsForAnswer(stream, 1_700, 400));
+        assertTrue(WaitPolicy.callerWaitsForAnswer(route(Route.Kind.SAFE), 1_700, 400));
+    }
+
+    // A crowded model is asked for by an urgent and by a relaxed route. Were the urgent requests that are late served
+    // last,
+    // the relaxed route would be served more often than the urgent one.
+    @Test
+    void lateUrgentRequestPrecedesARelaxedOne() {
+        Route urgent = route(Route.Kind.STREAM);
+        Route relaxed = new Route(
+                "r",
+                "x.test",
+                "/",
+                Route.Kind.STREAM,
+                20_000,
+                5_000,
+                150,
+                0,
+                List.of(new Route.Share("s", 1)),
+                2,
+                true);
+        assertTrue(WaitPolicy.slackMillis(urgent, 200) < WaitPolicy.slackMillis(urgent, 400));
+        assertTrue(WaitPolicy.slackMillis(urgent, 400) < WaitPolicy.slackMillis(relaxed, 400));
+        assertTrue(WaitPolicy.slackMillis(relaxed, 4_900) < WaitPolicy.slackMillis(urgent, 400));
+    }
+
+    // A stream's caller leaves after two seconds of silence; just before that it can still be told.
+    @Test
+    void callerOfASilentStreamIsAboutToLeave() {
+        assertFalse(WaitPolicy.isCallerAboutToLeave(route(Route.Kind.STREAM), 1_700));
+        assertTrue(WaitPolicy.isCallerAboutToLeave(route(Route.Kind.STREAM), 1_900));
+        assertFalse(WaitPolicy.isCallerAboutToLeave(route(Route.Kind.SAFE), 1_900));
+    }
+
+    private static Route route(Route.Kind kind) {
+        return new Route("r", "x.test", "/", kind, 4_000, 300, 150, 0, List.of(new Route.Share("s", 1)), 2, true);
+    }
+}
--- a/src/test/java/io/waxwingquay/forward/WaitQueuesTest.java
+++ b/src/test/java/io/waxwingquay/forward/WaitQueuesTest.java
@@ -11,7 +11,7 @@
     private final WaitQueues queues = new WaitQueues();
 
     @Test
-    void countsEachQueueByItself() {
+    void countsEachQueueSeparately() {
         queues.joined("a");
         queues.joined("a");
         queues.joined("b");
@@ -23,7 +23,7 @@
 
     // Hundreds wait for one model. Were each to look at all engines each time, the entry would do nothing else.
     @Test
-    void oneThatFindsNoRoomSparesTheOthersTheLook() {
+    void requestThatFindsNoRoomSparesTheOthersTheSearch() {
         queues.joined("a");
         queues.markFull("a", 100);
         assertTrue(queues.isFull("a", 105));
