--- a/src/main/java/io/waxwingquay/forward/ActiveRequests.java
+++ b/src/main/java/io/waxwingquay/forward/ActiveRequests.java
@@ -8,13 +8,13 @@
 import java.util.Set;
 import java.util.function.Consumer;
 
-/** The requests under way. Their time limits are looked at in short steps for as long as there are any. */
+/** Holds the requests in progress and checks their deadlines at short intervals while there are any. */
 final class ActiveRequests {
 
-    /** How exactly time limits are kept. */
+    /** Interval between two checks of deadlines. */
     private static final long TICK_MILLIS = 15L;
 
-    /** A look that comes so late follows a stall of this process. */
+    /** Time between two ticks above which this process is taken to have stalled. */
     private static final long STALL_MILLIS = 200L;
 
     private static final System.Logger LOG = System.getLogger("waxwingquay.forward");
@@ -52,7 +52,10 @@
         return exchanges.stream().map(exchange -> exchange.head().id()).toList();
     }
 
-    /** From now on requests that their replicas turn away, or that wait here, are answered at once. */
+    /**
+     * Rejects the requests that wait here, and from now on each one that its replica rejects, instead of letting them
+     * wait.
+     */
     void drain() {
         draining = true;
         forEach(Exchange::drain);
@@ -62,15 +65,15 @@
         forEach(Exchange::terminate);
     }
 
-    /** Some end meanwhile. */
+    /** Iterates over a copy, as requests may end during the iteration. */
     private void forEach(Consumer<Exchange> action) {
         new ArrayList<>(exchanges).forEach(action);
     }
 
     /**
-     * Failure: this process stands still, and looks at the time before it reads what has come meanwhile. Symptom: requests
-     * whose answers lie unread are given up. What has come is read before the next look, so one that is late is passed over.
-     * The next one counts however late it is, or a process that is always late would keep no time limit.
+     * Checks all deadlines. The first tick after a stall of this process is skipped: responses that arrived during the
+     * stall are not read yet, and their requests would be given up. They are read before the next tick, which counts
+     * however late it is; otherwise a process that is always late would enforce no deadline.
      */
     private void tick() {
         if (exchanges.isEmpty()) {
@@ -89,12 +92,12 @@
                 .toList()
                 .forEach(exchange -> tick(exchange, nowMillis));
         if (draining) {
-            // A request that was turned away by its replica since then would wait here too.
+            // A request that its replica has rejected since the drain began would wait here too.
             forEach(Exchange::drain);
         }
     }
 
-    /** A fault in one request must not keep the time limits of the others from being looked at. */
+    /** Isolates failures, so that one request can't keep the deadlines of the others from being checked. */
     private static void tick(Exchange exchange, long nowMillis) {
         try {
             exchange.tick(nowMillis);
--- a/src/main/java/io/waxwingquay/forward/AdapterRequester.java
+++ b/src/main/java/io/waxwingquay/forward/AdapterRequester.java
@@ -9,11 +9,12 @@
 import java.util.function.Consumer;
 
 /**
- * Asks the processes beside engines for adapters that waiting requests need, once for all that wait for the same one.
+ * Asks the side processes of engines to load adapters that waiting requests need. Requests for the same adapter share
+ * one call.
  */
 final class AdapterRequester {
 
-    /** A datagram may be lost; an answer normally takes 20 to 30 ms. */
+    /** Interval after which a call is resent, as a datagram may be lost; an answer normally takes 20 to 30 ms. */
     private static final long RESEND_MILLIS = 60L;
 
     private static final int MAX_SENDS = 5;
@@ -25,10 +26,10 @@
     private long lastId;
 
     /**
-     * A desk.
+     * Creates a requester without open calls.
      *
-     * @param loop where everything runs.
-     * @param sender sends the call to the process beside a target's engine.
+     * @param loop the loop on which everything runs.
+     * @param sender sends a call to the side process of the target's engine.
      */
     AdapterRequester(EventLoop loop, BiConsumer<Target, Call> sender) {
         this.loop = loop;
@@ -36,12 +37,12 @@
     }
 
     /**
-     * Asks for an adapter.
+     * Requests an adapter, and joins the open call if there is one for the same adapter.
      *
-     * @param target where.
+     * @param target the replica whose engine is to load it.
      * @param model the model.
      * @param adapter the adapter.
-     * @param done told whether it is there.
+     * @param done receives whether the adapter is present.
      */
     void request(Target target, String model, String adapter, Consumer<Boolean> done) {
         Key key = new Key(target, model, adapter);
@@ -55,7 +56,7 @@
         call.waiters.add(done);
     }
 
-    /** An answer has come. */
+    /** Completes a call with the answer of the side process; ignored if the call is complete already. */
     void answered(long id, boolean present) {
         Call call = pendingById.get(id);
         if (call != null) {
@@ -87,7 +88,7 @@
 
     private record Key(Target target, String model, String adapter) {}
 
-    /** One call for an adapter. */
+    /** One call for an adapter, resent until it is answered or given up. */
     static final class Call {
 
         private final long id;
--- a/src/main/java/io/waxwingquay/forward/Attempt.java
+++ b/src/main/java/io/waxwingquay/forward/Attempt.java
@@ -10,10 +10,13 @@
 import org.eclipse.jetty.http.HttpHeader;
 import org.eclipse.jetty.http.HttpHeaderValue;
 
-/** One sending of a request to one replica, and what comes back. */
+/** One attempt: a request as sent to one replica, and the response of that replica. */
 final class Attempt implements ClientListener {
 
-    /** A whole answer is kept until it is complete, so that a broken one can be replaced; a longer one is refused. */
+    /**
+     * The most bytes of a response that are buffered. A response is held until it is complete, so that an incomplete
+     * one can be replaced by that of another replica; a longer one is an error.
+     */
     private static final int MAX_RESPONSE_BYTES = 8 * 1024 * 1024;
 
     private static final int OK = 200;
@@ -47,7 +50,7 @@
         return sentMillis;
     }
 
-    /** When something of an answer came last, or else when it was sent. */
+    /** Returns when bytes of the response came last, or when the request was sent if none have. */
     long lastReceivedMillis() {
         return lastReceivedMillis;
     }
@@ -71,12 +74,12 @@
         }
     }
 
-    /** Whether the replica may have got some of it. */
+    /** Returns whether the replica may have received any of the request. */
     boolean mayHaveBeenSent() {
         return call != null && call.mayHaveLeft();
     }
 
-    /** Gives it up; closing the connection ends the replica's work. */
+    /** Cancels the attempt; closing the connection makes the replica stop its work. */
     void cancel() {
         if (!finished) {
             finished = true;
@@ -94,7 +97,8 @@
         noteReceived();
         response = exchange.codec().readResponse(status, fields);
         if (!response.id().isEmpty() && !response.id().equals(exchange.head().id())) {
-            // The answer of another request, late or doubled; nothing on this connection can be told apart any more.
+            // A late or duplicated response to another request; responses on this connection can't be told apart any
+            // more.
             abort("an answer to request " + response.id());
             return;
         }
@@ -118,7 +122,7 @@
             return;
         }
         if (body.size() + bytes.remaining() > MAX_RESPONSE_BYTES) {
-            abort("an answer of more than " + MAX_RESPONSE_BYTES + " bytes");
+            abort("a response of more than " + MAX_RESPONSE_BYTES + " bytes");
             return;
         }
         byte[] part = new byte[bytes.remaining()];
@@ -155,7 +159,7 @@
         }
     }
 
-    /** Its replica is known to answer, and in what time. */
+    /** Records in the replica's history that it answered, and how long that took. */
     void recordSuccess() {
         long nowMillis = EventLoop.nowMillis();
         target.attemptHistory().succeeded(nowMillis - sentMillis, nowMillis);
--- a/src/main/java/io/waxwingquay/forward/AttemptHistory.java
+++ b/src/main/java/io/waxwingquay/forward/AttemptHistory.java
@@ -1,23 +1,25 @@
 package io.waxwingquay.forward;
 
-/** What became of late tries at one replica: how many failed, how long answers took, and for how long it is passed over. */
+/**
+ * The recent attempts at one replica: how many failed, how long responses took, and how long the replica is avoided.
+ */
 final class AttemptHistory {
 
-    /** Over how long failures are remembered: a few requests' time, so that a mended replica is soon used again. */
+    /** Half-life of failures: the time of a few requests, so that a recovered replica is soon used again. */
     private static final double FAILURE_HALF_LIFE_MILLIS = 2_500.0;
 
-    /** Weight of the newest answer in the smoothed time to answer. */
+    /** Weight of the newest answer in the smoothed answer time. */
     private static final double ANSWER_SMOOTHING = 0.15;
 
-    /** How fast it is forgotten that a replica was slow. */
+    /** Half-life of the answer time, after which a replica counts as half as slow. */
     private static final double ANSWER_HALF_LIFE_MILLIS = 2_000.0;
 
-    /** Pause after the first failed connect; doubled up to the longest. */
+    /** Pause after the first failed connect, doubled with each further one up to the maximum. */
     private static final long FIRST_PAUSE_MILLIS = 300L;
 
     private static final long MAX_PAUSE_MILLIS = 2_400L;
 
-    /** How long a replica that said it was full is passed over. */
+    /** Pause after a replica that reported that it was full. */
     private static final long FULL_PAUSE_MILLIS = 60L;
 
     private final DecayingSum attempts = new DecayingSum(FAILURE_HALF_LIFE_MILLIS);
@@ -43,7 +45,9 @@
         pausedUntilMillis = Math.max(pausedUntilMillis, nowMillis + FULL_PAUSE_MILLIS);
     }
 
-    /** A connect that failed says more than a failed request: nothing is there, or the way to it is cut. */
+    /**
+     * Notes a failed connect, which tells more than a failed request: the replica is gone or the network to it is cut.
+     */
     void unreachable(long nowMillis) {
         failed(nowMillis);
         pausedUntilMillis = nowMillis + nextPauseMillis;
@@ -54,17 +58,19 @@
         return nowMillis < pausedUntilMillis;
     }
 
-    /** The share of late tries that failed, drawn towards none while there are few. */
+    /** Returns the share of recent attempts that failed, biased towards 0 while there are few. */
     double failureShare(long nowMillis) {
         return failures.value(nowMillis) / (attempts.value(nowMillis) + 1.0);
     }
 
-    /** The usual time to an answer; 0 before the first. */
+    /** Returns the smoothed answer time; 0 before the first answer. */
     double answerMillis() {
         return answerMillis;
     }
 
-    /** The usual time to an answer, fading while none comes, so that one that was slow is tried again. */
+    /**
+     * Returns the smoothed answer time, which decays while there are no answers, so that a slow replica is tried again.
+     */
     double recentAnswerMillis(long nowMillis) {
         return answerMillis * Math.pow(0.5, (nowMillis - answeredAtMillis) / ANSWER_HALF_LIFE_MILLIS);
     }
--- a/src/main/java/io/waxwingquay/forward/CallerResponder.java
+++ b/src/main/java/io/waxwingquay/forward/CallerResponder.java
@@ -6,14 +6,20 @@
 import java.util.Optional;
 import org.eclipse.jetty.http.HttpFields;
 
-/** Gives one caller its answer. Each final answer returns the status that the caller sees, 0 if it sees no whole one. */
+/**
+ * Writes the response to one caller. Each final response returns the status that the caller sees, or 0 if it sees no
+ * complete one.
+ */
 final class CallerResponder {
 
     private static final int BAD_GATEWAY = 502;
     private static final int UNAVAILABLE = 503;
     private static final int GATEWAY_TIMEOUT = 504;
 
-    /** A caller that takes nothing would let its answer grow here until the process is killed for its memory. */
+    /**
+     * The most bytes that may wait for a caller to read them; without a limit a caller that reads nothing would exhaust
+     * the memory of this process.
+     */
     private static final long MAX_UNSENT_BYTES = 1_048_576L;
 
     private final ServerExchange caller;
@@ -24,18 +30,21 @@
         this.context = context;
     }
 
-    /** A replica's whole answer, as it came. */
+    /** Passes on a complete response of a replica unchanged. */
     int respond(Attempt from, byte[] body) {
         caller.respond(from.status(), MessageHead.endToEnd(from.fields()), body);
         return from.status();
     }
 
-    /** The head of a stream; it stays that of the replica that began it. */
+    /**
+     * Begins a stream with the head of the replica that began it, which stays the same if another replica resumes the
+     * stream.
+     */
     void beginStream(Attempt from) {
         caller.begin(from.status(), MessageHead.endToEnd(from.fields()));
     }
 
-    /** Passes an event on; returns whether the caller takes what it is sent. */
+    /** Passes on an event; returns whether the caller still reads what it is sent. */
     boolean writeEvent(byte[] bytes) {
         caller.write(ByteBuffer.wrap(bytes));
         return caller.unsentBytes() <= MAX_UNSENT_BYTES;
@@ -47,7 +56,7 @@
         return from.status();
     }
 
-    /** It has not run, and will not. */
+    /** Rejects a request that has not run and will not run, with a retry-after delay. */
     int reject(String why, long retryAfterMillis) {
         long jitteredMillis = context.jitter(retryAfterMillis);
         caller.respond(
@@ -55,19 +64,19 @@
         return UNAVAILABLE;
     }
 
-    /** It may have run. */
+    /** Fails a request that may have run. */
     int badGateway() {
-        caller.respond(BAD_GATEWAY, HttpFields.EMPTY, "the replica gave no answer");
+        caller.respond(BAD_GATEWAY, HttpFields.EMPTY, "the replica sent no complete response");
         return BAD_GATEWAY;
     }
 
-    /** It may have run, or run still. */
+    /** Fails a request whose deadline has passed; it may have run or be running still. */
     int gatewayTimeout() {
-        caller.respond(GATEWAY_TIMEOUT, HttpFields.EMPTY, "no answer in time");
+        caller.respond(GATEWAY_TIMEOUT, HttpFields.EMPTY, "no response before the deadline");
         return GATEWAY_TIMEOUT;
     }
 
-    /** What the caller has is a part; the connection ends so that it does not look whole. */
+    /** Aborts an incomplete response by closing the connection, so that it doesn't look complete. */
     int abort() {
         caller.abort();
         return 0;
--- a/src/main/java/io/waxwingquay/forward/Choice.java
+++ b/src/main/java/io/waxwingquay/forward/Choice.java
@@ -2,49 +2,52 @@
 
 import java.util.OptionalLong;
 
-/** What is to be done next with a request. */
+/** The next step of a request. */
 interface Choice {
 
     /**
-     * Send it.
+     * Sends the request.
      *
-     * @param target where to.
+     * @param target the replica to send it to.
      */
     record Send(Target target) implements Choice {}
 
     /**
-     * Have its adapter loaded first.
+     * Loads the adapter of the request first.
      *
-     * @param target where.
+     * @param target the replica whose engine is to load it.
      */
     record LoadAdapter(Target target) implements Choice {}
 
     /**
-     * No replica holds its model.
+     * States that no replica holds the model.
      *
      * @param readyMillis how long until one is expected to.
      */
     record ModelAbsent(long readyMillis) implements Choice {}
 
     /**
-     * Replicas that could run it have no room.
+     * States that the replicas that could run the request have no free slot.
      *
-     * @param firstSlotMillis how long until there is expected to be room for one more.
-     * @param slotIntervalMillis how long from one place that comes free to the next; 0 if nothing is known of that.
-     * @param copyReadyMillis how long until another replica is expected to hold its model.
+     * @param firstSlotMillis how long until a slot is expected to be free for one more request.
+     * @param slotIntervalMillis the expected time between two slots becoming free; 0 if it is unknown.
+     * @param copyReadyMillis how long until another replica is expected to hold the model.
      */
     record Full(long firstSlotMillis, double slotIntervalMillis, OptionalLong copyReadyMillis) implements Choice {
 
-        /** How long until there is room for a request that so many others are served before. */
+        /** Returns how long until a slot is expected for a request that this many others precede. */
         long expectedWaitMillis(int requestsAhead) {
             long slotMillis = firstSlotMillis + Math.round(requestsAhead * slotIntervalMillis);
             return Math.min(slotMillis, copyReadyMillis.orElse(Long.MAX_VALUE));
         }
     }
 
-    /** It may be what ends replicas, and those that could run it run another such one. */
+    /**
+     * Waits for a replica on which the request, a suspect, would be isolated: those that could run it run another
+     * suspect.
+     */
     record AwaitIsolation() implements Choice {}
 
-    /** No replica can be reached that could run it. */
+    /** States that no replica that could run the request can be reached. */
     record NoReplica() implements Choice {}
 }
--- a/src/main/java/io/waxwingquay/forward/DecayingSum.java
+++ b/src/main/java/io/waxwingquay/forward/DecayingSum.java
@@ -1,6 +1,6 @@
 package io.waxwingquay.forward;
 
-/** A sum whose parts fade with time: each counts half after one half-life. */
+/** A sum that decays exponentially: each amount counts half after one half-life. */
 final class DecayingSum {
 
     private final double halfLifeMillis;
@@ -20,7 +20,7 @@
         return sum * Math.pow(0.5, (nowMillis - updatedAtMillis) / halfLifeMillis);
     }
 
-    /** What was added each second, if it came at an even pace. */
+    /** Returns the rate per second at which amounts were added, if they came at an even pace. */
     double perSecond(long nowMillis) {
         return value(nowMillis) * Math.log(2) / halfLifeMillis * 1_000.0;
     }
--- a/src/main/java/io/waxwingquay/forward/DemandMeter.java
+++ b/src/main/java/io/waxwingquay/forward/DemandMeter.java
@@ -5,31 +5,40 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** What callers ask of each model at this entry. */
+/** Estimates the demand of callers for each model at this entry. */
 final class DemandMeter {
 
-    /** Short enough to follow a shift of demand within seconds, long enough not to chase single requests. */
+    /**
+     * Half-life of the current rate: short enough to follow a shift of demand within seconds, long enough not to follow
+     * single requests.
+     */
     private static final double FAST_HALF_LIFE_MILLIS = 1_000.0;
 
-    /** Against this the fast rate shows whether demand rises or falls. */
+    /** Half-life of the rate to which the fast one is compared to tell whether demand rises or falls. */
     private static final double TREND_HALF_LIFE_MILLIS = 3_000.0;
 
     /**
-     * How far the difference of the two is carried on. The rates lag by 1.4 and 4.3 s, and a copy that is asked for now
-     * serves some 3 s from now; that is 1.5 times the 2.9 s between the two.
+     * Factor by which the difference between the two rates is extrapolated. They lag by 1.4 and 4.3 s, and a copy
+     * requested now serves some 3 s from now, which is 1.5 times the 2.9 s between the two.
      */
     private static final double TREND_FACTOR = 1.5;
 
-    /** A rise is carried on to no more than this many times the rate, as a few requests make a steep one. */
+    /** Upper bound of the extrapolated rate as a multiple of the current one, as a few requests make a steep rise. */
     private static final double MAX_RISE_FACTOR = 3.0;
 
-    /** Long enough to tell a model that is asked for every few seconds from one that nobody asks for. */
+    /**
+     * Half-life of the slow rate: long enough to tell a model that is requested every few seconds from one that is not
+     * requested at all.
+     */
     private static final double SLOW_HALF_LIFE_MILLIS = 12_000.0;
 
     private static final double NEGLIGIBLE_REQUESTS = 0.01;
     private static final double MILLIS_PER_SECOND = 1_000.0;
 
-    /** What a request is taken to last before one has ended, and the weight of the newest. */
+    /**
+     * Assumed duration of a request until the first one has ended; the next constant is the weight of the newest in the
+     * average.
+     */
     private static final double INITIAL_DURATION_MILLIS = 800.0;
 
     private static final double DURATION_SMOOTHING = 0.05;
@@ -50,7 +59,7 @@
         demand.durationMillis += DURATION_SMOOTHING * (tookMillis - demand.durationMillis);
     }
 
-    /** What requests for a model usually take once they have been sent. */
+    /** Returns the smoothed duration of requests for a model from the time that they were sent. */
     double durationMillis(String model) {
         return Optional.ofNullable(byModel.get(model))
                 .map(known -> known.durationMillis)
@@ -82,7 +91,7 @@
             slowArrivals.add(1, nowMillis);
         }
 
-        /** The rate to be expected when a copy that is asked for now has been loaded. */
+        /** Returns the rate expected at the time when a copy requested now has been loaded. */
         private double expectedPerSecond(long nowMillis) {
             double fast = fastArrivals.perSecond(nowMillis);
             double trend = TREND_FACTOR * (fast - trendArrivals.perSecond(nowMillis));
@@ -93,7 +102,10 @@
             return inFlight == 0 && slowArrivals.value(nowMillis) < NEGLIGIBLE_REQUESTS;
         }
 
-        /** Those that were refused are not under way; they count by what they would have taken. */
+        /**
+         * Estimates the demand. Rejected requests are not in flight, so they are counted by the time that they would
+         * have taken.
+         */
         private ModelDemand estimate(long nowMillis) {
             double perSecond = expectedPerSecond(nowMillis);
             double atOnce = Math.max(inFlight, perSecond * durationMillis / MILLIS_PER_SECOND);
--- a/src/main/java/io/waxwingquay/forward/EngineNotifier.java
+++ b/src/main/java/io/waxwingquay/forward/EngineNotifier.java
@@ -2,19 +2,19 @@
 
 import io.waxwingquay.common.HostPort;
 
-/** Tells the processes beside engines what this entry needs of them. */
+/** Notifies the side processes of engines of what this entry needs. */
 public interface EngineNotifier {
 
     /**
-     * Asks for an adapter.
+     * Requests an adapter.
      *
-     * @param engine the engine that is to hold it.
-     * @param id the call's id.
+     * @param engine the engine that is to load it.
+     * @param id the id of the call.
      * @param model the model.
      * @param adapter the adapter.
      */
     void requestAdapter(HostPort engine, long id, String model, String adapter);
 
-    /** The demand has changed so that the processes beside engines should know at once. */
+    /** Announces a change of demand of which the side processes of engines should learn at once. */
     void demandChanged();
 }
--- a/src/main/java/io/waxwingquay/forward/EngineRequirements.java
+++ b/src/main/java/io/waxwingquay/forward/EngineRequirements.java
@@ -3,25 +3,25 @@
 import java.util.Optional;
 
 /**
- * What a request needs of an engine.
+ * What a request requires of an engine.
  *
- * @param model the model asked for.
- * @param adapter the adapter of that model asked for.
- * @param kvTokens memory that it is expected to take; 0 if nothing is known of that.
- * @param durationMillis what requests for the model usually take in an engine.
+ * @param model the requested model.
+ * @param adapter the requested adapter of that model.
+ * @param kvTokens the key-value cache that it is expected to take, in tokens; 0 if that is unknown.
+ * @param durationMillis how long requests for the model usually run in an engine.
  */
 record EngineRequirements(String model, Optional<String> adapter, long kvTokens, double durationMillis) {
 
-    /** The part of the most tokens to generate that answers usually have. */
+    /** Share of the maximum number of output tokens that answers usually have. */
     private static final double EXPECTED_OUTPUT_SHARE = 0.5;
 
-    /** What a request that names a model needs. */
+    /** Returns the requirements of a request that names a model. */
     static EngineRequirements of(MessageCodec.RequestHead head, DemandMeter demand) {
         String model = head.model().orElseThrow();
         return new EngineRequirements(model, head.adapter(), kvTokens(head), demand.durationMillis(model));
     }
 
-    /** Memory that a request is expected to take: its prompt, and what is usually generated. */
+    /** Returns the key-value cache that a request is expected to take, in tokens: its prompt and the usual output. */
     static long kvTokens(MessageCodec.RequestHead head) {
         return head.inputTokens() + Math.round(EXPECTED_OUTPUT_SHARE * head.maxOutputTokens());
     }
--- a/src/main/java/io/waxwingquay/forward/EntryUpdateWriter.java
+++ b/src/main/java/io/waxwingquay/forward/EntryUpdateWriter.java
@@ -12,14 +12,17 @@
 import java.util.Map;
 
 /**
- * Writes what this entry tells the process beside each engine: what is asked for, what is in use there, and which other
- * engines of the same service there are. Engines of another service are not named, as they share neither models nor the
- * ceiling of loads. All of it is told in rounds that take the longer the more engines there are; what is in use at one
- * engine is told to it as soon as it changes.
+ * Writes the status updates of this entry to the side processes of engines: the demand, what is in use at an engine,
+ * and the other engines of its service. Engines of other services are not named, as they share neither models nor the
+ * limit of loads. Full updates are sent in rounds whose period grows with the number of engines; the usage of an engine
+ * is sent to it as soon as it changes.
  */
 final class EntryUpdateWriter {
 
-    /** The part of a round after which one may begin early: what is missed is asked for by all entries at once. */
+    /**
+     * Divisor of the period of a round that gives the time after which the next may begin early: all entries request a
+     * missing model at once.
+     */
     private static final int EARLY_ROUND_DIVISOR = 4;
 
     private final TargetTable targets;
@@ -29,11 +32,11 @@
     private boolean hastened;
 
     /**
-     * A writer that has told nothing.
+     * Creates a writer whose first round is due.
      *
-     * @param targets whom to tell.
-     * @param demand what is asked for.
-     * @param nowMillis the steady time.
+     * @param targets the replicas to update.
+     * @param demand the demand to report.
+     * @param nowMillis the monotonic time.
      */
     EntryUpdateWriter(TargetTable targets, DemandMeter demand, long nowMillis) {
         this.targets = targets;
@@ -41,12 +44,12 @@
         this.numbers = new NewsNumber(nowMillis);
     }
 
-    /** Something that can't wait for the next round has changed. */
+    /** Requests that the next round begin early. */
     void hasten() {
         hastened = true;
     }
 
-    /** What is due now, by the engine's address. */
+    /** Returns the updates that are due now, by address of the engine. */
     Map<HostPort, EntryNews> write(String node, Manifest manifest, long nowMillis) {
         int engines = manifest.services().values().stream()
                 .filter(service -> service.engine().isPresent())
--- a/src/main/java/io/waxwingquay/forward/EventSplitter.java
+++ b/src/main/java/io/waxwingquay/forward/EventSplitter.java
@@ -6,11 +6,11 @@
 import java.util.OptionalLong;
 
 /**
- * Cuts the bytes of an event stream at the ends of its events, so that a caller only ever gets whole ones.
+ * Splits an event stream at the ends of its events, so that a caller receives complete events only.
  *
- * <p>Failure: a replica stops in the middle of an event and the stream goes on elsewhere. Symptom if its bytes were
- * passed on as they come: half an event of one run is joined with the next run's. Nothing of an event leaves here
- * before its blank line has come.
+ * <p>A replica may stop in the middle of an event and another one resume the stream. If bytes were passed on as they
+ * arrive, the caller would see half an event of one run joined with the events of the next. So an event is held back
+ * until its blank line has been read.
  */
 final class EventSplitter {
 
@@ -26,7 +26,7 @@
         this.sink = sink;
     }
 
-    /** Takes bytes in; each event that they complete goes to the sink. */
+    /** Reads bytes; each event that they complete goes to the sink. */
     void feed(ByteBuffer bytes) {
         while (bytes.hasRemaining()) {
             byte next = bytes.get();
@@ -42,12 +42,12 @@
         }
     }
 
-    /** Whether the stream stands between two events. */
+    /** Returns whether the stream is between two events. */
     boolean isBetweenEvents() {
         return pending.size() == 0;
     }
 
-    /** What has come of an event without an end. */
+    /** Returns the bytes of an event whose end has not been read. */
     byte[] incompleteEvent() {
         return pending.toByteArray();
     }
@@ -72,19 +72,19 @@
         try {
             return OptionalLong.of(Long.parseLong(text));
         } catch (NumberFormatException failure) {
-            // An id that is no number can't be used to go on from.
+            // A stream can't be resumed from an id that isn't a number.
             return OptionalLong.empty();
         }
     }
 
-    /** Takes whole events. */
+    /** Receives complete events. */
     @FunctionalInterface
     interface Sink {
 
         /**
-         * An event is whole.
+         * Receives an event.
          *
-         * @param bytes all of it, its blank line included.
+         * @param bytes the event with its blank line.
          * @param id its id, if it has one.
          */
         void onEvent(byte[] bytes, OptionalLong id);
--- a/src/main/java/io/waxwingquay/forward/Exchange.java
+++ b/src/main/java/io/waxwingquay/forward/Exchange.java
@@ -11,27 +11,27 @@
 import java.util.Set;
 
 /**
- * One request of a caller, from its arrival to its final answer.
+ * One request of a caller, from its arrival to its final response.
  *
- * <p>What may be sent again: a request that certainly did not run, and one whose second run does no harm. A refusal
- * that says "did not run" is given only if no replica can have begun it.
+ * <p>A request is sent again only if it certainly did not run or if running it twice does no harm. A rejection that
+ * says "did not run" is given only if no replica can have begun the request.
  */
 final class Exchange {
 
     private static final int SERVER_ERROR = 500;
 
-    /** How often a request that waits for a model looks again. */
+    /** Interval between two checks of a request that waits for a model or an adapter. */
     private static final long RECHECK_MILLIS = 30L;
 
-    /** A request that waits for room looks again at each look at the time. */
+    /** Delay before a request that waits for room is checked again: at every tick. */
     private static final long ROOM_RECHECK_MILLIS = 0L;
 
-    /** With less time than this another try can't end in time. */
+    /** Remaining time below which a further attempt can't finish before the deadline. */
     private static final long MIN_ATTEMPT_MILLIS = 30L;
 
     private static final int MAX_CONNECT_FAILURES = 4;
 
-    /** When to come back if nothing better is known: most replicas that went are replaced or found again by then. */
+    /** Default retry-after delay, by which most lost replicas are replaced or found again. */
     private static final long DEFAULT_RETRY_AFTER_MILLIS = 400L;
 
     private final ForwardContext context;
@@ -92,7 +92,7 @@
         return terms.needsModel();
     }
 
-    /** Which of those that wait is looked at first: the lowest. */
+    /** Returns the order in which waiting requests are checked, lowest first. */
     long slackMillis(long nowMillis) {
         return queuedRequest.slackMillis(nowMillis);
     }
@@ -134,28 +134,29 @@
     }
 
     /**
-     * Answers a request while its caller is still there: an unresponsive engine can't be told to cancel, and would run it for
-     * nobody later. If the engine is healthy after all, only the little time until the caller would have left is lost.
+     * Answers a request while its caller still waits: an unresponsive engine can't be told to cancel, and would run it
+     * for nobody later. If the engine is healthy after all, only the little time until the caller would have left is
+     * lost.
      */
     private void giveUpOnDoubtfulTarget() {
         withdrawAttempt();
         giveUp("its engine may stand still");
     }
 
-    /** Ends what is under way; one of which nothing has left is known not to have run. */
+    /** Cancels the attempt; a request of which nothing was sent is known not to have run. */
     private void withdrawAttempt() {
         mayHaveRun |= attempt != null && attempt.mayHaveBeenSent();
         cancelAttempt();
     }
 
-    /** The process is about to exit: what waits here is refused while its caller can go elsewhere. */
+    /** Rejects a request that waits here, while its caller can still turn to another entry. */
     void drain() {
         if (state == ExchangeState.CHOOSING || state == ExchangeState.AWAITING) {
             giveUp("this process is about to exit");
         }
     }
 
-    /** The process exits now: an answer that promises nothing is better than a connection that ends without a word. */
+    /** Ends a request at the exit; an error response is better than a closed connection without one. */
     void terminate() {
         if (state != ExchangeState.DONE && !stream.hasBegun()) {
             withdrawAttempt();
@@ -172,8 +173,8 @@
     }
 
     /**
-     * Failure: all replicas are slow for a moment, and one that is given up can't be replaced. Symptom: the caller gets a
-     * failure though its answer was under way, so a silent replica is given up only for another one.
+     * Returns whether another replica could take the request over. A stalled attempt is given up only in that case: if
+     * all replicas are slow for a moment, the caller would get a failure though its answer was on its way.
      */
     private boolean canRetryElsewhere(long nowMillis) {
         return mayRetry() && budget().available() >= 1 && terms.choose(triedTargets, nowMillis) instanceof Choice.Send;
@@ -198,7 +199,7 @@
             notPlaced(suspicion.quarantineReason(), Suspicion.RETRY_AFTER_MILLIS);
             return;
         }
-        Choice choice = suspicion.choose(triedTargets, without -> terms.choose(without, nowMillis));
+        Choice choice = suspicion.choose(triedTargets, excluded -> terms.choose(excluded, nowMillis));
         if (choice instanceof Choice.Send send
                 && !terms.callerWaitsForAnswer(send.target(), stream.callerIdleMillis(nowMillis), nowMillis)) {
             notPlaced("its caller would leave before its answer begins", DEFAULT_RETRY_AFTER_MILLIS);
@@ -222,8 +223,8 @@
     }
 
     /**
-     * Failure: the process that is asked for the adapter stands still with its engine, and is asked again and again. Symptom:
-     * the request is held until its caller leaves, and was sent nowhere. The wait ends when service could come of it no more.
+     * Waits for the adapter, but only while the request can be served in time. If the side process is unresponsive
+     * along with its engine, the request would be held until its caller leaves, without being sent anywhere.
      */
     private void awaitAdapter(Target target, long nowMillis) {
         if (!isResuming() && !terms.mayWaitForRoom(nowMillis)) {
@@ -293,12 +294,11 @@
         next.call(target.pool().send(request, next));
     }
 
-    /** An answer's head has told which limit its replica names, if any. */
     void rateLimitAnnounced(Target target, OptionalDouble perSecond) {
         context.rateLimitAnnounced(target, perSecond);
     }
 
-    /** A whole answer has come, of any status. */
+    /** Handles a complete response of any status. */
     void answered(Attempt from, MessageCodec.ResponseHead response, byte[] body) {
         release(from);
         if (response.didNotRun()) {
@@ -316,7 +316,7 @@
             from.recordSuccess();
         }
         if (stream.hasBegun()) {
-            abortStream("a resumed stream was answered " + from.status());
+            abortStream("a resumed stream was answered with status " + from.status());
             return;
         }
         end(responder.respond(from, body), "answered by " + from.target().id());
@@ -335,11 +335,10 @@
         if (!responder.writeEvent(bytes)) {
             from.cancel();
             release(from);
-            abortStream("its caller takes nothing");
+            abortStream("its caller does not read the response");
         }
     }
 
-    /** A stream has come to its orderly end. */
     void streamEnded(Attempt from, byte[] tail) {
         release(from);
         if (!stream.hasBegun()) {
@@ -349,7 +348,7 @@
         end(responder.endStream(from, tail), "streamed by " + from.target().id());
     }
 
-    /** There is no whole answer. */
+    /** Handles an attempt that ended without a complete response. */
     void failed(Attempt from, boolean sent, String why) {
         release(from);
         lastFailure = why;
@@ -393,7 +392,7 @@
         }
     }
 
-    /** Sends it once more if its route, its time and the budget of the service allow that. */
+    /** Retries if the route, the remaining time and the retry budget of the service allow that. */
     private boolean tryRetry() {
         if (!mayRetry()) {
             return false;
@@ -411,7 +410,6 @@
         choose();
     }
 
-    /** It could not be placed now. */
     private void notPlaced(String why, long retryAfterMillis) {
         if (isResuming()) {
             recheckLater();
@@ -455,10 +453,10 @@
     }
 
     /**
-     * Failure: a caller leaves while a replica works for it. Symptom: replicas are busy with answers that nobody takes,
-     * and those who wait get theirs late. Closing the connection ends the work; one that may not be run twice is left to
-     * end, as its caller will ask what became of it. Of one that still waits for its connection nothing has left, so it
-     * is given up too, and not sent elsewhere.
+     * Ends a request whose caller has left, so that replicas don't spend their time on answers that nobody reads while
+     * others wait. Closing the connection ends the work. A request that may not run twice is left to finish, as its
+     * caller will ask for its outcome, unless it still waits for a connection: nothing of it was sent then, and it is
+     * not sent elsewhere.
      */
     private void onCallerGone() {
         callerGone = true;
--- a/src/main/java/io/waxwingquay/forward/ExchangeState.java
+++ b/src/main/java/io/waxwingquay/forward/ExchangeState.java
@@ -2,38 +2,38 @@
 
 import io.waxwingquay.chart.StateChart;
 
-/** The states of a request; the moves between them are in {@code charts/exchange.chart}. */
+/** The states of a request; the transitions are in {@code charts/exchange.chart}. */
 public enum ExchangeState {
     /** A replica is being chosen. */
     CHOOSING,
-    /** It waits for a model or an adapter. */
+    /** The request waits for a model or an adapter. */
     AWAITING,
-    /** It was sent to a replica. */
+    /** The request was sent to a replica. */
     SENT,
-    /** A part of a stream has gone to the caller. */
+    /** A part of the stream was sent to the caller. */
     STREAMING,
-    /** A stream broke off, and a replica is being chosen to go on with it. */
+    /** The stream was interrupted, and a replica is being chosen to resume it. */
     RESUMING,
-    /** It has its final answer. */
+    /** The final response was sent. */
     DONE;
 
-    /** The chart's name. */
+    /** The name of the chart. */
     public static final String CHART_NAME = "exchange";
 
-    /** The chart. */
+    /** The state chart. */
     static final StateChart<ExchangeState, Event> CHART = StateChart.load(CHART_NAME, ExchangeState.class, Event.class);
 
-    /** What happens to a request. */
+    /** The events of a request. */
     public enum Event {
-        /** It has to wait for a model or an adapter. */
+        /** The request has to wait for a model or an adapter. */
         AWAIT,
-        /** It is sent to a replica. */
+        /** The request is sent to a replica. */
         SEND,
-        /** The first event of its stream goes to the caller. */
+        /** The first event of the stream is sent to the caller. */
         BEGIN,
         /** Another replica is to be chosen. */
         RETRY,
-        /** It is over. */
+        /** The request ends. */
         END
     }
 }
--- a/src/main/java/io/waxwingquay/forward/ForwardContext.java
+++ b/src/main/java/io/waxwingquay/forward/ForwardContext.java
@@ -6,7 +6,7 @@
 import java.util.Optional;
 import java.util.OptionalDouble;
 
-/** What a request needs of the entry that it came to. */
+/** What a request uses of the entry that received it. */
 interface ForwardContext {
 
     MessageCodec codec();
@@ -19,7 +19,7 @@
 
     WaitQueues waitQueues();
 
-    /** How many entries there are, this one among them. */
+    /** Returns the number of entries, this one included. */
     int entryCount();
 
     Collection<Target> targets(String service);
@@ -28,19 +28,21 @@
 
     RetryBudget budget(String service);
 
-    /** A number from 0 up to 1 that a text always gets. */
+    /** Returns a number from 0 up to 1 that is always the same for the same text. */
     double stableUniform(String text);
 
-    /** A time and up to half more, so that those refused together do not come back together. */
+    /** Adds jitter of up to half the time, so that callers rejected together don't retry together. */
     long jitter(long millis);
 
-    /** A request asked for a model that no engine holds; the processes beside engines are told soon. */
+    /** Notes a request for a model that no engine holds; the side processes of engines are updated soon. */
     void modelMissed();
 
-    /** A replica said that it is another one, or lacks what was asked for. */
+    /** Notes that another replica answered, or that the replica lacks what was requested. */
     void misdirected(Target target, MessageCodec.RequestHead request, MessageCodec.ResponseHead response);
 
-    /** A replica named how many requests a second it takes from all entries together, or named no limit. */
+    /**
+     * Notes the requests per second that a replica accepts from all entries together, or that it announced no limit.
+     */
     void rateLimitAnnounced(Target target, OptionalDouble perSecond);
 
     void ended(Exchange exchange, Outcome outcome);
--- a/src/main/java/io/waxwingquay/forward/ForwardMetrics.java
+++ b/src/main/java/io/waxwingquay/forward/ForwardMetrics.java
@@ -1,18 +1,16 @@
 package io.waxwingquay.forward;
 
-/**
- * Counts what becomes of requests.
- */
+/** Counts requests by outcome. */
 public interface ForwardMetrics {
 
     /**
-     * A request has its final answer.
+     * Counts a request that has its final response.
      *
-     * @param status the status that its caller got; 0 if it got no whole answer.
+     * @param status the status that the caller received; 0 if it received no complete response.
      * @param tookMillis how long that took.
      */
     void ended(int status, long tookMillis);
 
-    /** A request matched no route. */
+    /** Counts a request that matched no route. */
     void unrouted();
 }
--- a/src/main/java/io/waxwingquay/forward/Forwarder.java
+++ b/src/main/java/io/waxwingquay/forward/Forwarder.java
@@ -26,24 +26,22 @@
 import org.apache.commons.codec.digest.MurmurHash3;
 import org.eclipse.jetty.http.HttpFields;
 
-/**
- * Takes callers' requests to replicas. All of it runs on the loop.
- */
+/** Forwards requests of callers to replicas. Not thread-safe: everything runs on the event loop. */
 public final class Forwarder implements ServerHandler, ForwardContext, RequestDrain {
 
     private static final int NOT_FOUND = 404;
     private static final int UNAVAILABLE = 503;
 
-    /** A caller refused by this process alone may come back soon: it reaches another entry. */
+    /** Retry-after delay of a caller that only this process rejects; it soon reaches another entry. */
     private static final long OTHER_ENTRY_RETRY_AFTER_MILLIS = 200L;
 
     /** How many times its objective a call of a plain service may take. */
     private static final long MAX_PLAIN_OBJECTIVES = 4L;
 
-    /** Kept free at each replica for other callers than our entries, such as health checks. */
+    /** Share of a replica's connections used by entries; the rest is left to other clients, such as health checks. */
     private static final double CONNECTION_SHARE = 0.9;
 
-    /** The part of the deployment's retry budget that is used; the rest covers what the counts of entries miss. */
+    /** Share of the deployment's retry budget that is used; the rest covers outdated counts of entries. */
     private static final double BUDGET_SHARE = 0.8;
 
     private static final System.Logger LOG = System.getLogger("waxwingquay.forward");
@@ -70,15 +68,15 @@
     private boolean admitting = true;
 
     /**
-     * A forwarder without a configuration yet.
+     * Creates a forwarder without a configuration.
      *
-     * @param loop where everything runs.
-     * @param settings its figures.
+     * @param loop the loop on which everything runs.
+     * @param settings the settings.
      * @param codec reads and writes header fields.
-     * @param metrics counts what becomes of requests.
-     * @param engineNotifier tells the processes beside engines.
-     * @param suspects requests whose replicas went.
-     * @param random the source of noise.
+     * @param metrics counts requests by outcome.
+     * @param engineNotifier notifies the side processes of engines.
+     * @param suspects the requests that were running when replicas crashed.
+     * @param random the source of randomness.
      */
     public Forwarder(
             EventLoop loop,
@@ -107,7 +105,7 @@
     }
 
     /**
-     * Puts a configuration in force if it is newer than the one that is.
+     * Applies a configuration if it is newer than the current one.
      *
      * @param newer the configuration.
      */
@@ -127,7 +125,7 @@
     }
 
     /**
-     * Where changes among the replicas are to be told.
+     * Returns the listener to notify of changes of replicas.
      *
      * @return the listener.
      */
@@ -136,9 +134,9 @@
     }
 
     /**
-     * The configuration in force.
+     * Returns the current configuration.
      *
-     * @return it, empty before the first.
+     * @return the configuration, empty before the first.
      */
     public Optional<Manifest> manifest() {
         return manifest;
@@ -162,12 +160,13 @@
     @Override
     public void handle(ServerExchange caller) {
         if (!admitting) {
-            // The exit follows without another look at what is under way, and would cut whatever is taken now.
+            // The process exits without another check of the requests in progress, and would cut off any that is
+            // accepted now.
             reject(caller, "this process exits");
             return;
         }
         if (manifest.isEmpty()) {
-            reject(caller, "no configuration is known here yet");
+            reject(caller, "this entry has no configuration yet");
             return;
         }
         MessageCodec.RequestHead head = codec.readRequest(caller.request().fields());
@@ -180,7 +179,7 @@
                     "forward: no route id={0} version={1}",
                     head.id(),
                     manifest.get().version());
-            caller.respond(NOT_FOUND, HttpFields.EMPTY, "no route leads there");
+            caller.respond(NOT_FOUND, HttpFields.EMPTY, "no route matches this host and path");
             return;
         }
         if (mayOutlastProcess(route.get())) {
@@ -193,9 +192,9 @@
     }
 
     /**
-     * Takes in what the process beside an engine tells.
+     * Processes a status update of the side process of an engine.
      *
-     * @param update the news.
+     * @param update the update.
      */
     public void engineUpdate(EngineNews update) {
         long nowMillis = EventLoop.nowMillis();
@@ -210,20 +209,20 @@
     }
 
     /**
-     * Takes in the answer to a call for an adapter.
+     * Processes the answer to a call for an adapter.
      *
-     * @param id the call's id.
-     * @param present whether the adapter is there.
+     * @param id the id of the call.
+     * @param present whether the adapter is loaded.
      */
     public void adapterReply(long id, boolean present) {
         adapterRequester.answered(id, present);
     }
 
     /**
-     * What the process beside each engine is to be told now.
+     * Returns the status updates that are due now.
      *
-     * @param node the name of this entry's VM.
-     * @return the news by the engine's address; none before a configuration is known.
+     * @param node the name of the VM of this entry.
+     * @return the updates by address of the engine; none before a configuration is known.
      */
     public Map<HostPort, EntryNews> entryUpdates(String node) {
         return manifest.map(known -> updateWriter.write(node, known, EventLoop.nowMillis()))
@@ -231,9 +230,9 @@
     }
 
     /**
-     * How many engines have told of themselves lately.
+     * Returns the number of engines with a recent status update.
      *
-     * @return engines with fresh news.
+     * @return the number of engines.
      */
     public int freshEngineCount() {
         long nowMillis = EventLoop.nowMillis();
@@ -392,7 +391,10 @@
         caller.respond(UNAVAILABLE, fields, "it has not run: " + why);
     }
 
-    /** A request that is cut by this process's exit may have run; one that is refused before can go elsewhere. */
+    /**
+     * Returns whether the request may still run when this process exits. If it is cut off then, it may have run; if it
+     * is rejected now, the caller can turn to another entry.
+     */
     private boolean mayOutlastProcess(Route route) {
         if (exitAtMillis == Long.MAX_VALUE) {
             return false;
@@ -401,7 +403,7 @@
         return route.kind() == Route.Kind.STREAM || remainingMillis < MAX_PLAIN_OBJECTIVES * route.objectiveMillis();
     }
 
-    /** The processes beside engines should know soon of what has changed here. */
+    /** Has the side processes of engines updated soon about changes of this entry. */
     public void updateSoon() {
         updateWriter.hasten();
         onStateChanged.run();
@@ -424,7 +426,7 @@
         return new ClientPool(loop, new InetSocketAddress(address.host(), address.port()), maxConnections(record));
     }
 
-    /** All entries together stay below what a replica takes. */
+    /** Returns the number of connections of this entry; all entries together stay below what a replica accepts. */
     private int maxConnections(ReplicaRecord record) {
         int atReplica = manifest.map(known -> known.services().get(record.service()))
                 .map(Manifest.Service::maxConnections)
--- a/src/main/java/io/waxwingquay/forward/ListingStatus.java
+++ b/src/main/java/io/waxwingquay/forward/ListingStatus.java
@@ -1,30 +1,30 @@
 package io.waxwingquay.forward;
 
 /**
- * Whether a replica whose row is missing from the platform's list may have left.
+ * Tells whether a replica whose row is missing from the platform's list may have departed.
  *
- * <p>Failure: this entry loses the store and regains it, and a row is missing. Either the row lapsed in an outage and comes
- * back, or the replica has left without notice. Symptom if it were taken for the first: requests reach a replica that is
- * about to exit. What comes from the replica itself, or from the process beside it, after its row was found missing tells
- * which; until then it counts as one that may have left.
+ * <p>When this entry regains the store after an outage, a missing row may have expired during the outage and be
+ * about to come back, or its replica may have left without notice. Assuming the former would send requests to a replica
+ * that is about to exit. Messages of the replica itself or of its side process that arrive after the row was found
+ * missing decide it; until then the replica counts as one that may have departed.
  */
 final class ListingStatus {
 
     private boolean unlisted;
     private boolean staying;
 
-    /** Its row is there. */
+    /** Notes that the row is listed. */
     void listed() {
         unlisted = false;
     }
 
-    /** Its row was found missing. */
+    /** Notes that the row is missing. */
     void unlisted() {
         unlisted = true;
         staying = false;
     }
 
-    /** It was heard, and told whether it is about to leave. */
+    /** Notes a message of the replica that tells whether it is draining. */
     void heard(boolean draining) {
         staying = !draining;
     }
--- a/src/main/java/io/waxwingquay/forward/MessageCodec.java
+++ b/src/main/java/io/waxwingquay/forward/MessageCodec.java
@@ -5,21 +5,20 @@
 import java.util.OptionalDouble;
 import org.eclipse.jetty.http.HttpFields;
 
-/**
- * Reads and writes the header fields that callers and replicas use.
- */
+/** Reads and writes the header fields that callers and replicas use. */
 public interface MessageCodec {
 
     /**
-     * Reads what a caller says of its request.
+     * Reads the head of a request.
      *
      * @param fields the fields of the request.
-     * @return what it says; parts that are missing or can't be read are empty.
+     * @return what the caller states; parts that are missing or unreadable are empty.
      */
     RequestHead readRequest(HttpFields fields);
 
     /**
-     * The fields of a request to a replica: the caller's, without those that are this system's to set.
+     * Returns the fields of a request to a replica: those of the caller, except for the fields that only this system
+     * may set.
      *
      * @param fields the fields of the caller's request.
      * @param head what this system sets.
@@ -28,41 +27,42 @@
     HttpFields requestFields(HttpFields fields, ForwardedHead head);
 
     /**
-     * Reads the head of a replica's answer.
+     * Reads the head of a response.
      *
-     * @param status its status.
-     * @param fields its fields.
-     * @return what it says of the run.
+     * @param status the status.
+     * @param fields the fields.
+     * @return what the replica states about the execution.
      */
     ResponseHead readResponse(int status, HttpFields fields);
 
     /**
-     * What tells a caller's request from others, whenever it comes again.
+     * Returns the fields that identify a request of a caller across its attempts.
      *
      * @param fields the fields of the caller's request.
-     * @return values, always as many; empty text for a field that is not there.
+     * @return values, always the same number of them; an empty text for a missing field.
      */
     List<String> identityFields(HttpFields fields);
 
     /**
-     * The fields of a refusal.
+     * Returns the fields of a rejection.
      *
-     * @param retryAfterMillis when the caller may come again; empty if that would not help.
+     * @param retryAfterMillis when the caller may try again; empty if that would not help.
      * @return the fields.
      */
     HttpFields refusalFields(Optional<Long> retryAfterMillis);
 
     /**
-     * What a caller says of its request.
+     * The head of a request of a caller.
      *
-     * @param id the id of this attempt; empty text if it has none.
+     * @param id the id of this attempt of the caller; an empty text if it has none.
      * @param remainingMillis how long the caller waits.
-     * @param model the model asked for.
-     * @param adapter the adapter of that model.
-     * @param inputTokens tokens of the prompt; 0 if not told.
-     * @param maxOutputTokens the most tokens to generate; 0 if not told.
-     * @param sharedPromptPrefix the shared parts of the prompt before its own last one; empty text if there are none.
-     * @param lastEventId the last event that the caller has of an earlier run of this stream.
+     * @param model the requested model.
+     * @param adapter the requested adapter of that model.
+     * @param inputTokens tokens of the prompt; 0 if not stated.
+     * @param maxOutputTokens the most tokens to generate; 0 if not stated.
+     * @param sharedPromptPrefix the shared parts of the prompt, without its own last one; an empty text if there are
+     *     none.
+     * @param lastEventId the last event that the caller received from an earlier run of this stream.
      */
     record RequestHead(
             String id,
@@ -75,25 +75,26 @@
             Optional<Long> lastEventId) {}
 
     /**
-     * What this system sets on a request to a replica.
+     * The head fields that this system sets on a request to a replica.
      *
-     * @param replicaId the only replica that may run it.
-     * @param remainingMillis time left.
-     * @param priority its urgency for an engine, 0 first; empty for a plain service.
-     * @param lastEventId the last event that needs no repeat.
+     * @param replicaId the only replica that may run the request.
+     * @param remainingMillis the remaining time.
+     * @param priority its priority in the engine, 0 first; empty for a plain service.
+     * @param lastEventId the last event that need not be repeated.
      */
     record ForwardedHead(
             String replicaId, long remainingMillis, Optional<Integer> priority, Optional<Long> lastEventId) {}
 
     /**
-     * What the head of an answer says.
+     * The head of a response.
      *
-     * @param id the id of the request that it answers; empty text if it names none.
-     * @param didNotRun whether the replica promises that the request has not run there.
+     * @param id the id of the answered request; an empty text if none is named.
+     * @param didNotRun whether the replica guarantees that it has not run the request.
      * @param misdirected whether another replica, or one that lacks the model, was reached.
      * @param full whether the replica had no room.
-     * @param replicaId the replica that answered, if it says so.
-     * @param limitPerSecond the requests a second that the replica takes from all entries together, if it names a limit.
+     * @param replicaId the replica that answered, if it is named.
+     * @param limitPerSecond the requests per second that the replica accepts from all entries together, if it announces
+     *     a limit.
      */
     record ResponseHead(
             String id,
--- a/src/main/java/io/waxwingquay/forward/Outcome.java
+++ b/src/main/java/io/waxwingquay/forward/Outcome.java
@@ -3,16 +3,16 @@
 import io.waxwingquay.manifest.Route;
 
 /**
- * How a request ended.
+ * The outcome of a request.
  *
- * @param head what was asked.
+ * @param head the head of the request.
  * @param route its route.
- * @param service the service that it went to.
- * @param status the status that its caller got; 0 if it got no whole answer.
+ * @param service the service that it was sent to.
+ * @param status the status that the caller received; 0 if it received no complete response.
  * @param attempts how often it was sent.
- * @param why what decided it.
- * @param arrivedMillis when it came, by the steady clock.
- * @param stream how it came along, and its stream.
+ * @param why what decided the outcome.
+ * @param arrivedMillis when it arrived, by the monotonic clock.
+ * @param stream its waiting time and the progress of its stream.
  */
 record Outcome(
         MessageCodec.RequestHead head,
--- a/src/main/java/io/waxwingquay/forward/QueuedRequest.java
+++ b/src/main/java/io/waxwingquay/forward/QueuedRequest.java
@@ -1,6 +1,6 @@
 package io.waxwingquay.forward;
 
-/** A request as far as it waits, or may wait, here for room. */
+/** The position of a request that waits, or may wait, for a slot. */
 final class QueuedRequest {
 
     private final ForwardContext context;
@@ -12,25 +12,30 @@
         this.terms = terms;
     }
 
-    /** Which of those that wait is looked at first: the lowest. What does not wait comes before. */
+    /**
+     * Returns the order in which waiting requests are checked, lowest first; requests that are not queued come first.
+     */
     long slackMillis(long nowMillis) {
         return waiting ? terms.slackMillis(nowMillis) : Long.MIN_VALUE;
     }
 
-    /** Whether a look would find what one before it in its queue has just found, and its time to wait is not over. */
+    /**
+     * Returns whether a check would repeat the result of one before it in its queue, while the time to wait is not
+     * over.
+     */
     boolean canSkipCheck(long nowMillis) {
         return waiting && context.waitQueues().isFull(terms.queueKey(), nowMillis) && terms.mayWaitForRoom(nowMillis);
     }
 
-    /** How long until room for it is expected; others that wait here are taken to be as many at each entry. */
+    /** Returns how long until a slot is expected; the queues of all entries are assumed to be of the same length. */
     long expectedWaitMillis(Choice.Full full) {
         return full.expectedWaitMillis(
                 waiting ? 0 : context.waitQueues().size(terms.queueKey()) * context.entryCount());
     }
 
     /**
-     * Found no room: waits on if room is expected while its caller is there. One that waits already keeps its place in
-     * the queue.
+     * Queues a request that found no free slot, if one is expected while its caller waits. A request that is queued
+     * already keeps its place.
      *
      * @return whether it waits.
      */
--- a/src/main/java/io/waxwingquay/forward/ReplicaRateLimit.java
+++ b/src/main/java/io/waxwingquay/forward/ReplicaRateLimit.java
@@ -6,8 +6,8 @@
 import java.util.function.DoubleSupplier;
 
 /**
- * The limit that a replica's newest answer names, and this entry's part of it. An entry that was not told yet sends as if
- * there were none, and is told with its first answer.
+ * The rate limit that the latest response of a replica announced, and the share of this entry. An entry that has not
+ * received a response yet sends without a limit, and learns of it from the first one.
  */
 final class ReplicaRateLimit {
 
@@ -17,13 +17,14 @@
     private Optional<SharedRate> share = Optional.empty();
 
     /**
-     * Takes in what an answer names.
+     * Applies what a response announces.
      *
-     * @param replica the replica's id, for logs.
-     * @param newPerSecond requests a second that it takes from all entries together; empty if it names none any more.
-     * @param entryCount how many share it.
-     * @param phase where in its cycle this entry begins, from 0 up to 1; drawn for each new limit.
-     * @param nowMillis the steady time.
+     * @param replica the id of the replica, for logs.
+     * @param newPerSecond the requests per second that it accepts from all entries together; empty if it announces no
+     *     limit any more.
+     * @param entryCount the number of entries that share the limit.
+     * @param phase the point in its cycle at which this entry begins, from 0 up to 1; drawn for each new limit.
+     * @param nowMillis the monotonic time.
      */
     void announced(String replica, OptionalDouble newPerSecond, int entryCount, DoubleSupplier phase, long nowMillis) {
         if (newPerSecond.isEmpty()) {
@@ -44,7 +45,7 @@
         }
     }
 
-    /** How long until this entry may send another request; 0 if it may now. */
+    /** Returns how long until this entry may send another request; 0 if it may now. */
     long waitMillis(long nowMillis) {
         return share.map(rate -> rate.waitMillis(nowMillis)).orElse(0L);
     }
--- a/src/main/java/io/waxwingquay/forward/RequestDrain.java
+++ b/src/main/java/io/waxwingquay/forward/RequestDrain.java
@@ -3,34 +3,34 @@
 import java.util.List;
 
 /**
- * The requests without a final answer, as the departure of their process sees them. All of it runs on the loop.
+ * The requests without a final response, as the shutdown of their process sees them. Everything runs on the event loop.
  */
 public interface RequestDrain {
 
     /**
-     * How many there are.
+     * Returns the number of requests in progress.
      *
-     * @return requests without a final answer.
+     * @return requests without a final response.
      */
     int activeCount();
 
     /**
-     * Which they are.
+     * Returns the requests in progress.
      *
      * @return their ids.
      */
     List<String> activeIds();
 
     /**
-     * From now on refuses what may not end in time: what waits here, streams, and near the end everything.
+     * Rejects, from now on, requests that may not end before the exit: those that wait here, streams, and finally all.
      *
      * @param millis how long until this process exits.
      */
     void drainWithin(long millis);
 
     /**
-     * Gives what is still under way its final answer, as far as none has begun, and refuses all that comes from now on.
-     * The process exits after it.
+     * Ends the requests in progress to whose callers nothing was sent yet, and rejects all further ones. The process
+     * exits afterwards.
      */
     void endAdmission();
 }
--- a/src/main/java/io/waxwingquay/forward/RequestTerms.java
+++ b/src/main/java/io/waxwingquay/forward/RequestTerms.java
@@ -9,10 +9,10 @@
 import java.util.Set;
 import org.eclipse.jetty.http.HttpFields;
 
-/** What one request asks for, by which route, and how long it may take; it stays the same for all its tries. */
+/** The terms of one request, which are the same for all its attempts: what it requests, its route and its deadline. */
 final class RequestTerms {
 
-    /** Of two requests of the same rank the one with an objective above this can wait. */
+    /** Objective above which a request has the lower priority of two on routes of the same priority. */
     private static final long RELAXED_OBJECTIVE_MILLIS = 1_000L;
 
     private static final int LOWEST_PRIORITY = 9;
@@ -36,7 +36,7 @@
         this.deadlineAtMillis = request.arrivedMillis() + Math.min(callerTimeoutMillis, route.timeoutMillis());
     }
 
-    /** The terms of a request that a route takes. */
+    /** Returns the terms of a request that matches a route. */
     static RequestTerms of(ForwardContext context, ServerRequest request, Route route, MessageCodec.RequestHead head) {
         return new RequestTerms(context, request, route, head);
     }
@@ -61,12 +61,12 @@
         return route.kind() == Route.Kind.STREAM;
     }
 
-    /** Whether it needs a model of an engine; else any replica of its service will do. */
+    /** Returns whether it needs a model of an engine; otherwise any replica of its service will do. */
     boolean needsModel() {
         return engine.isPresent() && head.model().isPresent();
     }
 
-    /** What is left of its time; none or less when it is over. */
+    /** Returns the time to the deadline; 0 or less after it. */
     long remainingMillis(long nowMillis) {
         return deadlineAtMillis - nowMillis;
     }
@@ -88,18 +88,21 @@
         return WaitPolicy.slackMillis(route, waitedMillis(nowMillis));
     }
 
-    /** What those that wait for the same places have in common. */
+    /** Returns the key of the queue of requests that wait for the same slots. */
     String queueKey() {
         return service + '/' + head.model().orElse("");
     }
 
-    /** Whether its caller is still there when a replica begins to answer, if it has had nothing new for so long. */
+    /**
+     * Returns whether the caller still waits when the replica begins to respond, having received nothing new for this
+     * long.
+     */
     boolean callerWaitsForAnswer(Target target, long callerIdleMillis, long nowMillis) {
         return WaitPolicy.callerWaitsForAnswer(
                 route, callerIdleMillis, target.attemptHistory().recentAnswerMillis(nowMillis));
     }
 
-    /** Chooses a replica for it, other than those named. */
+    /** Chooses a replica other than the excluded ones. */
     Choice choose(Set<Target> excluded, long nowMillis) {
         TargetChooser chooser = context.chooser();
         return needsModel()
@@ -113,23 +116,23 @@
     }
 
     /**
-     * The request as it is sent to a replica now.
+     * Creates the request to send to a replica now.
      *
      * @param target the replica.
-     * @param lastEventId the last event of its stream that the caller has.
-     * @param nowMillis the steady time.
+     * @param lastEventId the last event of the stream that the caller received.
+     * @param nowMillis the monotonic time.
      */
     ClientRequest toClientRequest(Target target, OptionalLong lastEventId, long nowMillis) {
-        MessageCodec.ForwardedHead head = new MessageCodec.ForwardedHead(
+        MessageCodec.ForwardedHead forwarded = new MessageCodec.ForwardedHead(
                 target.id(),
                 Math.max(1, remainingMillis(nowMillis)),
                 engine.map(each -> priority()),
                 lastEventId.stream().boxed().findFirst());
-        HttpFields fields = context.codec().requestFields(request.fields(), head);
+        HttpFields fields = context.codec().requestFields(request.fields(), forwarded);
         return new ClientRequest(request.method(), request.target(), fields, request.body(), route.mayRepeat());
     }
 
-    /** An operator's rank first; within it, what must come sooner. */
+    /** Returns the priority in the engine: that of the route first, and within it the urgency. */
     private int priority() {
         int relaxed = route.objectiveMillis() > RELAXED_OBJECTIVE_MILLIS ? 1 : 0;
         return Math.min(LOWEST_PRIORITY, 2 * route.priority() + relaxed);
--- a/src/main/java/io/waxwingquay/forward/StreamProgress.java
+++ b/src/main/java/io/waxwingquay/forward/StreamProgress.java
@@ -2,7 +2,7 @@
 
 import java.util.OptionalLong;
 
-/** How far a stream has come at its caller, and how smoothly. */
+/** Tracks which events of a stream the caller has received, and how long it waited for them. */
 final class StreamProgress {
 
     private final long arrivedAtMillis;
@@ -24,7 +24,7 @@
         }
     }
 
-    /** How long the request waited here before it was sent first; if it was not sent, since it came. */
+    /** Returns how long the request waited before its first attempt, or has waited so far if there is none. */
     long waitedMillis(long nowMillis) {
         return firstSentAtMillis.orElse(nowMillis) - arrivedAtMillis;
     }
@@ -33,12 +33,12 @@
         return hasBegun;
     }
 
-    /** The last event that the caller has, of this run or of one before. */
+    /** Returns the last event that the caller received, from this run of the stream or an earlier one. */
     OptionalLong lastEventId() {
         return lastEventId;
     }
 
-    /** Whether the caller has this event already, from an earlier run of the stream. */
+    /** Returns whether the caller has received this event already, from an earlier run of the stream. */
     boolean wasDelivered(OptionalLong id) {
         return id.isPresent() && lastEventId.isPresent() && id.getAsLong() <= lastEventId.getAsLong();
     }
@@ -56,12 +56,12 @@
         lastEventAtMillis = nowMillis;
     }
 
-    /** How long the caller has had nothing new: since the last event, or since its request came. */
+    /** Returns the time since the caller received the last event, or since the request arrived if there is none. */
     long callerIdleMillis(long nowMillis) {
         return nowMillis - (hasBegun ? lastEventAtMillis : arrivedAtMillis);
     }
 
-    /** How long the caller waited for the first event. */
+    /** Returns how long the caller waited for the first event. */
     long firstEventMillis() {
         return firstEventMillis;
     }
--- a/src/main/java/io/waxwingquay/forward/SuspectTracker.java
+++ b/src/main/java/io/waxwingquay/forward/SuspectTracker.java
@@ -14,17 +14,21 @@
 import java.util.function.LongSupplier;
 
 /**
- * What this entry knows of requests whose replicas went while they ran. All of it runs on the loop.
+ * Tracks the requests that were running when replicas crashed, as far as this entry knows. Not thread-safe: everything
+ * runs on the event loop.
  */
 public final class SuspectTracker {
 
-    /** Answers that a replica gave before it went may be read a little after its connections have broken. */
+    /** Answers that a replica sent before a crash may still be read for this long after its connections have broken. */
     private static final long IN_FLIGHT_ANSWER_MILLIS = 100L;
 
-    /** A replica that lives answers what it had by then, or hardly any more. */
+    /**
+     * How long a broken connection is remembered: a replica that has not crashed answers its earlier requests by then,
+     * or hardly at all.
+     */
     private static final long BREAK_RETENTION_MILLIS = 30_000L;
 
-    /** The most broken connections that are remembered to be looked at again. */
+    /** The most broken connections that are remembered. */
     private static final int MAX_BREAKS = 256;
 
     private static final System.Logger LOG = System.getLogger("waxwingquay.forward");
@@ -36,11 +40,11 @@
     private final Deque<ConnectionBreak> breaks = new ArrayDeque<>();
 
     /**
-     * The suspects of an entry.
+     * Creates a tracker for an entry.
      *
-     * @param shared what it knows together with other processes.
-     * @param clockMillis the steady clock.
-     * @param onChange told when there is something that the others should know soon.
+     * @param shared the suspects that the entry shares with other processes.
+     * @param clockMillis the monotonic clock.
+     * @param onChange notified of changes that other processes should learn soon.
      */
     public SuspectTracker(SharedSuspects shared, LongSupplier clockMillis, Runnable onChange) {
         this.shared = shared;
@@ -64,7 +68,7 @@
         return clockMillis.getAsLong();
     }
 
-    /** Replicas to which this entry has sent a suspect that has not begun to be answered. */
+    /** Returns the replicas to which this entry has sent a suspect whose response has not begun. */
     Set<Target> targetsRunningSuspects() {
         return runningSuspectCounts.keySet();
     }
@@ -93,9 +97,9 @@
     }
 
     /**
-     * Failure: a replica that has too many connections resets some of them, or breaks off single answers, and lives on.
-     * Symptom: a request that this happens to twice is taken for one that ends replicas, and is refused. What a replica
-     * was sent before a break and answers after it shows that it lives, so that break was no crash.
+     * Withdraws crashes that were none. A replica with too many connections may reset some of them, or break off single
+     * responses, without crashing; a request to which that happened twice would be quarantined wrongly. A request sent
+     * before a break and answered after it shows that the replica survived the break.
      */
     void answered(Target target, long sentAtMillis) {
         if (breaks.isEmpty()) {
--- a/src/main/java/io/waxwingquay/forward/Suspicion.java
+++ b/src/main/java/io/waxwingquay/forward/Suspicion.java
@@ -8,20 +8,20 @@
 import java.util.function.LongSupplier;
 
 /**
- * Whether one request may be what ends replicas.
+ * Tells whether one request may be the cause of crashes of replicas.
  *
- * <p>One that ends each replica that begins to run it never gets a part of an answer. So each send counts that ends with
- * a broken connection before any, and two at different replicas are enough. All that a replica ran count alike when it
- * goes; the others among them are told from it by their next send.
+ * <p>A request that crashes each replica that begins to run it never receives part of a response. So each attempt
+ * counts whose connection broke before any part of one; two at different replicas are enough. All requests that a
+ * replica ran count alike when it crashes; the harmless ones are told from the cause by their next attempt.
  */
 final class Suspicion {
 
-    /** Its caller is asked not to come again soon; it would be refused again. */
+    /** Retry-after delay of a quarantined request, which would be rejected again if it came sooner. */
     static final long RETRY_AFTER_MILLIS = 5_000L;
 
     /**
-     * How long a suspect looks for a replica that runs no other one. One that ends replicas does so as it begins to run,
-     * so this is enough to part the others from it, and short enough for them to be in time still.
+     * How long a suspect waits for a replica that runs no other suspect. A request that crashes replicas does so as it
+     * begins to run, so this is enough to isolate the others from it, and short enough for them to be in time.
      */
     private static final long ISOLATION_WAIT_MILLIS = 240L;
 
@@ -37,7 +37,10 @@
         this.fingerprintSupplier = fingerprintSupplier;
     }
 
-    /** Why it is refused; its name stands in the log beside each replica that went. */
+    /**
+     * Returns why the request is rejected, with the name of the suspect, which is also logged with each replica that
+     * crashed.
+     */
     String quarantineReason() {
         return "replicas went when they began to run it, suspect " + SuspectTracker.displayName(fingerprint());
     }
@@ -47,9 +50,9 @@
     }
 
     /**
-     * Failure: a request that ends replicas and those that ran beside it are sent again together. Symptom: they are there
-     * at the second crash too, and are refused with it. So a suspect goes where this entry has no other one under way,
-     * waits a little for such a place, and only then goes beside another.
+     * Chooses a replica on which a suspect is isolated. If a request that crashes replicas and those that ran beside it
+     * were resent together, they would be present at the second crash too, and be quarantined with it. So a suspect is
+     * sent where this entry runs no other one, waits a little for such a replica, and only then shares one.
      */
     Choice choose(Set<Target> triedTargets, Function<Set<Target>, Choice> chooser) {
         Set<Target> occupied = tracker.targetsRunningSuspects();
@@ -80,7 +83,7 @@
         }
     }
 
-    /** Nothing of it is under way at a replica any more, or it has shown there to be none that ends replicas. */
+    /** Notes that the request no longer runs at a replica, or has proved harmless there. */
     void ended() {
         if (runningTarget != null) {
             tracker.suspectEnded(runningTarget);
@@ -88,14 +91,14 @@
         }
     }
 
-    /** The connection broke before any part of an answer. */
+    /** Notes that the connection broke before any part of a response. */
     void connectionBroke(Target target) {
         if (!cleared) {
             tracker.crashed(target, fingerprint());
         }
     }
 
-    /** It was answered well, or its answer has begun. */
+    /** Notes that the request was answered without a failure, or that its response has begun. */
     void answered(Target target, long sentAtMillis) {
         tracker.answered(target, sentAtMillis);
         cleared = true;
@@ -105,7 +108,7 @@
         }
     }
 
-    /** While there is no suspect at all a request costs nothing here. */
+    /** Returns the standing of the request; while there are no suspects, its fingerprint is not computed. */
     private Standing standing() {
         return cleared || tracker.shared().isEmpty()
                 ? Standing.CLEAR
--- a/src/main/java/io/waxwingquay/forward/Target.java
+++ b/src/main/java/io/waxwingquay/forward/Target.java
@@ -16,27 +16,30 @@
 import java.util.function.DoubleSupplier;
 import java.util.stream.Collectors;
 
-/** One life of a replica, as this entry sees it. */
+/** One incarnation of a replica, as this entry sees it. */
 final class Target {
 
-    /** Against the round in which news comes, changed or not: older news is no better than the platform's list. */
+    /**
+     * Lifetime of a status update in rounds of updates, which come whether anything changed or not: an older one is no
+     * better than the platform's list.
+     */
     private static final double FRESH_ROUNDS = 2.5;
 
     private static final long MIN_FRESH_MILLIS = 1_500L;
 
     /**
-     * An engine with requests from here that is not heard for this long stands still or is cut off: five tellings of its load,
-     * and far more than the pause between two events.
+     * Time after which an engine with requests from here that was not heard is unresponsive or cut off: five updates of
+     * its load, and far more than the pause between two events.
      */
     private static final long UNRESPONSIVE_MILLIS = 1_000L;
 
-    /** Against the round in which news comes; one without requests from here is heard in rounds alone. */
+    /** The same for an engine without requests from here, in rounds of updates, as it is heard in rounds only. */
     private static final double UNRESPONSIVE_ROUNDS = 2.0;
 
-    /** Two tellings of the load of an engine with requests from here; one that missed them may stand still. */
+    /** Time after which an engine with requests from here may be unresponsive: two updates of its load. */
     private static final long DOUBT_MILLIS = 400L;
 
-    /** Over how long requests sent from here are averaged, to tell what other entries send. */
+    /** Half-life of the rate of requests sent from here, from which those of other entries are estimated. */
     private static final double SEND_HALF_LIFE_MILLIS = 1_000.0;
 
     private static final double MILLIS_PER_SECOND = 1_000.0;
@@ -79,7 +82,7 @@
         }
     }
 
-    /** Its row is missing; it may come back. */
+    /** Notes that its row is missing, which may come back. */
     void markUnlisted() {
         listingStatus.unlisted();
         pool.withdrawWaiting();
@@ -105,18 +108,20 @@
         return inFlight;
     }
 
-    /** Its pool gives back what waits for a connection there, as it would arrive too late. */
+    /**
+     * Notes that the replica is gone. Requests that wait for a connection are returned, as they would arrive too late.
+     */
     void markGone() {
         gone = true;
         pool.close();
     }
 
-    /** Whether new work may be sent here at all. */
+    /** Returns whether new requests may be sent to it at all. */
     boolean acceptsRequests() {
         return !gone && !replaced && !record.draining() && !(update != null && update.isDraining());
     }
 
-    /** Whether its row is missing and nothing has told since that it stays. */
+    /** Returns whether its row is missing and no message since then has shown that it stays. */
     boolean mayHaveDeparted() {
         return listingStatus.mayHaveDeparted();
     }
@@ -125,7 +130,7 @@
         return gone;
     }
 
-    /** Another replica has this one's address. */
+    /** Notes that another replica has its address. */
     void markReplaced() {
         replaced = true;
     }
@@ -158,33 +163,36 @@
         tokensSinceUpdate = 0;
     }
 
-    /** An answer has begun; a replica that is about to leave says that it closes the connection. */
+    /** Notes that a response has begun; a replica that is about to leave announces that it closes the connection. */
     void answerBegan(boolean closesConnection) {
         listingStatus.heard(closesConnection);
     }
 
-    /** What its newest answer names as the requests a second that it takes from all entries together. */
+    /** Applies the requests per second that its latest response announces for all entries together. */
     void rateLimitAnnounced(OptionalDouble perSecond, int entryCount, DoubleSupplier phase, long nowMillis) {
         rateLimit.announced(id(), perSecond, entryCount, phase, nowMillis);
     }
 
-    /** How long until its limit lets this entry send it another request; 0 if it may now, or there is no limit. */
+    /**
+     * Returns how long until the rate limit lets this entry send another request; 0 if it may now or there is no limit.
+     */
     long rateLimitDelayMillis(long nowMillis) {
         return rateLimit.waitMillis(nowMillis);
     }
 
-    /** Bytes of an answer have come from it. */
+    /** Notes that bytes of a response have arrived. */
     void answerReceived(long nowMillis) {
         lastAnswerMillis = nowMillis;
     }
 
     /**
-     * Whether an engine that told of itself before does so no more, nor answers anything.
+     * Returns whether an engine that sent status updates before has sent none and answered nothing for too long.
      *
-     * <p>Failure: a VM stands still, and with it the engine and the process beside it. Symptom: what it was sent is answered
-     * when it wakes, seconds later, and what its callers gave up meanwhile is run all the same. Only the process that tells of
-     * it being gone is not enough: the engine's own answers count too. Of an engine without a request from here little is told,
-     * so that its silence says less, and counts from its first request on.
+     * <p>When a VM is unresponsive, so are its engine and the side process. What was sent to it would be answered
+     * seconds later, when it continues, and requests that their callers gave up meanwhile would be run all the same.
+     * Missing updates of the side process alone are not enough: the responses of the engine count too. An engine
+     * without a request from here is heard more rarely, so its limit is longer, and the time counts from its first
+     * request on.
      */
     boolean isUnresponsive(long nowMillis) {
         if (update == null) {
@@ -197,23 +205,23 @@
     }
 
     /**
-     * Whether an engine that told of itself before may stand still, though it has not been unheard for long enough to be
-     * taken for silent: neither it nor the process beside it was heard since a request was sent there, or lately.
+     * Returns whether an engine that sent status updates before may be unresponsive, though the time for that has not
+     * passed: neither it nor its side process was heard since a request was sent there, or lately.
      *
      * @param sentAtMillis when the request was sent.
-     * @param nowMillis the steady time.
+     * @param nowMillis the monotonic time.
      */
     boolean mayBeUnresponsive(long sentAtMillis, long nowMillis) {
         long lastHeardMillis = Math.max(updatedAtMillis, lastAnswerMillis);
         return update != null && (lastHeardMillis < sentAtMillis || nowMillis - lastHeardMillis > DOUBT_MILLIS);
     }
 
-    /** What the process beside the engine told, while it counts. */
+    /** Returns the last status update of the side process while it is recent enough. */
     Optional<EngineNews> freshUpdate(long nowMillis) {
         return nowMillis - updatedAtMillis <= updateLifetimeMillis ? Optional.of(update) : Optional.empty();
     }
 
-    /** How many processes the one beside the engine tells; the more, the longer its rounds take. */
+    /** Sets how many processes the side process updates; the more they are, the longer its rounds take. */
     void receiverCount(int receiverCount) {
         long roundMillis = NewsPace.periodMillis(receiverCount);
         updateLifetimeMillis = Math.max(MIN_FRESH_MILLIS, Math.round(FRESH_ROUNDS * roundMillis));
@@ -237,7 +245,7 @@
                 .orElse(false);
     }
 
-    /** Notes an adapter that the process beside the engine has just said to be there, before its next news. */
+    /** Notes an adapter that the side process has just reported as loaded, ahead of its next update. */
     void adapterPresent(String model, String adapter) {
         if (update == null) {
             return;
@@ -257,7 +265,10 @@
                 .orElse(0);
     }
 
-    /** The replica lacks what the news said it held, or another one has its address; the next news tells. */
+    /**
+     * Notes that the replica lacks what its update listed, or that another one has its address; the next update
+     * corrects it.
+     */
     void misdirected(Optional<String> model, Optional<String> adapter) {
         if (update == null || model.isEmpty()) {
             attemptHistory.unreachable(EventLoop.nowMillis());
@@ -270,8 +281,8 @@
     }
 
     /**
-     * Requests in the replica by the time that one sent now is there. All entries hear the same news and send to the same
-     * replica until the next, so what this one has sent since is taken to be sent by each.
+     * Returns the expected requests in the replica when one sent now arrives. All entries receive the same update and
+     * choose the same replica until the next, so each is assumed to have sent as many since as this one.
      */
     int expectedLoad(long nowMillis) {
         return freshUpdate(nowMillis)
@@ -282,12 +293,12 @@
     }
 
     /**
-     * Whether the engine is taken to have a place and memory for one more. One that has not makes another request be put
-     * back and read anew, or lets this one wait in it where nobody can tell whether it runs.
+     * Returns whether the engine is expected to have a slot and memory for one more request. If it has not, another
+     * request is preempted and recomputed, or this one queues in the engine, where nobody can tell whether it runs.
      *
-     * @param slots requests that it runs at once.
-     * @param kvTokens memory that the request is expected to take.
-     * @param nowMillis the steady time.
+     * @param slots requests that the engine runs at once.
+     * @param kvTokens the key-value cache that the request is expected to take, in tokens.
+     * @param nowMillis the monotonic time.
      */
     boolean hasRoomFor(int slots, long kvTokens, long nowMillis) {
         return freshUpdate(nowMillis)
@@ -295,7 +306,7 @@
                 .orElse(inFlight < slots);
     }
 
-    /** Other entries are taken to have sent, since the news, at the pace at which this one sends lately. */
+    /** Assumes that the other entries have sent requests, since the update, at the current rate of this one. */
     private boolean hasRoomFor(EngineNews fresh, int slots, long kvTokens, long nowMillis) {
         double seconds = (nowMillis - updatedAtMillis) / MILLIS_PER_SECOND;
         double sentByOthers = Math.max(0, fresh.getEntries() - 1) * recentSends.perSecond(nowMillis) * seconds;
@@ -314,8 +325,8 @@
     }
 
     /**
-     * Whether what the process beside the engine must know of requests there has changed since this was asked last: it
-     * evicts no adapter in use, and waits for the last request of a model that goes.
+     * Returns whether the usage that the side process must know has changed since the last call: it evicts no adapter
+     * in use, and waits for the last request of a departing model.
      */
     boolean pollUsageChanged(long nowMillis) {
         Usage currentUsage = new Usage(
@@ -328,7 +339,7 @@
         return changed;
     }
 
-    /** How long the engine loads a model still; meanwhile it takes no order for an adapter. */
+    /** Returns how long the engine still loads a model; meanwhile it accepts no order for an adapter. */
     long remainingLoadMillis(long nowMillis) {
         return freshUpdate(nowMillis)
                 .filter(EngineNews::isSetLoadingModel)
@@ -357,10 +368,10 @@
     }
 
     /**
-     * What requests from here use.
+     * The usage by requests from here.
      *
-     * @param adapters adapters, as {@code model/adapter}.
-     * @param departingModels models that the engine no longer offers.
+     * @param adapters the adapters, as {@code model/adapter}.
+     * @param departingModels the models in use that the engine no longer offers.
      */
     private record Usage(Set<String> adapters, Set<String> departingModels) {}
 }
--- a/src/main/java/io/waxwingquay/forward/TargetChooser.java
+++ b/src/main/java/io/waxwingquay/forward/TargetChooser.java
@@ -12,47 +12,52 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Chooses a replica by the time that a request is expected to wait there. Pure but for the random source: the same
- * targets and the same clock give the same costs.
+ * Chooses a replica by the time that a request is expected to wait there. Deterministic except for the random source:
+ * the same targets and the same clock give the same costs.
  */
 final class TargetChooser {
 
-    /** A replica in another data centre costs a round trip and priced bytes; it wins when it is less busy by this. */
+    /**
+     * Cost of a replica in another data centre, which takes a round trip and priced bytes; it is chosen when it is less
+     * busy by this.
+     */
     private static final double OTHER_ZONE_COST_MILLIS = 4.0;
 
-    /** How much a replica that fails is dearer, for a failure share of one. */
+    /** Factor on the cost of a replica of a plain service for a failure share of one. */
     private static final double FAILURE_COST_FACTOR = 12.0;
 
-    /** What is assumed of a replica that has not answered yet. */
+    /** Assumed answer time of a replica that has not answered yet. */
     private static final double INITIAL_ANSWER_MILLIS = 20.0;
 
-    /** How much dearer a busy engine is: at full batch each token takes about this longer over a short answer. */
+    /** Cost of a fully used engine: at full batch the tokens of a short answer take about this much longer in all. */
     private static final double FULL_BATCH_COST_MILLIS = 60.0;
 
-    /** What a late answer costs against a millisecond of a timely one, and what a failed one does. */
+    /** Cost of a late answer, and, in the next constant, of a failed one, against a millisecond of one in time. */
     private static final double LATE_COST_MILLIS = 400.0;
 
     private static final double FAILURE_COST_MILLIS = 600.0;
 
-    /** The part of an engine's time to a first event that counts; most of it is the prompts' own. */
+    /** Share of an engine's time to the first event that counts as cost; most of that time is due to the prompts. */
     private static final double SLOWNESS_SHARE = 0.5;
 
-    /** No engine is passed over for slowness more than for failing. */
+    /** Upper bound of the cost of slowness, so that an engine is not avoided for slowness more than for failures. */
     private static final double MAX_SLOWNESS_COST_MILLIS = 300.0;
 
-    /** Time to have an adapter loaded, and to have another one make way for it first. */
+    /** Time to load an adapter into a free slot, and, in the next constant, to evict another adapter first. */
     private static final double ADAPTER_LOAD_MILLIS = 25.0;
 
     private static final double ADAPTER_EVICTION_MILLIS = 40.0;
     private static final double ADAPTER_SLOTS_BUSY_COST_MILLIS = 1_000.0;
 
-    /** Draws entries to the same replica for an adapter that none holds yet. */
+    /** Largest difference in cost by which entries prefer the same replica for an adapter that no replica holds yet. */
     private static final double MAX_AFFINITY_COST_MILLIS = 15.0;
 
-    /** How long a load is expected to take when no replica tells of one under way. */
+    /**
+     * Time that a load is expected to take, beyond that of the model itself, when no replica reports one in progress.
+     */
     private static final long LOAD_START_MILLIS = 700L;
 
-    /** When a replica that was full is expected to have room: a few short answers' time. */
+    /** Time after which a full replica is expected to have a slot: that of a few short answers. */
     private static final long FULL_WAIT_MILLIS = 150L;
 
     private final String zone;
@@ -66,9 +71,9 @@
     /**
      * Chooses among the replicas of a plain service.
      *
-     * @param targets the service's replicas.
-     * @param triedTargets those that this request was sent to already.
-     * @param nowMillis the steady time.
+     * @param targets the replicas of the service.
+     * @param triedTargets the replicas to which the request was sent already.
+     * @param nowMillis the monotonic time.
      */
     Choice choosePlain(Collection<Target> targets, Set<Target> triedTargets, long nowMillis) {
         List<Target> accepting = withoutUnlisted(
@@ -92,11 +97,11 @@
     /**
      * Chooses among the engines of a service.
      *
-     * @param targets the service's replicas.
-     * @param triedTargets those that this request was sent to already.
-     * @param engine what they are.
-     * @param requirements what the request needs of one.
-     * @param nowMillis the steady time.
+     * @param targets the replicas of the service.
+     * @param triedTargets the replicas to which the request was sent already.
+     * @param engine their configuration.
+     * @param requirements what the request requires of an engine.
+     * @param nowMillis the monotonic time.
      */
     Choice chooseEngine(
             Collection<Target> targets,
@@ -132,14 +137,17 @@
         return present ? new Choice.Send(best) : new Choice.LoadAdapter(best);
     }
 
-    /** Whether nothing in this entry's way keeps a request from it now. */
+    /**
+     * Returns whether this entry may send a request to the target now: it is not paused, has a connection, and is below
+     * its rate limit.
+     */
     private static boolean isAvailable(Target target, long nowMillis) {
         return !target.attemptHistory().isPaused(nowMillis)
                 && target.pool().hasRoom()
                 && target.rateLimitDelayMillis(nowMillis) == 0;
     }
 
-    /** How long until the limit of one of them lets this entry send again; 0 if one lets it now. */
+    /** Returns the least time until the rate limit of a target lets this entry send again; 0 if one lets it now. */
     private static long rateLimitDelayMillis(List<Target> targets, long nowMillis) {
         return targets.stream()
                 .mapToLong(target -> target.rateLimitDelayMillis(nowMillis))
@@ -147,7 +155,10 @@
                 .orElse(0L);
     }
 
-    /** Leaves out those that may have left, unless all may: then their rows have lapsed together, as in an outage. */
+    /**
+     * Excludes replicas that may have departed, unless all may have: their rows have then expired together, as in an
+     * outage.
+     */
     private static List<Target> withoutUnlisted(List<Target> targets) {
         List<Target> remaining =
                 targets.stream().filter(target -> !target.mayHaveDeparted()).toList();
@@ -155,8 +166,9 @@
     }
 
     /**
-     * Leaves out engines that are silent, unless all are: then the ways between our processes may be cut. Each of these takes
-     * one request at a time, whose answer shows that it is well; more would be held there until their callers leave.
+     * Excludes unresponsive engines, unless all are: the network between our processes may then be cut. Each of these
+     * receives one request at a time, whose answer shows that the engine is healthy; more would be held there until
+     * their callers leave.
      */
     private static List<Target> responsive(List<Target> engines, long nowMillis) {
         List<Target> responsive = engines.stream()
@@ -217,7 +229,7 @@
 
     private Optional<Target> cheapest(List<Target> targets, ToDoubleFunction<Target> costMillis) {
         record Costed(Target target, double costMillis) {}
-        // A millisecond of noise parts what costs the same.
+        // Up to a millisecond of noise breaks ties.
         return targets.stream()
                 .map(target -> new Costed(target, costMillis.applyAsDouble(target) + random.nextDouble()))
                 .min(Comparator.comparingDouble(Costed::costMillis))
@@ -232,24 +244,24 @@
         boolean onLocalDisk = targets.stream()
                 .map(target -> target.freshUpdate(nowMillis))
                 .flatMap(Optional::stream)
-                .anyMatch(news -> news.getNearModels().contains(model));
+                .anyMatch(update -> update.getNearModels().contains(model));
         return engine.model(model)
                         .map(offered -> onLocalDisk ? offered.diskLoadMillis() : offered.storeLoadMillis())
                         .orElse(0L)
                 + LOAD_START_MILLIS;
     }
 
-    /** How long until the first of the replicas that load a model has it. */
+    /** Returns how long until the first of the replicas that are loading a model holds it. */
     private static OptionalLong loadInProgressMillis(Collection<Target> targets, String model, long nowMillis) {
         return targets.stream()
                 .filter(target -> target.freshUpdate(nowMillis)
-                        .filter(news -> model.equals(news.getLoadingModel()))
+                        .filter(update -> model.equals(update.getLoadingModel()))
                         .isPresent())
                 .mapToLong(target -> target.remainingLoadMillis(nowMillis))
                 .min();
     }
 
-    /** Engines that run all they can have a place free each time a stream ends. */
+    /** Estimates when a slot is free: engines at their limit free one each time a stream ends. */
     private static Choice.Full full(
             List<Target> holding,
             Engine engine,
@@ -270,7 +282,7 @@
                 copyReadyMillis);
     }
 
-    /** A number from 0 up to 1 that a pair always gets. */
+    /** Returns a number from 0 up to 1 that is always the same for the same pair. */
     private static double stableUniform(String first, String second) {
         int mixed = (first + '/' + second).hashCode() * 0x9E3779B1;
         return (mixed >>> 8) / (double) (1 << 24);
--- a/src/main/java/io/waxwingquay/forward/TargetTable.java
+++ b/src/main/java/io/waxwingquay/forward/TargetTable.java
@@ -14,7 +14,9 @@
 import java.util.function.Function;
 import java.util.stream.Collectors;
 
-/** The lives of replicas that this entry sends to. What was known of a life ends with it. */
+/**
+ * The incarnations of replicas to which this entry sends requests. What was known of an incarnation is dropped with it.
+ */
 final class TargetTable implements ReplicaDirectory.Listener {
 
     private static final System.Logger LOG = System.getLogger("waxwingquay.forward");
@@ -22,11 +24,11 @@
     private final Function<ReplicaRecord, ClientPool> poolFactory;
     private final Map<String, Target> byId = new HashMap<>();
 
-    /** Looked up for each request and each telling; made anew after a change. */
+    /** Index for the lookup of each request and each status update; rebuilt after a change. */
     private Optional<Index> index = Optional.empty();
 
-    TargetTable(Function<ReplicaRecord, ClientPool> pools) {
-        this.poolFactory = pools;
+    TargetTable(Function<ReplicaRecord, ClientPool> poolFactory) {
+        this.poolFactory = poolFactory;
     }
 
     Collection<Target> all() {
@@ -37,12 +39,12 @@
         return index().byService.getOrDefault(service, List.of());
     }
 
-    /** How many replicas a service has. */
+    /** Returns the number of replicas of a service. */
     int replicaCount(String service) {
         return ofService(service).size();
     }
 
-    /** The replica that has an address now. */
+    /** Returns the replica that has an address now. */
     Optional<Target> currentAt(HostPort address) {
         return Optional.ofNullable(index().byAddress.get(address)).filter(target -> !target.isReplaced());
     }
@@ -78,9 +80,9 @@
     }
 
     /**
-     * Failure: replicas lose power and start again at their addresses under new ids, and the rows of their earlier lives
-     * stay listed until they lapse. Symptom: requests go to ids that are no more, are turned away, and use up the
-     * retries. An address has one replica, so the one that began last is it.
+     * Marks earlier incarnations at an address as replaced. Replicas that lose power restart at their addresses under
+     * new ids, while the rows of their earlier incarnations stay listed until they expire. Requests to the old ids
+     * would be rejected and use up the retries. An address has one replica, which is the one that started last.
      */
     private void replaceEarlierIncarnations(HostPort address) {
         currentAt(address).ifPresent(current -> byId.values().stream()
--- a/src/main/java/io/waxwingquay/forward/WaitPolicy.java
+++ b/src/main/java/io/waxwingquay/forward/WaitPolicy.java
@@ -2,51 +2,57 @@
 
 import io.waxwingquay.manifest.Route;
 
-/** How long a request waits before something else is done with it. Pure: it looks at durations alone. */
+/** Limits how long a request waits before another step is taken. Stateless: it depends on durations only. */
 final class WaitPolicy {
 
-    /** The part of its remaining time that a request may wait for a model that is being loaded. */
+    /** Share of its remaining time that a request may wait for a model that is loading. */
     private static final double MODEL_WAIT_SHARE = 0.4;
 
     /**
-     * The part of its time that a request may wait here for room. Engines' own queues stay short, so those that come
-     * when there is room are in time; the others are late, which their callers like better than a refusal.
+     * Share of its time that a request may wait here for a slot. The queues of engines stay short, so requests that
+     * find a slot are in time; the others are late, which their callers prefer to a rejection.
      */
     private static final double ROOM_WAIT_SHARE = 0.2;
 
-    /** Where what is late already stands among those that wait: as if it had this left. */
+    /** Slack assumed for a request that is late already. */
     private static final long LATE_SLACK_MILLIS = 1_000L;
 
-    /** Places come free unevenly; one that is expected later than this allows for would often come too late. */
+    /**
+     * Factor for the expected wait, as slots become free unevenly: a request whose slot is expected any later would
+     * often get it too late.
+     */
     private static final double SLOT_VARIANCE_FACTOR = 1.3;
 
     /**
-     * Callers give a stream up, also before its first event, after a silence of this, of so many times its objective or
-     * of so many times the pause that is aimed at, whichever is longest. The platform's protocol says so.
+     * Minimum silence after which callers abandon a stream, also before its first event. The platform's protocol sets
+     * the timeout to the longest of this, a multiple of the objective, and a multiple of the intended pause.
      */
     private static final long MIN_CALLER_TIMEOUT_MILLIS = 2_000L;
 
     private static final long CALLER_TIMEOUT_OBJECTIVES = 4L;
     private static final long CALLER_TIMEOUT_PAUSES = 8L;
 
-    /** What a first event takes once the request has been sent; also the time in which an answer reaches a caller. */
+    /** Time from sending a request to its first event; also the time in which a response reaches a caller. */
     private static final long FIRST_EVENT_MILLIS = 200L;
 
-    /** A broken stream that can't go on within this has been given up by its caller, which waits two seconds. */
+    /** Time to resume an interrupted stream; its caller, which waits two seconds, has abandoned it after that. */
     private static final long RESUME_TIMEOUT_MILLIS = 1_500L;
 
-    /** A stream's silence after which another replica takes over: well above any pause of a sound one. */
+    /** Silence of a stream after which another replica resumes it: well above any pause of a healthy one. */
     private static final long STREAM_STALL_MILLIS = 900L;
 
-    /** The least wait for a stream's first event, which may have to queue in its engine. */
+    /** Minimum wait for the first event of a stream, which may have to queue in its engine. */
     private static final long MIN_FIRST_EVENT_TIMEOUT_MILLIS = 1_200L;
 
-    /** An answer that takes this many times what was aimed at, or is usual at its replica, will hardly come. */
+    /** Multiple of the objective, or of the usual time of the replica, after which a response is unlikely to come. */
     private static final double OVERDUE_FACTOR = 3.0;
 
     private WaitPolicy() {}
 
-    /** A caller that would leave before its first event is told at once when to come back. */
+    /**
+     * Returns whether a request may wait for a model; a caller that would leave before its first event is told at once
+     * when to retry.
+     */
     static boolean mayWaitForModel(Route route, long waitedMillis, long readyMillis, long remainingMillis) {
         return readyMillis < remainingMillis * MODEL_WAIT_SHARE && waitedMillis + readyMillis < maxWaitMillis(route);
     }
@@ -56,11 +62,11 @@
     }
 
     /**
-     * Whether a request that finds no room is queued for it.
+     * Returns whether a request that finds no free slot is queued.
      *
      * @param waitedMillis how long it has waited.
-     * @param expectedWaitMillis how long until its place is expected.
-     * @param timeoutMillis all of its time.
+     * @param expectedWaitMillis how long until its slot is expected.
+     * @param timeoutMillis the time from its arrival to its deadline.
      */
     static boolean mayEnqueue(Route route, long waitedMillis, long expectedWaitMillis, long timeoutMillis) {
         return mayWaitForRoom(
@@ -68,8 +74,9 @@
     }
 
     /**
-     * Which of those that wait comes first: the least. What is late already comes after those that can still be in time
-     * soon, and before those that can wait for long, so that no urgent route fares worse than a relaxed one.
+     * Returns the order of waiting requests, lowest first. A request that is late already comes after those that can
+     * still be in time soon, and before those that can wait for long, so that no urgent route is served worse than a
+     * relaxed one.
      */
     static long slackMillis(Route route, long waitedMillis) {
         long remainingMillis = route.objectiveMillis() - waitedMillis;
@@ -86,35 +93,35 @@
     }
 
     /**
-     * Whether a request's caller is still there when its answer begins.
+     * Returns whether the caller of a request still waits when the response begins.
      *
-     * <p>Failure: a stream that waited for room is sent just before its caller leaves, to an engine that has stopped and does
-     * not count as silent yet. Symptom: the engine runs it for nobody when it wakes. A stream that is sent only with time for
-     * its first event is given up, if the engine is not heard, before its caller leaves.
+     * <p>A stream sent just before its caller leaves, to an engine that has stopped but doesn't count as
+     * unresponsive yet, would be run for nobody when the engine continues. A stream that is sent with enough time for
+     * its first event is given up before its caller leaves if the engine is not heard.
      *
-     * @param callerIdleMillis how long the caller has had nothing new.
-     * @param usualAnswerMillis what a first event usually takes at the replica; 0 if it is not known.
+     * @param callerIdleMillis how long the caller has received nothing new.
+     * @param usualAnswerMillis the usual time to a first event at the replica; 0 if it is unknown.
      */
     static boolean callerWaitsForAnswer(Route route, long callerIdleMillis, double usualAnswerMillis) {
         return callerIdleMillis + usualAnswerMillis <= maxWaitMillis(route);
     }
 
-    /** Whether a stream's caller, that has had nothing new for so long, is about to leave. */
+    /** Returns whether the caller of a stream is about to leave, having received nothing new for this long. */
     static boolean isCallerAboutToLeave(Route route, long callerIdleMillis) {
         return route.kind() == Route.Kind.STREAM && callerIdleMillis > maxWaitMillis(route);
     }
 
-    /** Whether a broken stream may still be taken up elsewhere. */
+    /** Returns whether an interrupted stream may still be resumed at another replica. */
     static boolean mayResume(long interruptedMillis) {
         return interruptedMillis <= RESUME_TIMEOUT_MILLIS;
     }
 
-    /** Whether a stream that has begun is given up at its replica. */
+    /** Returns whether a stream that has begun is given up at its replica. */
     static boolean isStreamStalled(long silentMillis) {
         return silentMillis > STREAM_STALL_MILLIS;
     }
 
-    /** Whether a request without any answer yet is given up at its replica. */
+    /** Returns whether a request without any response yet is given up at its replica. */
     static boolean isAnswerOverdue(Route route, long silentMillis, double usualAnswerMillis) {
         double timeoutMillis = route.kind() == Route.Kind.STREAM
                 ? Math.max(MIN_FIRST_EVENT_TIMEOUT_MILLIS, OVERDUE_FACTOR * route.objectiveMillis())
--- a/src/main/java/io/waxwingquay/forward/WaitQueues.java
+++ b/src/main/java/io/waxwingquay/forward/WaitQueues.java
@@ -4,18 +4,21 @@
 import java.util.Map;
 
 /**
- * How many requests wait here for room in the same engines. Answers the load of a model that is asked for more than its
- * few copies can run: what is not expected to find room while its caller is there is refused at once, and the others are
- * looked at in order until the first finds no room.
+ * Counts the requests that wait here for a slot of the same engines. This bounds the load of a model with more demand
+ * than its few copies can serve: requests that are not expected to find a slot while their callers wait are rejected at
+ * once, and the others are checked in order until one finds no slot.
  */
 final class WaitQueues {
 
-    /** A queue whose first found no room is not looked at again within this; one look of all that wait takes less. */
+    /**
+     * How long a queue whose first request found no slot is not checked again; one check of all waiting requests takes
+     * less.
+     */
     private static final long FULL_VALIDITY_MILLIS = 10L;
 
     private final Map<String, Queue> queues = new HashMap<>();
 
-    /** How many wait in a queue. */
+    /** Returns the number of requests in a queue. */
     int size(String name) {
         Queue queue = queues.get(name);
         return queue == null ? 0 : queue.waiting;
@@ -33,7 +36,7 @@
         }
     }
 
-    /** One of a queue has found no room. */
+    /** Notes that a request of a queue found no slot. */
     void markFull(String name, long nowMillis) {
         Queue queue = queues.get(name);
         if (queue != null) {
@@ -41,7 +44,7 @@
         }
     }
 
-    /** Whether one before it in the queue has just found no room. */
+    /** Returns whether an earlier request in the queue has just found no slot. */
     boolean isFull(String name, long nowMillis) {
         Queue queue = queues.get(name);
         return queue != null && nowMillis < queue.fullUntilMillis;
--- a/src/main/java/io/waxwingquay/forward/package-info.java
+++ b/src/main/java/io/waxwingquay/forward/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Takes a caller's request to a replica and its answer back: admission, the choice of a replica, what may be sent again,
- * deadlines, and streams that go on elsewhere.
+ * Forwards requests of callers to replicas and their responses back: admission, replica selection, retries, deadlines
+ * and the resumption of streams.
  */
 package io.waxwingquay.forward;
