--- a/src/test/java/io/waxwingquay/forward/DemandMeterTest.java
+++ b/src/test/java/io/waxwingquay/forward/DemandMeterTest.java
@@ -15,10 +15,9 @@
         assertEquals(20, reportedPerSecond(30_000), 2);
     }
 
-    // Demand moves to another model within five seconds, and a copy of it takes six to load. One second in it must
-    // count
-    // for nearly what it is, of which an average over seconds shows a third, or its copies come when it is at its
-    // height already.
+    // Guards against copies that arrive when the demand is at its peak already: it moves to another model within five
+    // seconds, and a copy takes six to load. One second into the rise the reported rate must be close to the actual
+    // one, of which an average over seconds shows a third.
     @Test
     void risingDemandIsExtrapolated() {
         requestEvery(0, 1_000, 100);
--- a/src/test/java/io/waxwingquay/forward/EntryUpdateWriterTest.java
+++ b/src/test/java/io/waxwingquay/forward/EntryUpdateWriterTest.java
@@ -31,8 +31,9 @@
     private final TargetTable targets =
             new TargetTable(record -> new ClientPool(null, new InetSocketAddress("127.0.0.1", 1), 1));
 
-    // Two services have engines, and a third has none. If each process heard of all engines, or of another service's
-    // configuration, it would plan for engines that can't hold its models and read its own configuration for ever.
+    // Guards against side processes that learn of engines of other services, or of the configuration of another
+    // service: they would plan for engines that can't hold their models, and reread their own configuration for ever.
+    // Two services have engines here, and a third has none.
     @Test
     void eachEngineIsToldOfItsOwnServiceOnly() {
         list("a", "large", "10.0.0.1");
@@ -55,10 +56,9 @@
         assertEquals(SMALL.digest(), at(updates, "10.0.0.3").getEngineDigest());
     }
 
-    // Each entry told each engine all of it four times a second, and up to twenty-five times while a model was missed:
-    // with 320 entries and 2,400 engines 3 million datagrams a second at the least. What one entry sends must stay the
-    // same
-    // however many engines there are.
+    // Guards against traffic that grows with the fleet. With full updates to each engine four times a second, and up to
+    // twenty-five times while a model was missed, 320 entries and 2,400 engines would send at least 3 million datagrams
+    // per second. The rate of one entry must not depend on the number of engines.
     @Test
     void datagramRateDoesNotGrowWithTheNumberOfEngines() {
         List.of(8, 40, 300, 2_400).forEach(engines -> {
@@ -95,9 +95,8 @@
         assertEquals(100, writer.write("entry", MANIFEST, 2 * roundMillis).size());
     }
 
-    // An engine has places for few adapters. It learns only in rounds what else is asked for, but evicts no adapter
-    // that a
-    // request sent from here uses.
+    // Guards against the eviction of an adapter that a request uses: engines have slots for few adapters, and learn of
+    // the other demand in rounds only.
     @Test
     void adapterUsageIsSentToItsEngineBetweenRounds() {
         list("a", "large", "10.0.0.1");
--- a/src/test/java/io/waxwingquay/forward/EventSplitterTest.java
+++ b/src/test/java/io/waxwingquay/forward/EventSplitterTest.java
@@ -25,8 +25,8 @@
         ids.add(id);
     });
 
-    // A replica stops in the middle of an event and the stream goes on elsewhere. The caller would see half an event of
-    // one run joined with the next one's; so nothing of an event may leave before its blank line.
+    // Guards against half an event of one run joined with the next run's, when a replica stops in the middle of an
+    // event and another resumes the stream: nothing of an event may be passed on before its blank line.
     @Test
     void holdsBackAnIncompleteEvent() {
         feed("id: 1\ndata: a\n\nid: 2\ndata: b\n");
--- a/src/test/java/io/waxwingquay/forward/ExchangeStateTest.java
+++ b/src/test/java/io/waxwingquay/forward/ExchangeStateTest.java
@@ -9,15 +9,15 @@
 
 class ExchangeStateTest {
 
-    // A request waits for an adapter, is told no, and waits for another engine's. With the second wait illegal it
-    // stayed
-    // for good, and the look at the time stopped there for every request behind it.
+    // Guards against a request that never ends: it waits for an adapter, is told that it is absent, and waits for that
+    // of another engine. If the second wait were illegal, it would stay for good, and deadlines would no longer be
+    // checked for any request after it.
     @Test
     void waitingRequestMayWaitAgain() {
         assertEquals(Optional.of(ExchangeState.AWAITING), next(ExchangeState.AWAITING, ExchangeState.Event.AWAIT));
     }
 
-    // The caller has a part of a stream. From then on only the rest may follow, never a new beginning.
+    // Guards against a second beginning of a stream of which the caller has received a part; only the rest may follow.
     @Test
     void streamNeverBeginsTwice() {
         assertEquals(Optional.of(ExchangeState.RESUMING), next(ExchangeState.STREAMING, ExchangeState.Event.RETRY));
--- a/src/test/java/io/waxwingquay/forward/OverloadedModelTest.java
+++ b/src/test/java/io/waxwingquay/forward/OverloadedModelTest.java
@@ -20,8 +20,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Replays, in simulated time, a model that is asked for twice as much as its two engines can run: 24 requests a second, each
- * for some 2.5 s, in 2 engines of 16 places. Their callers leave after 2 s without a first event.
+ * Simulates a model with twice the demand that its two engines can serve: 24 requests per second, each running for some
+ * 2.5 s, on 2 engines with 16 slots. Callers leave after 2 s without a first event.
  */
 class OverloadedModelTest {
 
@@ -45,8 +45,8 @@
     private int rejectedAtOnce;
     private int rejectedLate;
 
-    // Requests wait in a queue that they can't get out of in time: callers leave without an answer, and get none of the
-    // places that come free, as those go to requests whose callers are about to leave as well.
+    // Guards against requests that queue without a chance to be served in time: their callers leave without an answer,
+    // and free slots go to requests whose callers are about to leave as well.
     @Test
     void requestThatFindsNoSlotInTimeIsRejectedAtOnceAndNoSlotIsWasted() {
         for (long nowMillis = 0; nowMillis < SIMULATED_MILLIS; nowMillis += TICK_MILLIS) {
@@ -55,7 +55,7 @@
         double capacity = 2.0 * SLOTS * SIMULATED_MILLIS / DURATION_MILLIS;
         assertTrue(served > 0.85 * capacity, "served " + served + " of " + capacity);
         assertEquals(0, servedTooLate);
-        assertTrue(rejectedLate * 10 < rejectedAtOnce, rejectedLate + " refused late, " + rejectedAtOnce + " at once");
+        assertTrue(rejectedLate * 10 < rejectedAtOnce, rejectedLate + " rejected late, " + rejectedAtOnce + " at once");
     }
 
     private void tick(long nowMillis) {
@@ -81,7 +81,7 @@
         }
     }
 
-    /** Sends a request if there is a place. */
+    /** Sends a request if there is a free slot; otherwise returns when one is expected. */
     private Optional<Choice.Full> trySend(long arrivedMillis, long nowMillis) {
         List<Target> targets = engines.stream().map(engine -> engine.target).toList();
         EngineRequirements requirements = new EngineRequirements("m", Optional.empty(), 1_000, DURATION_MILLIS);
@@ -98,7 +98,7 @@
 
     private record WaitingRequest(long arrivedMillis) {}
 
-    /** Runs each request for the same time, and tells of itself now and then. */
+    /** Runs requests for random times around the mean duration, and sends status updates at a fixed interval. */
     private static final class SimulatedEngine {
 
         private final Target target;
--- a/src/test/java/io/waxwingquay/forward/ReplicaRateLimitTest.java
+++ b/src/test/java/io/waxwingquay/forward/ReplicaRateLimitTest.java
@@ -34,7 +34,7 @@
         assertEquals(0, limit.waitMillis(100));
     }
 
-    // Guards against a burst by each answer that names another limit.
+    // Guards against a burst at each response that announces another limit.
     @Test
     void changedLimitKeepsTheEarnedCredit() {
         announce(OptionalDouble.of(2.0), 0);
--- a/src/test/java/io/waxwingquay/forward/SuspectTrackerTest.java
+++ b/src/test/java/io/waxwingquay/forward/SuspectTrackerTest.java
@@ -32,8 +32,8 @@
         suspicionOf("/x", fields, "body").connectionBroke(target("b"));
     }
 
-    // A caller sends its request again: another attempt, less time left, and for a stream the last event that it
-    // has. What is asked for is the same.
+    // Guards against a suspect that escapes by being sent again: the next attempt has another id, less time left, and
+    // for a stream the last event received, but requests the same.
     @Test
     void otherAttemptHasTheSameFingerprint() {
         HttpFields fields = fields("h", "m", "p:1")
@@ -55,7 +55,8 @@
                 suspicionOf("/x", HttpFields.build().put("Host", "h"), "body").isQuarantined());
     }
 
-    // The caller comes again at once, through another entry. That one has to know sooner than with the next news.
+    // Guards against a further crash through another entry, to which the caller turns at once: that entry must learn of
+    // the first crash before the next regular update.
     @Test
     void crashTriggersAnEarlyUpdate() {
         assertTrue(changeCount.get() >= 2);
--- a/src/test/java/io/waxwingquay/forward/SuspicionTest.java
+++ b/src/test/java/io/waxwingquay/forward/SuspicionTest.java
@@ -39,7 +39,7 @@
         assertFalse(suspicionOf(HARMLESS).isQuarantined());
     }
 
-    // Of two connections to one replica both break when it goes. That is one crash.
+    // Guards against counting one crash twice: both of two connections to a replica break when it crashes.
     @Test
     void twoBrokenConnectionsToOneReplicaCountAsOneCrash() {
         suspicionOf(POISON).connectionBroke(a);
@@ -47,7 +47,8 @@
         assertFalse(suspicionOf(POISON).isQuarantined());
     }
 
-    // A request is there by chance when a replica goes, is sent again and answered. It is free, here and for later.
+    // Guards against blaming a request that ran by chance on a replica that crashed: once it is answered on another, it
+    // is clear for good.
     @Test
     void answeredRequestIsCleared() {
         Suspicion harmless = suspicionOf(HARMLESS);
@@ -57,8 +58,8 @@
         assertFalse(suspicionOf(HARMLESS).isQuarantined());
     }
 
-    // A stream's answer has begun when its replica goes, and goes on elsewhere, where that replica goes too. A
-    // request that ends replicas as it begins to run would never have got an event.
+    // Guards against blaming a stream whose response had begun when its replica crashed, and whose next replica crashes
+    // too. A request that crashes replicas as it begins to run would never have received an event.
     @Test
     void requestWhoseAnswerHasBegunIsNoSuspect() {
         Suspicion stream = suspicionOf(HARMLESS);
@@ -69,7 +70,8 @@
         assertFalse(suspicionOf(HARMLESS).isQuarantined());
     }
 
-    // Two requests were at the first crash. Sent on together, both would be at the second one; apart, one is answered.
+    // Guards against a second crash that two requests of the first share: if sent on together, both would be blamed for
+    // it; if isolated, one of them is answered.
     @Test
     void suspectIsSentToAReplicaWithoutAnotherSuspect() {
         Suspicion poison = suspect(POISON, a);
@@ -90,7 +92,7 @@
         assertEquals(new Choice.Send(c), choose(harmless, a));
     }
 
-    // The other one takes long. The caller's time runs, so the wait has an end.
+    // Guards against a wait that outlasts the caller when the other suspect runs for long.
     @Test
     void suspectSharesAReplicaAfterTheIsolationWait() {
         Suspicion poison = suspect(POISON, a);
@@ -109,8 +111,8 @@
         assertEquals(new Choice.Send(b), choose(suspicionOf(HARMLESS), a));
     }
 
-    // A replica with too many connections resets one and lives on, as its other answers show. Were that taken for a
-    // crash, a request that meets two crowded replicas would be refused for good.
+    // Guards against quarantining a request that meets two overloaded replicas, which reset a connection without
+    // crashing, as their other responses show.
     @Test
     void breakThatTheReplicaSurvivedIsDiscounted() {
         Suspicion before = suspicionOf(HARMLESS);
@@ -124,8 +126,9 @@
         assertFalse(suspicionOf(POISON).isQuarantined());
     }
 
-    // The answer of what was sent after the break may come from the replica's next life, and one that is read right
-    // after it may have left before the crash. Neither shows that the replica lived on.
+    // Guards against clearing a real crash: the response to a request sent after the break may come from the next
+    // incarnation, and one that is read right after the break may have been sent before the crash. Neither shows that
+    // the replica survived.
     @Test
     void laterSendsAndAnswersInFlightDoNotDisproveACrash() {
         long sentMillis = nowMillis;
@@ -139,9 +142,9 @@
         assertTrue(suspicionOf(POISON).isQuarantined());
     }
 
-    // Forty requests run at each of five replicas when one of them begins to end replicas, and its caller sends it
-    // again whenever it fails. Whatever the order in which the others are sent on, two replicas go, and nobody else
-    // is refused.
+    // Guards against quarantining bystanders. Forty requests run on each of five replicas when one of them begins to
+    // crash replicas, and its caller resends it at each failure. In whatever order the others are resent, two replicas
+    // crash, and no other request is rejected.
     @Test
     void crashingRequestIsFoundAfterTwoCrashesAndNoOtherIsQuarantined() {
         Random random = new Random(17);
--- a/src/test/java/io/waxwingquay/forward/TargetChooserTest.java
+++ b/src/test/java/io/waxwingquay/forward/TargetChooserTest.java
@@ -40,8 +40,8 @@
         assertEquals(free, assertInstanceOf(Choice.Send.class, choice).target());
     }
 
-    // Half the engines lose one answer in twenty. Were they shunned, the others would be full and half of what they
-    // run be late; a stream that breaks off goes on elsewhere.
+    // Guards against avoiding engines with rare failures: when half the engines lose one answer in twenty, the others
+    // would be full and half of their answers late, while an interrupted stream is resumed elsewhere.
     @Test
     void engineWithRareFailuresIsPreferredToAFullOne() {
         Target full = target("full", "a", false);
@@ -54,8 +54,8 @@
         assertEquals(failing, assertInstanceOf(Choice.Send.class, choice).target());
     }
 
-    // All entries hear the same news. Were each to send all that comes until the next news to the engine that was
-    // least busy, it would be full by then.
+    // Guards against a herd: all entries receive the same update, and would fill the engine that was least busy before
+    // the next one.
     @Test
     void requestsBetweenTwoUpdatesAreSpread() {
         Target first = target("first", "a", false);
@@ -67,8 +67,7 @@
         assertEquals(second, assertInstanceOf(Choice.Send.class, choice).target());
     }
 
-    // A replica that is leaving is emptied and taken away. A caller sent there late is cut off, so it gets nothing
-    // new, though it is the least busy of all.
+    // Guards against requests to a draining replica, which would be cut off when it exits, though it is the least busy.
     @Test
     void sendsNothingToADrainingReplica() {
         Target draining = target("leaving", "a", true);
@@ -78,7 +77,7 @@
         assertInstanceOf(Choice.NoReplica.class, chooser.choosePlain(List.of(draining), Set.of(), nowMillis));
     }
 
-    // Guards against requests to a replica that left without notice, whose row may come back as far as is known.
+    // Guards against requests to a replica that left without notice; its missing row might as well come back.
     @Test
     void sendsNothingToAnUnlistedReplicaWhileAnotherIsListed() {
         Target unlisted = target("missing", "a", false);
@@ -90,7 +89,7 @@
                 Choice.NoReplica.class, chooser.choosePlain(List.of(unlisted, listed), Set.of(listed), nowMillis));
     }
 
-    // Guards against refusing everything after an outage in which the rows of living replicas lapsed.
+    // Guards against rejecting all requests after an outage in which the rows of live replicas expired.
     @Test
     void sendsToUnlistedReplicasWhenAllAre() {
         Target first = target("first", "a", false);
@@ -100,7 +99,7 @@
         assertInstanceOf(Choice.Send.class, chooser.choosePlain(List.of(first, second), Set.of(first), nowMillis));
     }
 
-    // Guards against piling all work on the first replica whose row is back after an outage.
+    // Guards against sending all requests to the first replica whose row is back after an outage.
     @Test
     void unlistedReplicaThatIsHeardAndNotDrainingStaysInUse() {
         Target unlisted = target("missing", "a", false);
@@ -115,8 +114,8 @@
         assertFalse(unlisted.mayHaveDeparted());
     }
 
-    // An engine's machine stands still, and so does the process beside it that tells how busy the engine is. What
-    // was told last makes it the least busy of all, and nothing that is sent there is answered.
+    // Guards against requests to an unresponsive VM: the side process there is unresponsive too, so the last update
+    // makes the engine the least busy of all.
     @Test
     void sendsNothingToAnUnresponsiveEngineWhileAnotherResponds() {
         Target unresponsive = target("silent", "a", false);
@@ -127,7 +126,8 @@
         assertEquals(responsive, assertInstanceOf(Choice.Send.class, choice).target());
     }
 
-    // Nothing was heard of any engine for a while, as with the ways between our processes cut. They may all be well.
+    // Guards against rejecting all requests when the network between our processes is cut, while the engines may be
+    // healthy.
     @Test
     void sendsToAnUnresponsiveEngineWhenNoneResponds() {
         Target unresponsive = target("silent", "a", false);
@@ -136,8 +136,8 @@
         assertEquals(unresponsive, assertInstanceOf(Choice.Send.class, choice).target());
     }
 
-    // The only engine with the model stands still. One request may find out that it does not; all that were sent
-    // after it would be held until their callers leave.
+    // Guards against requests that are held until their callers leave: one is enough to find out whether the only
+    // engine with the model is unresponsive.
     @Test
     void sendsOneRequestAtATimeToAnUnresponsiveEngine() {
         Target unresponsive = target("silent", "a", false);
@@ -146,9 +146,8 @@
         assertInstanceOf(Choice.Full.class, choose(List.of(unresponsive), Optional.empty()));
     }
 
-    // In a large deployment an engine without requests from here is heard every few seconds. The first request that is
-    // sent
-    // to it is no reason to call it silent; nothing could have been heard of that yet.
+    // Guards against taking an engine for unresponsive at its first request: without requests from here it is heard
+    // every few seconds in a large deployment.
     @Test
     void idleEngineIsNotUnresponsiveAtItsFirstRequest() {
         Target idle = target("idle", "a", false);
@@ -170,8 +169,8 @@
                 withRoom, assertInstanceOf(Choice.LoadAdapter.class, choice).target());
     }
 
-    // An engine that loads a model refuses orders for adapters until it is done. A request that waits there for its
-    // adapter is refused seconds later; another engine takes it at once.
+    // Guards against waiting seconds for an adapter: an engine that loads a model refuses orders for adapters until it
+    // is done, while another engine loads it at once.
     @Test
     void requestsNoAdapterFromAnEngineThatLoadsAModel() {
         Target loading = target("loading", "a", false);
--- a/src/test/java/io/waxwingquay/forward/TargetTableTest.java
+++ b/src/test/java/io/waxwingquay/forward/TargetTableTest.java
@@ -20,8 +20,8 @@
     private final TargetTable table =
             new TargetTable(record -> new ClientPool(null, new InetSocketAddress("127.0.0.1", 1), 10));
 
-    // A replica loses power and starts again under another id; its earlier row stays listed for seconds. A request sent
-    // to the earlier id is turned away and costs a retry, so it must go to the later one only.
+    // Guards against wasted retries: the row of an earlier incarnation stays listed for seconds after a replica has
+    // lost power and restarted under another id, and requests to the earlier id are rejected.
     @Test
     void earlierIncarnationAtAnAddressGetsNoRequests() {
         list("early", 1_000);
@@ -31,7 +31,7 @@
         assertEquals("late", table.currentAt(ADDRESS).orElseThrow().id());
     }
 
-    // The rows come in no particular order when the list is read whole.
+    // Guards against a dependence on the order of rows, which is arbitrary when the list is read as a whole.
     @Test
     void earlierIncarnationReadLaterGetsNoRequests() {
         list("late", 2_000);
--- a/src/test/java/io/waxwingquay/forward/TargetTest.java
+++ b/src/test/java/io/waxwingquay/forward/TargetTest.java
@@ -47,8 +47,8 @@
         assertEquals(8, target.expectedLoad(100));
     }
 
-    // An engine stands still just before a stream is sent to it. Its caller leaves before the engine counts as silent,
-    // and the engine runs the request for nobody when it wakes.
+    // Guards against an engine that runs a stream for nobody: it becomes unresponsive just before the stream is sent,
+    // and the caller leaves before that is certain.
     @Test
     void engineNotHeardSinceARequestWasSentMayBeUnresponsive() {
         target.update(fullUpdate(3), 17_300);
@@ -57,7 +57,8 @@
         assertFalse(target.mayBeUnresponsive(17_412, 17_600));
     }
 
-    // The same, but the engine stands still while a stream waits in it that was sent long before.
+    // Guards against an engine that runs a stream for nobody: it becomes unresponsive while a stream that was sent long
+    // before waits in it.
     @Test
     void engineNotHeardForTwoUpdatesMayBeUnresponsive() {
         target.update(fullUpdate(3), 17_300);
@@ -65,15 +66,14 @@
         assertTrue(target.mayBeUnresponsive(16_000, 17_800));
     }
 
-    // Nothing is known of an engine that was never heard, so its silence says nothing.
+    // Guards against doubting an engine that was never heard, of which silence says nothing.
     @Test
     void engineNeverHeardIsNotTakenForUnresponsive() {
         assertFalse(target.mayBeUnresponsive(16_000, 17_800));
     }
 
-    // Many entries use an engine, and each hears of it a second apart. Were each request from here taken to be sent by
-    // all
-    // of them, the engine would count as full after the first.
+    // Guards against counting each request once per entry: an engine that many entries use, and of which each hears a
+    // second apart, would count as full after the first.
     @Test
     void oneRequestDoesNotFillAnEngineSharedByManyEntries() {
         long nowMillis = EventLoop.nowMillis();
@@ -82,8 +82,8 @@
         assertTrue(target.hasRoomFor(24, 100, nowMillis + 200));
     }
 
-    // Each entry sends five requests a second to one engine. By the time that the next is sent others have sent as
-    // many.
+    // Guards against overfilling an engine to which each of five entries sends five requests a second between two
+    // updates.
     @Test
     void requestsOfOtherEntriesSinceTheUpdateAreCounted() {
         long nowMillis = EventLoop.nowMillis();
@@ -100,8 +100,7 @@
         assertFalse(target.hasRoomFor(24, 101, 0));
     }
 
-    // Datagrams overtake each other. Were the earlier one taken in after the later one, requests would go by an old
-    // load.
+    // Guards against selecting by an outdated load: datagrams may overtake each other.
     @Test
     void overtakenUpdateIsIgnored() {
         EngineNews early = loadUpdate(9);
@@ -110,7 +109,8 @@
         assertEquals(3, target.expectedLoad(10));
     }
 
-    // The first news of a life is lost. Its load must not be taken for that of the earlier life, with what that held.
+    // Guards against mixing two incarnations: when the first update of one is lost, its load must not be combined with
+    // the models of the earlier one.
     @Test
     void loadUpdateOfAnUnknownIncarnationIsIgnored() {
         target.update(loadUpdate(8), 0);
@@ -120,9 +120,8 @@
         assertEquals(3, target.expectedLoad(10));
     }
 
-    // With many processes to tell, a round takes longer. Were news forgotten within it, each engine would be taken to
-    // hold
-    // what the platform's list says, which is seconds old, and to be idle.
+    // Guards against dropping updates within a round, which takes longer with many receivers: engines would be taken to
+    // be idle and to hold what the platform's list says, which is seconds old.
     @Test
     void updateStaysValidForTwoRounds() {
         target.receiverCount(300);
--- a/src/test/java/io/waxwingquay/forward/WaitPolicyTest.java
+++ b/src/test/java/io/waxwingquay/forward/WaitPolicyTest.java
@@ -9,8 +9,8 @@
 
 class WaitPolicyTest {
 
-    // Clients give a stream up after two seconds of silence. A stream that hangs must go on elsewhere before that,
-    // and one that only pauses must not be run twice.
+    // Guards against a stream whose caller leaves after two seconds of silence. A stalled stream must be resumed
+    // elsewhere before that, and one that only pauses must not be run twice.
     @Test
     void stalledStreamIsResumedBeforeItsCallerLeaves() {
         assertFalse(WaitPolicy.isStreamStalled(200));
@@ -33,7 +33,8 @@
         assertTrue(WaitPolicy.isAnswerOverdue(route(Route.Kind.STREAM), 1_300, 0));
     }
 
-    // What can't be served is refused while there is time to come back; nothing is held to its deadline.
+    // Guards against requests that are held until their deadline: those that can't be served are rejected while there
+    // is time to retry.
     @Test
     void requestWaitsForASmallShareOfItsTimeOnly() {
         Route patient = route(Route.Kind.SAFE);
@@ -43,8 +44,8 @@
         assertFalse(WaitPolicy.mayWaitForModel(patient, 0, 6_400, 12_000));
     }
 
-    // A stream's caller leaves after two seconds without an event. A model that takes longer to come is no reason
-    // to keep it here: it is told when to come back, and finds the model then.
+    // Guards against a stream that is held beyond the two seconds without an event after which its caller leaves. If a
+    // model takes longer to load, the caller is told when to retry, and finds the model loaded then.
     @Test
     void streamDoesNotWaitBeyondTheTimeoutOfItsCaller() {
         Route stream = route(Route.Kind.STREAM);
@@ -54,7 +55,8 @@
         assertFalse(WaitPolicy.mayWaitForRoom(stream, 1_900, 12_000));
     }
 
-    // A stream that waited for room is sent when its caller is about to leave, and the engine works for nobody.
+    // Guards against an engine that works for nobody: a stream that waited for a slot is sent just before its caller
+    // leaves.
     @Test
     void streamIsNotSentWhenItsCallerWouldLeaveBeforeTheFirstEvent() {
         Route stream = route(Route.Kind.STREAM);
@@ -63,9 +65,8 @@
         assertTrue(WaitPolicy.callerWaitsForAnswer(route(Route.Kind.SAFE), 1_700, 400));
     }
 
-    // A crowded model is asked for by an urgent and by a relaxed route. Were the urgent requests that are late served
-    // last,
-    // the relaxed route would be served more often than the urgent one.
+    // Guards against a relaxed route that is served more often than an urgent one, when both use an overloaded model
+    // and late urgent requests are served last.
     @Test
     void lateUrgentRequestPrecedesARelaxedOne() {
         Route urgent = route(Route.Kind.STREAM);
@@ -86,7 +87,8 @@
         assertTrue(WaitPolicy.slackMillis(relaxed, 4_900) < WaitPolicy.slackMillis(urgent, 400));
     }
 
-    // A stream's caller leaves after two seconds of silence; just before that it can still be told.
+    // Guards against a caller that leaves without a response: it does so after two seconds of silence, and can be
+    // answered just before.
     @Test
     void callerOfASilentStreamIsAboutToLeave() {
         assertFalse(WaitPolicy.isCallerAboutToLeave(route(Route.Kind.STREAM), 1_700));
--- a/src/test/java/io/waxwingquay/forward/WaitQueuesTest.java
+++ b/src/test/java/io/waxwingquay/forward/WaitQueuesTest.java
@@ -21,7 +21,8 @@
         assertEquals(0, queues.size("c"));
     }
 
-    // Hundreds wait for one model. Were each to look at all engines each time, the entry would do nothing else.
+    // Guards against an entry that is busy with checks only, when hundreds of requests wait for one model and each
+    // checks all engines.
     @Test
     void requestThatFindsNoRoomSparesTheOthersTheSearch() {
         queues.joined("a");
