--- a/src/main/java/io/waxwingquay/forward/ActiveRequests.java
+++ b/src/main/java/io/waxwingquay/forward/ActiveRequests.java
@@ -8,23 +8,23 @@
 import java.util.Set;
 import java.util.function.Consumer;
 
-/** The requests under way. Their time limits are looked at in short steps for as long as there are any. */
+/** Holds the requests in progress and checks their deadlines at short intervals while there are any. */
 final class ActiveRequests {
 
-    /** How exactly time limits are kept. */
+    /** Interval between two checks of deadlines. */
     private static final long TICK_MILLIS = 15L;
 
-    /** A look that comes so late follows a stall of this process. */
+    /** Time between two ticks above which this process is taken to have stalled. */
     private static final long STALL_MILLIS = 200L;
 
     private static final System.Logger LOG = System.getLogger("waxwingquay.forward");
 
     private final EventLoop loop;
     private final Set<Exchange> exchanges = new HashSet<>();
-    private boolean ticking;
-    private boolean leaving;
-    private long tickedMillis;
-    private boolean passedOver;
+    private boolean tickScheduled;
+    private boolean draining;
+    private long lastTickMillis;
+    private boolean skippedLastTick;
 
     ActiveRequests(EventLoop loop) {
         this.loop = loop;
@@ -32,10 +32,10 @@
 
     void add(Exchange exchange) {
         exchanges.add(exchange);
-        if (!ticking) {
-            ticking = true;
-            passedOver = false;
-            tickedMillis = EventLoop.nowMillis();
+        if (!tickScheduled) {
+            tickScheduled = true;
+            skippedLastTick = false;
+            lastTickMillis = EventLoop.nowMillis();
             loop.schedule(TICK_MILLIS, this::tick);
         }
     }
@@ -49,59 +49,62 @@
     }
 
     List<String> ids() {
-        return exchanges.stream().map(exchange -> exchange.ask().id()).toList();
+        return exchanges.stream().map(exchange -> exchange.head().id()).toList();
     }
 
-    /** From now on requests that their replicas turn away, or that wait here, are answered at once. */
-    void leave() {
-        leaving = true;
-        each(Exchange::leave);
+    /**
+     * Rejects the requests that wait here, and from now on each one that its replica rejects, instead of letting them
+     * wait.
+     */
+    void drain() {
+        draining = true;
+        forEach(Exchange::drain);
     }
 
-    void exit() {
-        each(Exchange::exit);
+    void terminate() {
+        forEach(Exchange::terminate);
     }
 
-    /** Some end meanwhile. */
-    private void each(Consumer<Exchange> action) {
+    /** Iterates over a copy, as requests may end during the iteration. */
+    private void forEach(Consumer<Exchange> action) {
         new ArrayList<>(exchanges).forEach(action);
     }
 
     /**
-     * Failure: this process stands still, and looks at the time before it reads what has come meanwhile. Symptom: requests
-     * whose answers lie unread are given up. What has come is read before the next look, so one that is late is passed over.
-     * The next one counts however late it is, or a process that is always late would keep no time limit.
+     * Checks all deadlines. The first tick after a stall of this process is skipped: responses that arrived during the
+     * stall are not read yet, and their requests would be given up. They are read before the next tick, which counts
+     * however late it is; otherwise a process that is always late would enforce no deadline.
      */
     private void tick() {
         if (exchanges.isEmpty()) {
-            ticking = false;
+            tickScheduled = false;
             return;
         }
         loop.schedule(TICK_MILLIS, this::tick);
         long nowMillis = EventLoop.nowMillis();
-        passedOver = !passedOver && nowMillis - tickedMillis > STALL_MILLIS;
-        tickedMillis = nowMillis;
-        if (passedOver) {
+        skippedLastTick = !skippedLastTick && nowMillis - lastTickMillis > STALL_MILLIS;
+        lastTickMillis = nowMillis;
+        if (skippedLastTick) {
             return;
         }
         exchanges.stream()
                 .sorted(Comparator.comparingLong(exchange -> exchange.slackMillis(nowMillis)))
                 .toList()
                 .forEach(exchange -> tick(exchange, nowMillis));
-        if (leaving) {
-            // A request that was turned away by its replica since then would wait here too.
-            each(Exchange::leave);
+        if (draining) {
+            // A request that its replica has rejected since the drain began would wait here too.
+            forEach(Exchange::drain);
         }
     }
 
-    /** A fault in one request must not keep the time limits of the others from being looked at. */
+    /** Isolates failures, so that one request can't keep the deadlines of the others from being checked. */
     private static void tick(Exchange exchange, long nowMillis) {
         try {
             exchange.tick(nowMillis);
         } catch (RuntimeException failure) {
             LOG.log(
                     System.Logger.Level.ERROR,
-                    "forward: a request failed id=" + exchange.ask().id(),
+                    "forward: a request failed id=" + exchange.head().id(),
                     failure);
         }
     }
--- /dev/null
+++ b/src/main/java/io/waxwingquay/forward/EngineNotifier.java
@@ -0,0 +1,20 @@
+package io.waxwingquay.forward;
+
+import io.waxwingquay.common.HostPort;
+
+/** Notifies the side processes of engines of what this entry needs. */
+public interface EngineNotifier {
+
+    /**
+     * Requests an adapter.
+     *
+     * @param engine the engine that is to load it.
+     * @param id the id of the call.
+     * @param model the model.
+     * @param adapter the adapter.
+     */
+    void requestAdapter(HostPort engine, long id, String model, String adapter);
+
+    /** Announces a change of demand of which the side processes of engines should learn at once. */
+    void demandChanged();
+}
--- a/src/main/java/io/waxwingquay/forward/Forwarder.java
+++ b/src/main/java/io/waxwingquay/forward/Forwarder.java
@@ -26,24 +26,22 @@
 import org.apache.commons.codec.digest.MurmurHash3;
 import org.eclipse.jetty.http.HttpFields;
 
-/**
- * Takes callers' requests to replicas. All of it runs on the loop.
- */
-public final class Forwarder implements ServerHandler, ForwardContext, OpenRequests {
+/** Forwards requests of callers to replicas. Not thread-safe: everything runs on the event loop. */
+public final class Forwarder implements ServerHandler, ForwardContext, RequestDrain {
 
     private static final int NOT_FOUND = 404;
     private static final int UNAVAILABLE = 503;
 
-    /** A caller refused by this process alone may come back soon: it reaches another entry. */
-    private static final long ELSEWHERE_MILLIS = 200L;
+    /** Retry-after delay of a caller that only this process rejects; it soon reaches another entry. */
+    private static final long OTHER_ENTRY_RETRY_AFTER_MILLIS = 200L;
 
     /** How many times its objective a call of a plain service may take. */
-    private static final long PLAIN_OBJECTIVES = 4L;
+    private static final long MAX_PLAIN_OBJECTIVES = 4L;
 
-    /** Kept free at each replica for other callers than our entries, such as health checks. */
+    /** Share of a replica's connections used by entries; the rest is left to other clients, such as health checks. */
     private static final double CONNECTION_SHARE = 0.9;
 
-    /** The part of the deployment's retry budget that is used; the rest covers what the counts of entries miss. */
+    /** Share of the deployment's retry budget that is used; the rest covers outdated counts of entries. */
     private static final double BUDGET_SHARE = 0.8;
 
     private static final System.Logger LOG = System.getLogger("waxwingquay.forward");
@@ -52,60 +50,62 @@
     private final ForwardSettings settings;
     private final MessageCodec codec;
     private final RandomGenerator random;
-    private final Suspects suspects;
+    private final SuspectTracker suspects;
     private final TargetChooser chooser;
-    private final AdapterDesk adapters;
-    private final ForwardMeters meters;
-    private final Runnable changed;
-    private final DemandMeter demand = new DemandMeter();
-    private final WaitQueues queues = new WaitQueues();
+    private final AdapterRequester adapterRequester;
+    private final ForwardMetrics metrics;
+    private final Runnable onStateChanged;
+    private final DemandMeter demandMeter = new DemandMeter();
+    private final WaitQueues waitQueues = new WaitQueues();
     private final TargetTable targets;
-    private final NewsWriter newsWriter;
+    private final EntryUpdateWriter updateWriter;
     private final Map<String, RetryBudget> budgets = new HashMap<>();
-    private final ActiveRequests active;
+    private final ActiveRequests activeRequests;
     private Optional<Manifest> manifest = Optional.empty();
     private RouteTable routes = RouteTable.of(List.of());
-    private int entries;
-    private long exitMillis = Long.MAX_VALUE;
+    private int entryCount;
+    private long exitAtMillis = Long.MAX_VALUE;
     private boolean admitting = true;
 
     /**
-     * A forwarder without a configuration yet.
+     * Creates a forwarder without a configuration.
      *
-     * @param loop where everything runs.
-     * @param settings its figures.
+     * @param loop the loop on which everything runs.
+     * @param settings the settings.
      * @param codec reads and writes header fields.
-     * @param meters counts what becomes of requests.
-     * @param peers tells the processes beside engines.
-     * @param suspects requests whose replicas went.
-     * @param random the source of noise.
+     * @param metrics counts requests by outcome.
+     * @param engineNotifier notifies the side processes of engines.
+     * @param suspects the requests that were running when replicas crashed.
+     * @param random the source of randomness.
      */
     public Forwarder(
             EventLoop loop,
             ForwardSettings settings,
             MessageCodec codec,
-            ForwardMeters meters,
-            EngineMessages peers,
-            Suspects suspects,
+            ForwardMetrics metrics,
+            EngineNotifier engineNotifier,
+            SuspectTracker suspects,
             RandomGenerator random) {
         this.loop = loop;
         this.settings = settings;
         this.codec = codec;
-        this.meters = meters;
+        this.metrics = metrics;
         this.suspects = suspects;
         this.random = random;
-        this.entries = settings.assumedEntries();
+        this.entryCount = settings.assumedEntryCount();
         this.chooser = new TargetChooser(settings.zone(), random);
-        this.adapters = new AdapterDesk(
-                loop, (target, call) -> peers.askAdapter(target.address(), call.id(), call.model(), call.adapter()));
-        this.changed = peers::demandChanged;
-        this.targets = new TargetTable(this::pool);
-        this.newsWriter = new NewsWriter(targets, demand, EventLoop.nowMillis());
-        this.active = new ActiveRequests(loop);
+        this.adapterRequester = new AdapterRequester(
+                loop,
+                (target, call) ->
+                        engineNotifier.requestAdapter(target.address(), call.id(), call.model(), call.adapter()));
+        this.onStateChanged = engineNotifier::demandChanged;
+        this.targets = new TargetTable(this::newPool);
+        this.updateWriter = new EntryUpdateWriter(targets, demandMeter, EventLoop.nowMillis());
+        this.activeRequests = new ActiveRequests(loop);
     }
 
     /**
-     * Puts a configuration in force if it is newer than the one that is.
+     * Applies a configuration if it is newer than the current one.
      *
      * @param newer the configuration.
      */
@@ -114,9 +114,9 @@
             return;
         }
         manifest = Optional.of(newer);
-        tellSoon();
+        updateSoon();
         routes = RouteTable.of(newer.routes());
-        targets.all().forEach(target -> target.pool().maxConnections(connections(target.record())));
+        targets.all().forEach(target -> target.pool().maxConnections(maxConnections(target.record())));
         LOG.log(
                 System.Logger.Level.INFO,
                 "forward: configuration in force version={0} routes={1}",
@@ -125,18 +125,18 @@
     }
 
     /**
-     * Where changes among the replicas are to be told.
+     * Returns the listener to notify of changes of replicas.
      *
      * @return the listener.
      */
-    public ReplicaDirectory.Listener replicas() {
+    public ReplicaDirectory.Listener replicaListener() {
         return targets;
     }
 
     /**
-     * The configuration in force.
+     * Returns the current configuration.
      *
-     * @return it, empty before the first.
+     * @return the configuration, empty before the first.
      */
     public Optional<Manifest> manifest() {
         return manifest;
@@ -144,111 +144,113 @@
 
     /** {@inheritDoc} */
     @Override
-    public void leaveWithin(long millis) {
-        exitMillis = EventLoop.nowMillis() + millis;
-        active.leave();
+    public void drainWithin(long millis) {
+        exitAtMillis = EventLoop.nowMillis() + millis;
+        activeRequests.drain();
     }
 
     /** {@inheritDoc} */
     @Override
     public void endAdmission() {
         admitting = false;
-        active.exit();
+        activeRequests.terminate();
     }
 
     /** {@inheritDoc} */
     @Override
     public void handle(ServerExchange caller) {
         if (!admitting) {
-            // The exit follows without another look at what is under way, and would cut whatever is taken now.
-            refuse(caller, "this process exits");
+            // The process exits without another check of the requests in progress, and would cut off any that is
+            // accepted now.
+            reject(caller, "this process exits");
             return;
         }
         if (manifest.isEmpty()) {
-            refuse(caller, "no configuration is known here yet");
+            reject(caller, "this entry has no configuration yet");
             return;
         }
-        MessageCodec.Ask ask = codec.read(caller.request().fields());
+        MessageCodec.RequestHead head = codec.readRequest(caller.request().fields());
         String host = Optional.ofNullable(caller.request().fields().get("Host")).orElse("");
         Optional<Route> route = routes.find(host, caller.request().path());
         if (route.isEmpty()) {
-            meters.unrouted();
+            metrics.unrouted();
             LOG.log(
                     System.Logger.Level.INFO,
                     "forward: no route id={0} version={1}",
-                    ask.id(),
+                    head.id(),
                     manifest.get().version());
-            caller.respond(NOT_FOUND, HttpFields.EMPTY, "no route leads there");
+            caller.respond(NOT_FOUND, HttpFields.EMPTY, "no route matches this host and path");
             return;
         }
-        if (mayOutlast(route.get())) {
-            refuse(caller, "this process is about to exit");
+        if (mayOutlastProcess(route.get())) {
+            reject(caller, "this process is about to exit");
             return;
         }
-        Exchange exchange = new Exchange(this, caller, route.get(), ask, suspects.of(codec, caller.request()));
-        active.add(exchange);
+        Exchange exchange = new Exchange(this, caller, route.get(), head, suspects.forRequest(codec, caller.request()));
+        activeRequests.add(exchange);
         exchange.start();
     }
 
     /**
-     * Takes in what the process beside an engine tells.
+     * Processes a status update of the side process of an engine.
      *
-     * @param news the news.
+     * @param update the update.
      */
-    public void engineNews(EngineNews news) {
+    public void engineUpdate(EngineNews update) {
         long nowMillis = EventLoop.nowMillis();
-        targets.livingAt(HostPort.of(news.getEngineAddress())).ifPresent(target -> {
-            target.tellers(entries + targets.sizeOf(target.record().service()));
-            target.news(news, nowMillis);
+        targets.currentAt(HostPort.of(update.getEngineAddress())).ifPresent(target -> {
+            target.receiverCount(
+                    entryCount + targets.replicaCount(target.record().service()));
+            target.update(update, nowMillis);
         });
-        if (news.getEntries() > 0) {
-            entries(news.getEntries());
+        if (update.getEntries() > 0) {
+            setEntryCount(update.getEntries());
         }
     }
 
     /**
-     * Takes in the answer to a call for an adapter.
+     * Processes the answer to a call for an adapter.
      *
-     * @param id the call's id.
-     * @param present whether the adapter is there.
+     * @param id the id of the call.
+     * @param present whether the adapter is loaded.
      */
     public void adapterReply(long id, boolean present) {
-        adapters.replied(id, present);
+        adapterRequester.answered(id, present);
     }
 
     /**
-     * What the process beside each engine is to be told now.
+     * Returns the status updates that are due now.
      *
-     * @param node the name of this entry's VM.
-     * @return the news by the engine's address; none before a configuration is known.
+     * @param node the name of the VM of this entry.
+     * @return the updates by address of the engine; none before a configuration is known.
      */
-    public Map<HostPort, EntryNews> news(String node) {
-        return manifest.map(known -> newsWriter.write(node, known, EventLoop.nowMillis()))
+    public Map<HostPort, EntryNews> entryUpdates(String node) {
+        return manifest.map(known -> updateWriter.write(node, known, EventLoop.nowMillis()))
                 .orElse(Map.of());
     }
 
     /**
-     * How many engines have told of themselves lately.
+     * Returns the number of engines with a recent status update.
      *
-     * @return engines with fresh news.
+     * @return the number of engines.
      */
-    public int heardCount() {
+    public int freshEngineCount() {
         long nowMillis = EventLoop.nowMillis();
         return (int) targets.all().stream()
-                .filter(target -> target.freshNews(nowMillis).isPresent())
+                .filter(target -> target.freshUpdate(nowMillis).isPresent())
                 .count();
     }
 
     /** {@inheritDoc} */
     @Override
     public int activeCount() {
-        return active.count();
+        return activeRequests.count();
     }
 
     /** {@inheritDoc} */
     @Override
     public List<String> activeIds() {
-        return active.ids();
+        return activeRequests.ids();
     }
 
     /** {@inheritDoc} */
@@ -265,32 +267,32 @@
 
     /** {@inheritDoc} */
     @Override
-    public AdapterDesk adapters() {
-        return adapters;
+    public AdapterRequester adapterRequester() {
+        return adapterRequester;
     }
 
     /** {@inheritDoc} */
     @Override
-    public DemandMeter demand() {
-        return demand;
+    public DemandMeter demandMeter() {
+        return demandMeter;
     }
 
     /** {@inheritDoc} */
     @Override
-    public WaitQueues queues() {
-        return queues;
+    public WaitQueues waitQueues() {
+        return waitQueues;
     }
 
     /** {@inheritDoc} */
     @Override
     public int entryCount() {
-        return Math.max(1, entries);
+        return Math.max(1, entryCount);
     }
 
     /** {@inheritDoc} */
     @Override
     public Collection<Target> targets(String service) {
-        return targets.of(service);
+        return targets.ofService(service);
     }
 
     /** {@inheritDoc} */
@@ -305,12 +307,15 @@
         return budgets.computeIfAbsent(
                 service,
                 key -> RetryBudget.shared(
-                        settings.retryShare() * BUDGET_SHARE, burst(), random.nextDouble(), EventLoop::nowMillis));
+                        settings.retryRatio() * BUDGET_SHARE,
+                        retryBurstPerEntry(),
+                        random.nextDouble(),
+                        EventLoop::nowMillis));
     }
 
     /** {@inheritDoc} */
     @Override
-    public double uniform(String text) {
+    public double stableUniform(String text) {
         byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
         return (MurmurHash3.hash32x86(bytes) >>> 1) / (double) Integer.MAX_VALUE;
     }
@@ -324,47 +329,47 @@
     /** {@inheritDoc} */
     @Override
     public void modelMissed() {
-        tellSoon();
+        updateSoon();
     }
 
     /** {@inheritDoc} */
     @Override
-    public void misdirected(Target target, MessageCodec.Ask ask, MessageCodec.Reply reply) {
-        Optional<String> other = reply.replicaId().filter(id -> !id.equals(target.id()));
+    public void misdirected(Target target, MessageCodec.RequestHead request, MessageCodec.ResponseHead response) {
+        Optional<String> other = response.replicaId().filter(id -> !id.equals(target.id()));
         if (other.isPresent()) {
-            target.replaced();
+            target.markReplaced();
         } else {
-            target.misdirected(ask.model(), ask.adapter());
+            target.misdirected(request.model(), request.adapter());
         }
         LOG.log(
                 System.Logger.Level.INFO,
                 "forward: misdirected id={0} replica={1} answered_by={2}",
-                ask.id(),
+                request.id(),
                 target.id(),
                 other.orElse(target.id()));
     }
 
     /** {@inheritDoc} */
     @Override
-    public void limited(Target target, OptionalDouble perSecond) {
-        target.limit(perSecond, entryCount(), random::nextDouble, EventLoop.nowMillis());
+    public void rateLimitAnnounced(Target target, OptionalDouble perSecond) {
+        target.rateLimitAnnounced(perSecond, entryCount(), random::nextDouble, EventLoop.nowMillis());
     }
 
     /** {@inheritDoc} */
     @Override
     public void ended(Exchange exchange, Outcome outcome) {
-        active.remove(exchange);
+        activeRequests.remove(exchange);
         long tookMillis = EventLoop.nowMillis() - outcome.arrivedMillis();
-        meters.ended(outcome.status(), tookMillis);
+        metrics.ended(outcome.status(), tookMillis);
         LOG.log(
                 System.Logger.Level.INFO,
                 "forward: ended id={0} route={1} service={2} model={3} status={4} sent={5} took_ms={6} first_ms={7} pause_ms={8}"
                         + " waited_ms={9} objective_ms={10} pause_objective_ms={11} why={12}",
-                outcome.ask().id(),
+                outcome.head().id(),
                 outcome.route().name(),
                 outcome.service(),
-                outcome.ask().model().orElse("")
-                        + outcome.ask().adapter().map(name -> "/" + name).orElse(""),
+                outcome.head().model().orElse("")
+                        + outcome.head().adapter().map(name -> "/" + name).orElse(""),
                 outcome.status(),
                 outcome.attempts(),
                 tookMillis,
@@ -376,53 +381,56 @@
                 outcome.why());
     }
 
-    private void refuse(ServerExchange caller, String why) {
+    private void reject(ServerExchange caller, String why) {
         LOG.log(
                 System.Logger.Level.INFO,
                 "forward: refused id={0} why={1}",
-                codec.read(caller.request().fields()).id(),
+                codec.readRequest(caller.request().fields()).id(),
                 why);
-        HttpFields fields = codec.refusal(Optional.of(jitter(ELSEWHERE_MILLIS)));
+        HttpFields fields = codec.refusalFields(Optional.of(jitter(OTHER_ENTRY_RETRY_AFTER_MILLIS)));
         caller.respond(UNAVAILABLE, fields, "it has not run: " + why);
     }
 
-    /** A request that is cut by this process's exit may have run; one that is refused before can go elsewhere. */
-    private boolean mayOutlast(Route route) {
-        if (exitMillis == Long.MAX_VALUE) {
+    /**
+     * Returns whether the request may still run when this process exits. If it is cut off then, it may have run; if it
+     * is rejected now, the caller can turn to another entry.
+     */
+    private boolean mayOutlastProcess(Route route) {
+        if (exitAtMillis == Long.MAX_VALUE) {
             return false;
         }
-        long leftMillis = exitMillis - EventLoop.nowMillis();
-        return route.kind() == Route.Kind.STREAM || leftMillis < PLAIN_OBJECTIVES * route.objectiveMillis();
+        long remainingMillis = exitAtMillis - EventLoop.nowMillis();
+        return route.kind() == Route.Kind.STREAM || remainingMillis < MAX_PLAIN_OBJECTIVES * route.objectiveMillis();
     }
 
-    /** The processes beside engines should know soon of what has changed here. */
-    public void tellSoon() {
-        newsWriter.hasten();
-        changed.run();
+    /** Has the side processes of engines updated soon about changes of this entry. */
+    public void updateSoon() {
+        updateWriter.hasten();
+        onStateChanged.run();
     }
 
-    private void entries(int count) {
-        if (count != entries) {
-            entries = count;
-            budgets.values().forEach(budget -> budget.limitBurst(burst()));
-            targets.all().forEach(target -> target.pool().maxConnections(connections(target.record())));
+    private void setEntryCount(int count) {
+        if (count != entryCount) {
+            entryCount = count;
+            budgets.values().forEach(budget -> budget.limitBurst(retryBurstPerEntry()));
+            targets.all().forEach(target -> target.pool().maxConnections(maxConnections(target.record())));
         }
     }
 
-    private double burst() {
-        return settings.retrySlack() * BUDGET_SHARE / entries;
+    private double retryBurstPerEntry() {
+        return settings.retryBurst() * BUDGET_SHARE / entryCount;
     }
 
-    private ClientPool pool(ReplicaRecord record) {
+    private ClientPool newPool(ReplicaRecord record) {
         HostPort address = record.address();
-        return new ClientPool(loop, new InetSocketAddress(address.host(), address.port()), connections(record));
+        return new ClientPool(loop, new InetSocketAddress(address.host(), address.port()), maxConnections(record));
     }
 
-    /** All entries together stay below what a replica takes. */
-    private int connections(ReplicaRecord record) {
+    /** Returns the number of connections of this entry; all entries together stay below what a replica accepts. */
+    private int maxConnections(ReplicaRecord record) {
         int atReplica = manifest.map(known -> known.services().get(record.service()))
                 .map(Manifest.Service::maxConnections)
                 .orElse(record.slots());
-        return (int) Math.max(1, atReplica * CONNECTION_SHARE / entries);
+        return (int) Math.max(1, atReplica * CONNECTION_SHARE / entryCount);
     }
 }
--- a/src/main/java/io/waxwingquay/forward/RequestTerms.java
+++ b/src/main/java/io/waxwingquay/forward/RequestTerms.java
@@ -9,44 +9,44 @@
 import java.util.Set;
 import org.eclipse.jetty.http.HttpFields;
 
-/** What one request asks for, by which route, and how long it may take; it stays the same for all its tries. */
+/** The terms of one request, which are the same for all its attempts: what it requests, its route and its deadline. */
 final class RequestTerms {
 
-    /** Of two requests of the same rank the one with an objective above this can wait. */
+    /** Objective above which a request has the lower priority of two on routes of the same priority. */
     private static final long RELAXED_OBJECTIVE_MILLIS = 1_000L;
 
-    private static final int LOWEST_RANK = 9;
+    private static final int LOWEST_PRIORITY = 9;
 
     private final ForwardContext context;
     private final ServerRequest request;
     private final Route route;
-    private final MessageCodec.Ask ask;
+    private final MessageCodec.RequestHead head;
     private final String service;
     private final Optional<Engine> engine;
-    private final long limitMillis;
+    private final long deadlineAtMillis;
 
-    private RequestTerms(ForwardContext context, ServerRequest request, Route route, MessageCodec.Ask ask) {
+    private RequestTerms(ForwardContext context, ServerRequest request, Route route, MessageCodec.RequestHead head) {
         this.context = context;
         this.request = request;
         this.route = route;
-        this.ask = ask;
-        this.service = route.chooseService(context.uniform(ask.id()));
+        this.head = head;
+        this.service = route.chooseService(context.stableUniform(head.id()));
         this.engine = context.engine(service);
-        long callerMillis = ask.remainingMillis().orElse(route.timeoutMillis());
-        this.limitMillis = request.arrivedMillis() + Math.min(callerMillis, route.timeoutMillis());
+        long callerTimeoutMillis = head.remainingMillis().orElse(route.timeoutMillis());
+        this.deadlineAtMillis = request.arrivedMillis() + Math.min(callerTimeoutMillis, route.timeoutMillis());
     }
 
-    /** The terms of a request that a route takes. */
-    static RequestTerms of(ForwardContext context, ServerRequest request, Route route, MessageCodec.Ask ask) {
-        return new RequestTerms(context, request, route, ask);
+    /** Returns the terms of a request that matches a route. */
+    static RequestTerms of(ForwardContext context, ServerRequest request, Route route, MessageCodec.RequestHead head) {
+        return new RequestTerms(context, request, route, head);
     }
 
     Route route() {
         return route;
     }
 
-    MessageCodec.Ask ask() {
-        return ask;
+    MessageCodec.RequestHead head() {
+        return head;
     }
 
     String service() {
@@ -61,77 +61,81 @@
         return route.kind() == Route.Kind.STREAM;
     }
 
-    /** Whether it needs a model of an engine; else any replica of its service will do. */
+    /** Returns whether it needs a model of an engine; otherwise any replica of its service will do. */
     boolean needsModel() {
-        return engine.isPresent() && ask.model().isPresent();
+        return engine.isPresent() && head.model().isPresent();
     }
 
-    /** What is left of its time; none or less when it is over. */
-    long leftMillis(long nowMillis) {
-        return limitMillis - nowMillis;
+    /** Returns the time to the deadline; 0 or less after it. */
+    long remainingMillis(long nowMillis) {
+        return deadlineAtMillis - nowMillis;
     }
 
     boolean mayWaitForModel(long readyMillis, long nowMillis) {
-        return Patience.mayWaitForModel(route, waitedMillis(nowMillis), readyMillis, leftMillis(nowMillis));
+        return WaitPolicy.mayWaitForModel(route, waitedMillis(nowMillis), readyMillis, remainingMillis(nowMillis));
     }
 
     boolean mayWaitForRoom(long nowMillis) {
         return mayEnqueue(0, nowMillis);
     }
 
-    boolean mayEnqueue(long placeMillis, long nowMillis) {
-        long allMillis = limitMillis - request.arrivedMillis();
-        return Patience.mayEnqueue(route, waitedMillis(nowMillis), placeMillis, allMillis);
+    boolean mayEnqueue(long expectedWaitMillis, long nowMillis) {
+        long timeoutMillis = deadlineAtMillis - request.arrivedMillis();
+        return WaitPolicy.mayEnqueue(route, waitedMillis(nowMillis), expectedWaitMillis, timeoutMillis);
     }
 
     long slackMillis(long nowMillis) {
-        return Patience.slackMillis(route, waitedMillis(nowMillis));
+        return WaitPolicy.slackMillis(route, waitedMillis(nowMillis));
     }
 
-    /** What those that wait for the same places have in common. */
+    /** Returns the key of the queue of requests that wait for the same slots. */
     String queueKey() {
-        return service + '/' + ask.model().orElse("");
+        return service + '/' + head.model().orElse("");
     }
 
-    /** Whether its caller is still there when a replica begins to answer, if it has had nothing new for so long. */
-    boolean mayBegin(Target target, long silentMillis, long nowMillis) {
-        return Patience.mayBegin(route, silentMillis, target.tries().recentAnswerMillis(nowMillis));
+    /**
+     * Returns whether the caller still waits when the replica begins to respond, having received nothing new for this
+     * long.
+     */
+    boolean callerWaitsForAnswer(Target target, long callerIdleMillis, long nowMillis) {
+        return WaitPolicy.callerWaitsForAnswer(
+                route, callerIdleMillis, target.attemptHistory().recentAnswerMillis(nowMillis));
     }
 
-    /** Chooses a replica for it, other than those named. */
-    Choice choose(Set<Target> without, long nowMillis) {
+    /** Chooses a replica other than the excluded ones. */
+    Choice choose(Set<Target> excluded, long nowMillis) {
         TargetChooser chooser = context.chooser();
         return needsModel()
                 ? chooser.chooseEngine(
                         context.targets(service),
-                        without,
+                        excluded,
                         engine.get(),
-                        EngineNeed.of(ask, context.demand()),
+                        EngineRequirements.of(head, context.demandMeter()),
                         nowMillis)
-                : chooser.choosePlain(context.targets(service), without, nowMillis);
+                : chooser.choosePlain(context.targets(service), excluded, nowMillis);
     }
 
     /**
-     * The request as it is sent to a replica now.
+     * Creates the request to send to a replica now.
      *
      * @param target the replica.
-     * @param lastEventId the last event of its stream that the caller has.
-     * @param nowMillis the steady time.
+     * @param lastEventId the last event of the stream that the caller received.
+     * @param nowMillis the monotonic time.
      */
-    ClientRequest forReplica(Target target, OptionalLong lastEventId, long nowMillis) {
-        MessageCodec.Order order = new MessageCodec.Order(
+    ClientRequest toClientRequest(Target target, OptionalLong lastEventId, long nowMillis) {
+        MessageCodec.ForwardedHead forwarded = new MessageCodec.ForwardedHead(
                 target.id(),
-                Math.max(1, leftMillis(nowMillis)),
-                engine.map(each -> rank()),
+                Math.max(1, remainingMillis(nowMillis)),
+                engine.map(each -> priority()),
                 lastEventId.stream().boxed().findFirst());
-        HttpFields fields = context.codec().toReplica(request.fields(), order);
+        HttpFields fields = context.codec().requestFields(request.fields(), forwarded);
         return new ClientRequest(request.method(), request.target(), fields, request.body(), route.isSafeToRetry());
     }
 
-    /** An operator's rank first; within it, what must come sooner. */
-    private int rank() {
+    /** Returns the priority in the engine: that of the route first, and within it the urgency. */
+    private int priority() {
         int relaxed = route.objectiveMillis() > RELAXED_OBJECTIVE_MILLIS ? 1 : 0;
-        return Math.min(LOWEST_RANK, 2 * route.priority() + relaxed);
+        return Math.min(LOWEST_PRIORITY, 2 * route.priority() + relaxed);
     }
 
     private long waitedMillis(long nowMillis) {
--- a/src/main/java/io/waxwingquay/forward/Target.java
+++ b/src/main/java/io/waxwingquay/forward/Target.java
@@ -16,49 +16,52 @@
 import java.util.function.DoubleSupplier;
 import java.util.stream.Collectors;
 
-/** One life of a replica, as this entry sees it. */
+/** One incarnation of a replica, as this entry sees it. */
 final class Target {
 
-    /** Against the round in which news comes, changed or not: older news is no better than the platform's list. */
+    /**
+     * Lifetime of a status update in rounds of updates, which come whether anything changed or not: an older one is no
+     * better than the platform's list.
+     */
     private static final double FRESH_ROUNDS = 2.5;
 
-    private static final long LEAST_FRESH_MILLIS = 1_500L;
+    private static final long MIN_FRESH_MILLIS = 1_500L;
 
     /**
-     * An engine with requests from here that is not heard for this long stands still or is cut off: five tellings of its load,
-     * and far more than the pause between two events.
+     * Time after which an engine with requests from here that was not heard is unresponsive or cut off: five updates of
+     * its load, and far more than the pause between two events.
      */
-    private static final long SILENT_MILLIS = 1_000L;
+    private static final long UNRESPONSIVE_MILLIS = 1_000L;
 
-    /** Against the round in which news comes; one without requests from here is heard in rounds alone. */
-    private static final double SILENT_ROUNDS = 2.0;
+    /** The same for an engine without requests from here, in rounds of updates, as it is heard in rounds only. */
+    private static final double UNRESPONSIVE_ROUNDS = 2.0;
 
-    /** Two tellings of the load of an engine with requests from here; one that missed them may stand still. */
+    /** Time after which an engine with requests from here may be unresponsive: two updates of its load. */
     private static final long DOUBT_MILLIS = 400L;
 
-    /** Over how long requests sent from here are averaged, to tell what other entries send. */
+    /** Half-life of the rate of requests sent from here, from which those of other entries are estimated. */
     private static final double SEND_HALF_LIFE_MILLIS = 1_000.0;
 
     private static final double MILLIS_PER_SECOND = 1_000.0;
 
     private final ClientPool pool;
-    private final Listing listing = new Listing();
-    private final NamedLimit limit = new NamedLimit();
-    private final TryHistory tries = new TryHistory();
-    private final Decayed sends = new Decayed(SEND_HALF_LIFE_MILLIS);
+    private final ListingStatus listingStatus = new ListingStatus();
+    private final ReplicaRateLimit rateLimit = new ReplicaRateLimit();
+    private final AttemptHistory attemptHistory = new AttemptHistory();
+    private final DecayingSum recentSends = new DecayingSum(SEND_HALF_LIFE_MILLIS);
     private final Map<String, Integer> adaptersInUse = new HashMap<>();
     private final Map<String, Integer> modelsInUse = new HashMap<>();
     private ReplicaRecord record;
-    private EngineNews news;
-    private long newsAtMillis = Long.MIN_VALUE / 2;
-    private long heardMillis = Long.MIN_VALUE / 2;
+    private EngineNews update;
+    private long updatedAtMillis = Long.MIN_VALUE / 2;
+    private long lastAnswerMillis = Long.MIN_VALUE / 2;
     private long busySinceMillis = Long.MIN_VALUE / 2;
-    private long freshMillis = LEAST_FRESH_MILLIS;
-    private long silentMillis = SILENT_MILLIS;
+    private long updateLifetimeMillis = MIN_FRESH_MILLIS;
+    private long unresponsiveAfterMillis = UNRESPONSIVE_MILLIS;
     private int inFlight;
-    private int sentSinceNews;
-    private long tokensSinceNews;
-    private Use toldUse = new Use(Set.of(), Set.of());
+    private int sentSinceUpdate;
+    private long tokensSinceUpdate;
+    private Usage reportedUsage = new Usage(Set.of(), Set.of());
     private boolean gone;
     private boolean replaced;
 
@@ -73,15 +76,15 @@
 
     void record(ReplicaRecord newer) {
         record = newer;
-        listing.listed();
-        if (!takesWork()) {
+        listingStatus.listed();
+        if (!acceptsRequests()) {
             pool.failWaiting();
         }
     }
 
-    /** Its row is missing; it may come back. */
-    void missing() {
-        listing.missing();
+    /** Notes that its row is missing, which may come back. */
+    void markUnlisted() {
+        listingStatus.unlisted();
         pool.failWaiting();
     }
 
@@ -97,36 +100,38 @@
         return pool;
     }
 
-    TryHistory tries() {
-        return tries;
+    AttemptHistory attemptHistory() {
+        return attemptHistory;
     }
 
     int inFlight() {
         return inFlight;
     }
 
-    /** Its pool gives back what waits for a connection there, as it would arrive too late. */
-    void gone() {
+    /**
+     * Notes that the replica is gone. Requests that wait for a connection are returned, as they would arrive too late.
+     */
+    void markGone() {
         gone = true;
         pool.close();
     }
 
-    /** Whether new work may be sent here at all. */
-    boolean takesWork() {
-        return !gone && !replaced && !record.draining() && !(news != null && news.isDraining());
+    /** Returns whether new requests may be sent to it at all. */
+    boolean acceptsRequests() {
+        return !gone && !replaced && !record.draining() && !(update != null && update.isDraining());
     }
 
-    /** Whether its row is missing and nothing has told since that it stays. */
-    boolean mayHaveLeft() {
-        return listing.mayHaveLeft();
+    /** Returns whether its row is missing and no message since then has shown that it stays. */
+    boolean mayHaveDeparted() {
+        return listingStatus.mayHaveDeparted();
     }
 
     boolean isGone() {
         return gone;
     }
 
-    /** Another replica has this one's address. */
-    void replaced() {
+    /** Notes that another replica has its address. */
+    void markReplaced() {
         replaced = true;
     }
 
@@ -134,94 +139,97 @@
         return replaced;
     }
 
-    void news(EngineNews newer, long nowMillis) {
-        boolean otherLife =
+    void update(EngineNews newer, long nowMillis) {
+        boolean earlierIncarnation =
                 record.bornMillis() != 0 && newer.getBornMillis() != 0 && newer.getBornMillis() < record.bornMillis();
-        boolean older = news != null
-                && newer.getBornMillis() == news.getBornMillis()
-                && NewsNumber.isOvertaken(newer.getNumber(), news.getNumber());
+        boolean overtaken = update != null
+                && newer.getBornMillis() == update.getBornMillis()
+                && NewsNumber.isOvertaken(newer.getNumber(), update.getNumber());
         boolean isLoadOnly = !newer.isSetModels();
-        boolean isOfUnknown = isLoadOnly && (news == null || newer.getBornMillis() != news.getBornMillis());
-        if (otherLife || older || isOfUnknown) {
+        boolean lacksBase = isLoadOnly && (update == null || newer.getBornMillis() != update.getBornMillis());
+        if (earlierIncarnation || overtaken || lacksBase) {
             return;
         }
         if (isLoadOnly) {
-            newer.setModels(news.getModels()).setNearModels(news.getNearModels());
+            newer.setModels(update.getModels()).setNearModels(update.getNearModels());
         }
-        news = newer;
-        newsAtMillis = nowMillis;
-        listing.heard(newer.isDraining());
-        if (!takesWork()) {
+        update = newer;
+        updatedAtMillis = nowMillis;
+        listingStatus.heard(newer.isDraining());
+        if (!acceptsRequests()) {
             pool.failWaiting();
         }
-        sentSinceNews = 0;
-        tokensSinceNews = 0;
+        sentSinceUpdate = 0;
+        tokensSinceUpdate = 0;
     }
 
-    /** An answer has begun; a replica that is about to leave says that it closes the connection. */
-    void answerBegan(boolean closes) {
-        listing.heard(closes);
+    /** Notes that a response has begun; a replica that is about to leave announces that it closes the connection. */
+    void answerBegan(boolean closesConnection) {
+        listingStatus.heard(closesConnection);
     }
 
-    /** What its newest answer names as the requests a second that it takes from all entries together. */
-    void limit(OptionalDouble perSecond, int entries, DoubleSupplier phase, long nowMillis) {
-        limit.named(id(), perSecond, entries, phase, nowMillis);
+    /** Applies the requests per second that its latest response announces for all entries together. */
+    void rateLimitAnnounced(OptionalDouble perSecond, int entryCount, DoubleSupplier phase, long nowMillis) {
+        rateLimit.announced(id(), perSecond, entryCount, phase, nowMillis);
     }
 
-    /** How long until its limit lets this entry send it another request; 0 if it may now, or there is no limit. */
-    long limitedMillis(long nowMillis) {
-        return limit.waitMillis(nowMillis);
+    /**
+     * Returns how long until the rate limit lets this entry send another request; 0 if it may now or there is no limit.
+     */
+    long rateLimitDelayMillis(long nowMillis) {
+        return rateLimit.waitMillis(nowMillis);
     }
 
-    /** Bytes of an answer have come from it. */
-    void heard(long nowMillis) {
-        heardMillis = nowMillis;
+    /** Notes that bytes of a response have arrived. */
+    void answerReceived(long nowMillis) {
+        lastAnswerMillis = nowMillis;
     }
 
     /**
-     * Whether an engine that told of itself before does so no more, nor answers anything.
+     * Returns whether an engine that sent status updates before has sent none and answered nothing for too long.
      *
-     * <p>Failure: a VM stands still, and with it the engine and the process beside it. Symptom: what it was sent is answered
-     * when it wakes, seconds later, and what its callers gave up meanwhile is run all the same. Only the process that tells of
-     * it being gone is not enough: the engine's own answers count too. Of an engine without a request from here little is told,
-     * so that its silence says less, and counts from its first request on.
+     * <p>When a VM is unresponsive, so are its engine and the side process. What was sent to it would be answered
+     * seconds later, when it continues, and requests that their callers gave up meanwhile would be run all the same.
+     * Missing updates of the side process alone are not enough: the responses of the engine count too. An engine
+     * without a request from here is heard more rarely, so its limit is longer, and the time counts from its first
+     * request on.
      */
-    boolean isSilent(long nowMillis) {
-        if (news == null) {
+    boolean isUnresponsive(long nowMillis) {
+        if (update == null) {
             return false;
         }
-        long heardAtMillis = Math.max(newsAtMillis, heardMillis);
+        long lastHeardMillis = Math.max(updatedAtMillis, lastAnswerMillis);
         return inFlight > 0
-                ? nowMillis - Math.max(heardAtMillis, busySinceMillis) > SILENT_MILLIS
-                : nowMillis - heardAtMillis > silentMillis;
+                ? nowMillis - Math.max(lastHeardMillis, busySinceMillis) > UNRESPONSIVE_MILLIS
+                : nowMillis - lastHeardMillis > unresponsiveAfterMillis;
     }
 
     /**
-     * Whether an engine that told of itself before may stand still, though it has not been unheard for long enough to be
-     * taken for silent: neither it nor the process beside it was heard since a request was sent there, or lately.
+     * Returns whether an engine that sent status updates before may be unresponsive, though the time for that has not
+     * passed: neither it nor its side process was heard since a request was sent there, or lately.
      *
-     * @param sentMillis when the request was sent.
-     * @param nowMillis the steady time.
+     * @param sentAtMillis when the request was sent.
+     * @param nowMillis the monotonic time.
      */
-    boolean isInDoubt(long sentMillis, long nowMillis) {
-        long heardAtMillis = Math.max(newsAtMillis, heardMillis);
-        return news != null && (heardAtMillis < sentMillis || nowMillis - heardAtMillis > DOUBT_MILLIS);
+    boolean mayBeUnresponsive(long sentAtMillis, long nowMillis) {
+        long lastHeardMillis = Math.max(updatedAtMillis, lastAnswerMillis);
+        return update != null && (lastHeardMillis < sentAtMillis || nowMillis - lastHeardMillis > DOUBT_MILLIS);
     }
 
-    /** What the process beside the engine told, while it counts. */
-    Optional<EngineNews> freshNews(long nowMillis) {
-        return nowMillis - newsAtMillis <= freshMillis ? Optional.of(news) : Optional.empty();
+    /** Returns the last status update of the side process while it is recent enough. */
+    Optional<EngineNews> freshUpdate(long nowMillis) {
+        return nowMillis - updatedAtMillis <= updateLifetimeMillis ? Optional.of(update) : Optional.empty();
     }
 
-    /** How many processes the one beside the engine tells; the more, the longer its rounds take. */
-    void tellers(int receivers) {
-        long roundMillis = NewsPace.periodMillis(receivers);
-        freshMillis = Math.max(LEAST_FRESH_MILLIS, Math.round(FRESH_ROUNDS * roundMillis));
-        silentMillis = Math.max(SILENT_MILLIS, Math.round(SILENT_ROUNDS * roundMillis));
+    /** Sets how many processes the side process updates; the more they are, the longer its rounds take. */
+    void receiverCount(int receiverCount) {
+        long roundMillis = NewsPace.periodMillis(receiverCount);
+        updateLifetimeMillis = Math.max(MIN_FRESH_MILLIS, Math.round(FRESH_ROUNDS * roundMillis));
+        unresponsiveAfterMillis = Math.max(UNRESPONSIVE_MILLIS, Math.round(UNRESPONSIVE_ROUNDS * roundMillis));
     }
 
     boolean holds(String model, long nowMillis) {
-        return freshNews(nowMillis)
+        return freshUpdate(nowMillis)
                 .map(fresh -> fresh.getModels().stream()
                         .anyMatch(held -> held.getName().equals(model)))
                 .orElseGet(() ->
@@ -229,7 +237,7 @@
     }
 
     boolean holdsAdapter(String model, String adapter, long nowMillis) {
-        return freshNews(nowMillis)
+        return freshUpdate(nowMillis)
                 .map(fresh -> fresh.getModels().stream()
                         .filter(held -> held.getName().equals(model))
                         .map(HeldModel::getAdapters)
@@ -237,71 +245,74 @@
                 .orElse(false);
     }
 
-    /** Notes an adapter that the process beside the engine has just said to be there, before its next news. */
+    /** Notes an adapter that the side process has just reported as loaded, ahead of its next update. */
     void adapterPresent(String model, String adapter) {
-        if (news == null) {
+        if (update == null) {
             return;
         }
-        news.getModels().stream()
+        update.getModels().stream()
                 .filter(held -> held.getName().equals(model))
                 .filter(held -> !held.getAdapters().contains(adapter))
                 .findFirst()
                 .ifPresent(held -> held.addToAdapters(adapter));
     }
 
-    int adaptersHeld(long nowMillis) {
-        return freshNews(nowMillis)
+    int loadedAdapterCount(long nowMillis) {
+        return freshUpdate(nowMillis)
                 .map(fresh -> fresh.getModels().stream()
                         .mapToInt(held -> held.getAdapters().size())
                         .sum())
                 .orElse(0);
     }
 
-    /** The replica lacks what the news said it held, or another one has its address; the next news tells. */
+    /**
+     * Notes that the replica lacks what its update listed, or that another one has its address; the next update
+     * corrects it.
+     */
     void misdirected(Optional<String> model, Optional<String> adapter) {
-        if (news == null || model.isEmpty()) {
-            tries.unreachable(EventLoop.nowMillis());
+        if (update == null || model.isEmpty()) {
+            attemptHistory.unreachable(EventLoop.nowMillis());
             return;
         }
-        news.getModels().removeIf(held -> adapter.isEmpty() && held.getName().equals(model.get()));
-        adapter.ifPresent(name -> news.getModels().stream()
+        update.getModels().removeIf(held -> adapter.isEmpty() && held.getName().equals(model.get()));
+        adapter.ifPresent(name -> update.getModels().stream()
                 .filter(held -> held.getName().equals(model.get()))
                 .forEach(held -> held.getAdapters().remove(name)));
     }
 
     /**
-     * Requests in the replica by the time that one sent now is there. All entries hear the same news and send to the same
-     * replica until the next, so what this one has sent since is taken to be sent by each.
+     * Returns the expected requests in the replica when one sent now arrives. All entries receive the same update and
+     * choose the same replica until the next, so each is assumed to have sent as many since as this one.
      */
     int expectedLoad(long nowMillis) {
-        return freshNews(nowMillis)
+        return freshUpdate(nowMillis)
                 .map(fresh -> Math.max(
                         inFlight,
-                        fresh.getRunning() + fresh.getWaiting() + sentSinceNews * Math.max(1, fresh.getEntries())))
+                        fresh.getRunning() + fresh.getWaiting() + sentSinceUpdate * Math.max(1, fresh.getEntries())))
                 .orElse(inFlight);
     }
 
     /**
-     * Whether the engine is taken to have a place and memory for one more. One that has not makes another request be put
-     * back and read anew, or lets this one wait in it where nobody can tell whether it runs.
+     * Returns whether the engine is expected to have a slot and memory for one more request. If it has not, another
+     * request is preempted and recomputed, or this one queues in the engine, where nobody can tell whether it runs.
      *
-     * @param slots requests that it runs at once.
-     * @param tokens memory that the request is expected to take.
-     * @param nowMillis the steady time.
+     * @param slots requests that the engine runs at once.
+     * @param kvTokens the key-value cache that the request is expected to take, in tokens.
+     * @param nowMillis the monotonic time.
      */
-    boolean hasRoomFor(int slots, long tokens, long nowMillis) {
-        return freshNews(nowMillis)
-                .map(fresh -> hasRoomFor(fresh, slots, tokens, nowMillis))
+    boolean hasRoomFor(int slots, long kvTokens, long nowMillis) {
+        return freshUpdate(nowMillis)
+                .map(fresh -> hasRoomFor(fresh, slots, kvTokens, nowMillis))
                 .orElse(inFlight < slots);
     }
 
-    /** Other entries are taken to have sent, since the news, at the pace at which this one sends lately. */
-    private boolean hasRoomFor(EngineNews fresh, int slots, long tokens, long nowMillis) {
-        double seconds = (nowMillis - newsAtMillis) / MILLIS_PER_SECOND;
-        double byOthers = Math.max(0, fresh.getEntries() - 1) * sends.perSecond(nowMillis) * seconds;
-        double load = Math.max(inFlight, fresh.getRunning() + fresh.getWaiting() + sentSinceNews + byOthers);
-        double usedTokens = fresh.getKvUsedTokens() + tokensSinceNews + byOthers * tokens;
-        boolean fits = fresh.getKvTotalTokens() == 0 || usedTokens + tokens <= fresh.getKvTotalTokens();
+    /** Assumes that the other entries have sent requests, since the update, at the current rate of this one. */
+    private boolean hasRoomFor(EngineNews fresh, int slots, long kvTokens, long nowMillis) {
+        double seconds = (nowMillis - updatedAtMillis) / MILLIS_PER_SECOND;
+        double sentByOthers = Math.max(0, fresh.getEntries() - 1) * recentSends.perSecond(nowMillis) * seconds;
+        double load = Math.max(inFlight, fresh.getRunning() + fresh.getWaiting() + sentSinceUpdate + sentByOthers);
+        double usedTokens = fresh.getKvUsedTokens() + tokensSinceUpdate + sentByOthers * kvTokens;
+        boolean fits = fresh.getKvTotalTokens() == 0 || usedTokens + kvTokens <= fresh.getKvTotalTokens();
         return load < slots && fits;
     }
 
@@ -314,42 +325,42 @@
     }
 
     /**
-     * Whether what the process beside the engine must know of requests there has changed since this was asked last: it
-     * evicts no adapter in use, and waits for the last request of a model that goes.
+     * Returns whether the usage that the side process must know has changed since the last call: it evicts no adapter
+     * in use, and waits for the last request of a departing model.
      */
-    boolean isUseChanged(long nowMillis) {
-        Use now = new Use(
+    boolean pollUsageChanged(long nowMillis) {
+        Usage currentUsage = new Usage(
                 Set.copyOf(adaptersInUse.keySet()),
                 modelsInUse.keySet().stream()
                         .filter(model -> !holds(model, nowMillis))
                         .collect(Collectors.toUnmodifiableSet()));
-        boolean changed = !now.equals(toldUse);
-        toldUse = now;
+        boolean changed = !currentUsage.equals(reportedUsage);
+        reportedUsage = currentUsage;
         return changed;
     }
 
-    /** How long the engine loads a model still; meanwhile it takes no order for an adapter. */
-    long loadingMillis(long nowMillis) {
-        return freshNews(nowMillis)
+    /** Returns how long the engine still loads a model; meanwhile it accepts no order for an adapter. */
+    long remainingLoadMillis(long nowMillis) {
+        return freshUpdate(nowMillis)
                 .filter(EngineNews::isSetLoadingModel)
-                .map(fresh -> Math.max(1, fresh.getLoadingMillis() - (nowMillis - newsAtMillis)))
+                .map(fresh -> Math.max(1, fresh.getLoadingMillis() - (nowMillis - updatedAtMillis)))
                 .orElse(0L);
     }
 
-    void began(Optional<String> model, Optional<String> adapter, long tokens, long nowMillis) {
-        tokensSinceNews += tokens;
-        sends.add(1, nowMillis);
-        limit.sent(nowMillis);
-        if (inFlight == 0 && !isSilent(nowMillis)) {
+    void requestSent(Optional<String> model, Optional<String> adapter, long kvTokens, long nowMillis) {
+        tokensSinceUpdate += kvTokens;
+        recentSends.add(1, nowMillis);
+        rateLimit.sent(nowMillis);
+        if (inFlight == 0 && !isUnresponsive(nowMillis)) {
             busySinceMillis = nowMillis;
         }
         inFlight++;
-        sentSinceNews++;
+        sentSinceUpdate++;
         model.ifPresent(name -> modelsInUse.merge(name, 1, Integer::sum));
         adapter.ifPresent(name -> adaptersInUse.merge(model.orElse("") + "/" + name, 1, Integer::sum));
     }
 
-    void ended(Optional<String> model, Optional<String> adapter) {
+    void requestEnded(Optional<String> model, Optional<String> adapter) {
         inFlight--;
         model.ifPresent(name -> modelsInUse.computeIfPresent(name, (key, count) -> count > 1 ? count - 1 : null));
         adapter.ifPresent(name -> adaptersInUse.computeIfPresent(
@@ -357,10 +368,10 @@
     }
 
     /**
-     * What requests from here use.
+     * The usage by requests from here.
      *
-     * @param adapters adapters, as {@code model/adapter}.
-     * @param leaving models that the engine no longer offers.
+     * @param adapters the adapters, as {@code model/adapter}.
+     * @param departingModels the models in use that the engine no longer offers.
      */
-    private record Use(Set<String> adapters, Set<String> leaving) {}
+    private record Usage(Set<String> adapters, Set<String> departingModels) {}
 }
--- a/src/main/java/io/waxwingquay/hosted/GracefulShutdown.java
+++ b/src/main/java/io/waxwingquay/hosted/GracefulShutdown.java
@@ -1,6 +1,6 @@
 package io.waxwingquay.hosted;
 
-import io.waxwingquay.forward.OpenRequests;
+import io.waxwingquay.forward.RequestDrain;
 import io.waxwingquay.net.EventLoop;
 import io.waxwingquay.net.HttpServer;
 import java.util.concurrent.CompletableFuture;
@@ -37,14 +37,14 @@
 
     private final EventLoop loop;
     private final HttpServer server;
-    private final OpenRequests requests;
+    private final RequestDrain requests;
     private final long graceMillis;
     private final LongSupplier clockMillis;
     private final CompletableFuture<Void> completion = new CompletableFuture<>();
     private final AtomicBoolean started = new AtomicBoolean();
 
     GracefulShutdown(
-            EventLoop loop, HttpServer server, OpenRequests requests, long graceMillis, LongSupplier clockMillis) {
+            EventLoop loop, HttpServer server, RequestDrain requests, long graceMillis, LongSupplier clockMillis) {
         this.loop = loop;
         this.server = server;
         this.requests = requests;
@@ -69,7 +69,7 @@
         LOG.log(System.Logger.Level.INFO, "hosted: leaving active={0}", requests.activeCount());
         server.startDraining();
         loop.schedule(READINESS_LAG_MILLIS, () -> {
-            requests.leaveWithin(exitDeadlineMillis - clockMillis.getAsLong());
+            requests.drainWithin(exitDeadlineMillis - clockMillis.getAsLong());
             exitWhenIdle(exitDeadlineMillis);
         });
     }
--- a/src/main/java/io/waxwingquay/hosted/HostedAdminServer.java
+++ b/src/main/java/io/waxwingquay/hosted/HostedAdminServer.java
@@ -5,7 +5,7 @@
 import io.micrometer.prometheusmetrics.PrometheusConfig;
 import io.micrometer.prometheusmetrics.PrometheusMeterRegistry;
 import io.waxwingquay.common.HostPort;
-import io.waxwingquay.forward.ForwardMeters;
+import io.waxwingquay.forward.ForwardMetrics;
 import io.waxwingquay.net.EventLoop;
 import io.waxwingquay.net.HttpServer;
 import io.waxwingquay.net.ServerExchange;
@@ -48,7 +48,7 @@
         tableCopies = newCopies;
     }
 
-    ForwardMeters forwardMeters() {
+    ForwardMetrics forwardMeters() {
         return new PrometheusForwardMeters();
     }
 
@@ -65,7 +65,7 @@
         }
     }
 
-    private final class PrometheusForwardMeters implements ForwardMeters {
+    private final class PrometheusForwardMeters implements ForwardMetrics {
 
         private final Map<Integer, Timer> byStatus = new HashMap<>();
         private final Counter unrouted = Counter.builder("forward.unrouted").register(registry);
--- a/src/main/java/io/waxwingquay/hosted/HostedEntry.java
+++ b/src/main/java/io/waxwingquay/hosted/HostedEntry.java
@@ -6,10 +6,10 @@
 import io.waxwingquay.fleet.ReplicaRecord;
 import io.waxwingquay.fleet.TableWatch;
 import io.waxwingquay.fleet.WatchedTable;
-import io.waxwingquay.forward.EngineMessages;
+import io.waxwingquay.forward.EngineNotifier;
 import io.waxwingquay.forward.ForwardSettings;
 import io.waxwingquay.forward.Forwarder;
-import io.waxwingquay.forward.Suspects;
+import io.waxwingquay.forward.SuspectTracker;
 import io.waxwingquay.manifest.Manifest;
 import io.waxwingquay.net.EventLoop;
 import io.waxwingquay.net.HttpServer;
@@ -100,9 +100,9 @@
                 new HeaderCodec(),
                 adminServer.forwardMeters(),
                 new PeerMessages(),
-                new Suspects(suspects, EventLoop::nowMillis, this::onSuspectsChanged),
+                new SuspectTracker(suspects, EventLoop::nowMillis, this::onSuspectsChanged),
                 random);
-        this.replicas = new ReplicaDirectory(EventLoop::nowMillis, forwarder.replicas());
+        this.replicas = new ReplicaDirectory(EventLoop::nowMillis, forwarder.replicaListener());
         HostPort callerAddress = required(settings.callerAddress(), "listen.front");
         HostPort readinessAddress = required(settings.readinessAddress(), "listen.ready");
         this.server = HttpServer.listen(loop, socketAddress(callerAddress), forwarder);
@@ -130,7 +130,7 @@
                 replicaWatch::version,
                 replicaWatch::adopt);
         adminServer.tableCopies(platform::encodedCopy);
-        adminServer.dump(() -> "active=" + forwarder.activeCount() + " engines_heard=" + forwarder.heardCount()
+        adminServer.dump(() -> "active=" + forwarder.activeCount() + " engines_heard=" + forwarder.freshEngineCount()
                 + " suspects=" + suspects.countSuspected() + " missing=" + replicas.unlistedIds() + " replicas="
                 + replicas.replicas());
         loop.execute(this::startTasks);
@@ -176,7 +176,7 @@
     }
 
     private void onSuspectsChanged() {
-        forwarder.tellSoon();
+        forwarder.updateSoon();
     }
 
     private long configurationVersion() {
@@ -203,7 +203,7 @@
 
     private void onDatagram(HostPort sender, PeerDatagram datagram) {
         if (datagram.isSetEngine()) {
-            forwarder.engineNews(datagram.getEngine());
+            forwarder.engineUpdate(datagram.getEngine());
             suspects.merge(datagram.getEngine().getSuspects());
             onTableVersions(datagram.getEngine());
         } else if (datagram.isSetAdapterReply()) {
@@ -225,7 +225,7 @@
         TableVersions versions = new TableVersions(configurationVersion(), replicaWatch.lastChangeVersion());
         List<SuspectNews> suspectPage = suspects.nextUpdate();
         forwarder
-                .news(settings.vmName())
+                .entryUpdates(settings.vmName())
                 .forEach((engine, update) -> peers.send(
                         sideAddressOf(engine),
                         PeerDatagram.entry(
@@ -254,11 +254,11 @@
                 ASSUMED_ENTRY_COUNT);
     }
 
-    private final class PeerMessages implements EngineMessages {
+    private final class PeerMessages implements EngineNotifier {
 
         /** {@inheritDoc} */
         @Override
-        public void askAdapter(HostPort engine, long id, String model, String adapter) {
+        public void requestAdapter(HostPort engine, long id, String model, String adapter) {
             peers.send(sideAddressOf(engine), PeerDatagram.adapterCall(new AdapterCall(id, model, adapter)));
         }
 
--- a/src/main/java/io/waxwingquay/platform/HeaderCodec.java
+++ b/src/main/java/io/waxwingquay/platform/HeaderCodec.java
@@ -72,7 +72,7 @@
 
     /** {@inheritDoc} */
     @Override
-    public Ask read(HttpFields fields) {
+    public RequestHead readRequest(HttpFields fields) {
         String model = fields.get(MODEL);
         int slash = model == null ? -1 : model.indexOf('/');
         Optional<String> modelName =
@@ -81,7 +81,7 @@
         String[] tokens =
                 COMMA.split(Optional.ofNullable(fields.get(TOKEN_COUNTS)).orElse(""));
         String prefix = Optional.ofNullable(fields.get(PROMPT_PREFIX)).orElse("");
-        return new Ask(
+        return new RequestHead(
                 Optional.ofNullable(fields.get(ATTEMPT_ID)).orElse(""),
                 parseLong(fields.get(DEADLINE_REMAINING)),
                 modelName,
@@ -94,24 +94,24 @@
 
     /** {@inheritDoc} */
     @Override
-    public HttpFields toReplica(HttpFields fields, Order order) {
+    public HttpFields requestFields(HttpFields fields, ForwardedHead order) {
         HttpFields.Mutable replicaFields = MessageHead.endToEndFields(fields);
         RESERVED_FIELDS.forEach(replicaFields::remove);
         replicaFields.put(TARGET_REPLICA, order.replicaId());
         replicaFields.put(DEADLINE_REMAINING, Long.toString(order.remainingMillis()));
-        order.rank().ifPresent(rank -> replicaFields.put(REQUEST_PRIORITY, Integer.toString(rank)));
+        order.priority().ifPresent(rank -> replicaFields.put(REQUEST_PRIORITY, Integer.toString(rank)));
         order.lastEventId().ifPresent(id -> replicaFields.put(LAST_EVENT_ID, Long.toString(id)));
         return replicaFields;
     }
 
     /** {@inheritDoc} */
     @Override
-    public Reply reply(int status, HttpFields fields) {
+    public ResponseHead readResponse(int status, HttpFields fields) {
         boolean notExecuted = fields.contains(NOT_EXECUTED);
         boolean misdirected = status == MISDIRECTED_REQUEST;
         boolean full = notExecuted && (status == SERVICE_UNAVAILABLE || status == TOO_MANY_REQUESTS);
         String id = Optional.ofNullable(fields.get(ATTEMPT_ID)).orElse("");
-        return new Reply(
+        return new ResponseHead(
                 id,
                 notExecuted || misdirected,
                 misdirected,
@@ -122,7 +122,7 @@
 
     /** {@inheritDoc} */
     @Override
-    public List<String> identity(HttpFields fields) {
+    public List<String> identityFields(HttpFields fields) {
         return IDENTITY_FIELDS.stream()
                 .map(name -> Optional.ofNullable(fields.get(name)).orElse(""))
                 .toList();
@@ -130,7 +130,7 @@
 
     /** {@inheritDoc} */
     @Override
-    public HttpFields refusal(Optional<Long> retryAfterMillis) {
+    public HttpFields refusalFields(Optional<Long> retryAfterMillis) {
         HttpFields.Mutable fields = HttpFields.build();
         retryAfterMillis.ifPresent(
                 millis -> fields.put(RETRY_AFTER, String.format(Locale.ROOT, "%.3f", millis / MILLIS_PER_SECOND)));
--- a/src/test/java/io/waxwingquay/forward/WaitQueuesTest.java
+++ b/src/test/java/io/waxwingquay/forward/WaitQueuesTest.java
@@ -11,7 +11,7 @@
     private final WaitQueues queues = new WaitQueues();
 
     @Test
-    void countsEachQueueByItself() {
+    void countsEachQueueSeparately() {
         queues.joined("a");
         queues.joined("a");
         queues.joined("b");
@@ -21,9 +21,10 @@
         assertEquals(0, queues.size("c"));
     }
 
-    // Hundreds wait for one model. Were each to look at all engines each time, the entry would do nothing else.
+    // Guards against an entry that is busy with checks only, when hundreds of requests wait for one model and each
+    // checks all engines.
     @Test
-    void oneThatFindsNoRoomSparesTheOthersTheLook() {
+    void requestThatFindsNoRoomSparesTheOthersTheSearch() {
         queues.joined("a");
         queues.markFull("a", 100);
         assertTrue(queues.isFull("a", 105));
