--- a/src/main/java/io/waxwingquay/bench/Overhead.java
+++ b/src/main/java/io/waxwingquay/bench/Overhead.java
@@ -165,13 +165,13 @@
 
                 /** {@inheritDoc} */
                 @Override
-                public void token(long offset, String text) {
+                public void onToken(long offset, String text) {
                     // Only the end is timed.
                 }
 
                 /** {@inheritDoc} */
                 @Override
-                public void end(OptionalLong totalTokens, Optional<TargetException> failure) {
+                public void onEnd(OptionalLong totalTokens, Optional<TargetException> failure) {
                     if (totalTokens.isPresent()) {
                         long micros = TimeUnit.NANOSECONDS.toMicros(System.nanoTime() - startNanos);
                         figures.note(figures.directMicros, micros);
--- a/src/main/java/io/waxwingquay/engine/HttpModelEngine.java
+++ b/src/main/java/io/waxwingquay/engine/HttpModelEngine.java
@@ -85,7 +85,7 @@
 
     /** {@inheritDoc} */
     @Override
-    public CompletableFuture<EngineLoad> load() {
+    public CompletableFuture<EngineLoad> loadReport() {
         return call(request(HttpMethod.GET, "/load"), OK).thenApply(reply -> read(reply, EngineLoad.class));
     }
 
--- a/src/main/java/io/waxwingquay/engine/HttpStream.java
+++ b/src/main/java/io/waxwingquay/engine/HttpStream.java
@@ -116,7 +116,7 @@
             lose("skipped from token " + nextOffset + " to " + offset);
         } else if (offset == nextOffset) {
             nextOffset++;
-            listener.token(offset, text);
+            listener.onToken(offset, text);
         }
     }
 
@@ -126,7 +126,7 @@
             return;
         }
         if (settled.compareAndSet(false, true)) {
-            listener.end(OptionalLong.of(total), Optional.empty());
+            listener.onEnd(OptionalLong.of(total), Optional.empty());
         }
     }
 
@@ -136,7 +136,7 @@
 
     private void fail(TargetException failure) {
         if (settled.compareAndSet(false, true)) {
-            listener.end(OptionalLong.empty(), Optional.of(failure));
+            listener.onEnd(OptionalLong.empty(), Optional.of(failure));
             request.abort(failure);
         }
     }
--- a/src/main/java/io/waxwingquay/engine/ModelEngine.java
+++ b/src/main/java/io/waxwingquay/engine/ModelEngine.java
@@ -48,7 +48,7 @@
      *
      * @return the report.
      */
-    CompletableFuture<EngineLoad> load();
+    CompletableFuture<EngineLoad> loadReport();
 
     /**
      * A generation.
@@ -127,7 +127,7 @@
          * @param offset position of the token, from 0.
          * @param text the token's text.
          */
-        void token(long offset, String text);
+        void onToken(long offset, String text);
 
         /**
          * The end of the stream.
@@ -135,6 +135,6 @@
          * @param totalTokens the whole answer's length if the engine finished it, else empty.
          * @param failure why it ended early, if it did.
          */
-        void end(OptionalLong totalTokens, Optional<TargetException> failure);
+        void onEnd(OptionalLong totalTokens, Optional<TargetException> failure);
     }
 }
--- a/src/main/java/io/waxwingquay/entry/AnswerSink.java
+++ b/src/main/java/io/waxwingquay/entry/AnswerSink.java
@@ -37,7 +37,7 @@
     void restart();
 
     /** Gathers the whole answer before any of it is shown. */
-    final class Whole implements AnswerSink {
+    final class Buffered implements AnswerSink {
 
         private final ByteArrayOutputStream gathered = new ByteArrayOutputStream();
         private final BooleanSupplier abandoned;
@@ -47,7 +47,7 @@
          *
          * @param abandoned tells whether the caller has gone.
          */
-        public Whole(BooleanSupplier abandoned) {
+        public Buffered(BooleanSupplier abandoned) {
             this.abandoned = abandoned;
         }
 
--- a/src/main/java/io/waxwingquay/entry/RequestPhase.java
+++ b/src/main/java/io/waxwingquay/entry/AttemptPhase.java
@@ -5,7 +5,7 @@
 /**
  * Where an attempt stands, as the entry process sees it. {@code charts/entry-attempt.chart} has the moves.
  */
-public enum RequestPhase {
+public enum AttemptPhase {
     /** It is being handed to a side process. */
     SUBMITTING,
     /** A side process has it, and the entry waits for its answer. */
@@ -21,7 +21,7 @@
     public static final String CHART_NAME = "entry-attempt";
 
     /** The chart. */
-    static final StateChart<RequestPhase, Event> CHART = StateChart.load(CHART_NAME, RequestPhase.class, Event.class);
+    static final StateChart<AttemptPhase, Event> CHART = StateChart.load(CHART_NAME, AttemptPhase.class, Event.class);
 
     /**
      * The next phase.
@@ -30,7 +30,7 @@
      * @return the phase that follows.
      * @throws io.waxwingquay.chart.ChartException.IllegalEvent if the event cannot happen in this phase.
      */
-    RequestPhase on(Event event) {
+    AttemptPhase next(Event event) {
         return CHART.next(this, event).orElse(this);
     }
 
--- a/src/main/java/io/waxwingquay/entry/AttemptEnd.java
+++ b/src/main/java/io/waxwingquay/entry/AttemptResult.java
@@ -16,9 +16,9 @@
  * @param statusCode the plain service's HTTP status; 0 for none.
  * @param contentType the plain service's media type; empty for none.
  * @param units units of a whole answer.
- * @param certain whether the attempt can never start from now on.
+ * @param startRuledOut whether the attempt can never start from now on.
  */
-public record AttemptEnd(
+public record AttemptResult(
         Kind kind,
         Execution execution,
         Optional<RefusalReason> reason,
@@ -27,7 +27,7 @@
         int statusCode,
         String contentType,
         long units,
-        boolean certain) {
+        boolean startRuledOut) {
 
     /** The ways an attempt ends. */
     public enum Kind {
@@ -53,8 +53,9 @@
      * @param contentType the media type, else empty.
      * @return the end.
      */
-    static AttemptEnd done(long units, int statusCode, String contentType) {
-        return new AttemptEnd(Kind.DONE, Execution.RAN, Optional.empty(), "", 0, statusCode, contentType, units, true);
+    static AttemptResult completed(long units, int statusCode, String contentType) {
+        return new AttemptResult(
+                Kind.DONE, Execution.RAN, Optional.empty(), "", 0, statusCode, contentType, units, true);
     }
 
     /**
@@ -65,8 +66,8 @@
      * @param certain whether the attempt can never start from now on.
      * @return the end.
      */
-    static AttemptEnd failed(Refusal refusal, Execution execution, boolean certain) {
-        return new AttemptEnd(
+    static AttemptResult failed(Refusal refusal, Execution execution, boolean certain) {
+        return new AttemptResult(
                 Kind.FAILED,
                 execution,
                 Optional.ofNullable(refusal.getReason()),
@@ -86,9 +87,9 @@
      * @param message what happened.
      * @return the end.
      */
-    static AttemptEnd broken(Kind kind, Execution execution, String message) {
+    static AttemptResult interrupted(Kind kind, Execution execution, String message) {
         boolean certain = execution == Execution.DID_NOT_RUN;
-        return new AttemptEnd(kind, execution, Optional.empty(), message, 0, 0, "", 0, certain);
+        return new AttemptResult(kind, execution, Optional.empty(), message, 0, 0, "", 0, certain);
     }
 
     /**
@@ -107,7 +108,7 @@
             case CALLER_GONE -> FailureCode.CALLER_GONE;
             case LOST -> FailureCode.CONNECTION_LOST;
             case INCOMPLETE -> FailureCode.INCOMPLETE;
-            default -> reason.map(AttemptEnd::code).orElse(FailureCode.TARGET_FAILED);
+            default -> reason.map(AttemptResult::code).orElse(FailureCode.TARGET_FAILED);
         };
     }
 
--- a/src/main/java/io/waxwingquay/entry/AttemptRunner.java
+++ b/src/main/java/io/waxwingquay/entry/AttemptRunner.java
@@ -36,10 +36,10 @@
     private final long deadlineAtMillis;
     private final AnswerSink sink;
     private final StreamAssembler assembler = new StreamAssembler();
-    private final CompletableFuture<AttemptEnd> end = new CompletableFuture<>();
+    private final CompletableFuture<AttemptResult> end = new CompletableFuture<>();
     private final long startedAtMillis;
 
-    private RequestPhase phase = RequestPhase.CHART.initial();
+    private AttemptPhase phase = AttemptPhase.CHART.initial();
     private boolean maySubmit = true;
     private boolean mayBeDelivered;
     private long acceptedEpoch;
@@ -57,7 +57,7 @@
     }
 
     /** Hands the attempt over and gathers its answer. */
-    CompletableFuture<AttemptEnd> run() {
+    CompletableFuture<AttemptResult> run() {
         LOG.log(
                 System.Logger.Level.DEBUG,
                 () -> "entry: request " + submission.getRequestId() + " goes to side " + side.id() + " as attempt "
@@ -69,14 +69,14 @@
     }
 
     /** Gathers the answer of an attempt that another process handed over; never hands it over itself. */
-    CompletableFuture<AttemptEnd> attach() {
+    CompletableFuture<AttemptResult> attach() {
         parts.board().noteSent(side.id());
         end.whenComplete((ended, failure) -> parts.board().noteOver(side.id()));
         maySubmit = false;
         mayBeDelivered = true;
         accepted = true;
         acceptedEpoch = side.epoch();
-        advance(RequestPhase.Event.ACCEPTED);
+        advance(AttemptPhase.Event.ACCEPTED);
         guarded(this::poll);
         return end;
     }
@@ -108,7 +108,7 @@
         acceptedEpoch = answer.getSideEpoch();
         mayBeDelivered = true;
         lossesInARow = 0;
-        advance(RequestPhase.Event.ACCEPTED);
+        advance(AttemptPhase.Event.ACCEPTED);
         poll();
     }
 
@@ -124,13 +124,13 @@
         boolean otherEpoch = answer.getSideEpoch() != (accepted ? acceptedEpoch : side.epoch());
         boolean doubtful = mayBeDelivered && (otherEpoch || refusal.getReason() == RefusalReason.WRONG_EPOCH);
         Execution execution = doubtful ? Execution.UNKNOWN : refusal.getExecution();
-        finish(AttemptEnd.failed(refusal, execution, !mayBeDelivered && execution == Execution.DID_NOT_RUN));
+        finish(AttemptResult.failed(refusal, execution, !mayBeDelivered && execution == Execution.DID_NOT_RUN));
     }
 
     private void onReplacedSide() {
         protocol().cancel(submission.getAttemptId());
-        finish(AttemptEnd.broken(
-                AttemptEnd.Kind.LOST,
+        finish(AttemptResult.interrupted(
+                AttemptResult.Kind.LOST,
                 Execution.UNKNOWN,
                 "side '" + side.id() + "' was restarted while it held the request"));
     }
@@ -151,7 +151,7 @@
             return;
         }
         lossesInARow = 0;
-        advance(RequestPhase.Event.PROGRESS);
+        advance(AttemptPhase.Event.PROGRESS);
         parts.board().noteReport(side.id(), answer.getLoad(), parts.clock().monotonicMillis());
         if (answer.getState() == AttemptState.ABSENT) {
             onReplacedSide();
@@ -185,16 +185,18 @@
 
     private void onDone(PollAnswer answer, boolean progress) {
         if (!answer.isSetTotalUnits() || assembler.nextOffset() > answer.getTotalUnits()) {
-            finish(AttemptEnd.broken(
-                    AttemptEnd.Kind.INCOMPLETE, Execution.RAN, "answer of side '" + side.id() + "' has no valid end"));
+            finish(AttemptResult.interrupted(
+                    AttemptResult.Kind.INCOMPLETE,
+                    Execution.RAN,
+                    "answer of side '" + side.id() + "' has no valid end"));
         } else if (assembler.nextOffset() == answer.getTotalUnits()) {
             long tookMillis = parts.clock().monotonicMillis() - startedAtMillis;
             parts.board().noteLatency(side.id(), tookMillis);
             String contentType = answer.isSetContentType() ? answer.getContentType() : "";
-            finish(AttemptEnd.done(answer.getTotalUnits(), answer.getStatusCode(), contentType));
+            finish(AttemptResult.completed(answer.getTotalUnits(), answer.getStatusCode(), contentType));
         } else if (!progress && ++emptyPollsAfterDone > MAXIMUM_EMPTY_POLLS_AFTER_DONE) {
-            finish(AttemptEnd.broken(
-                    AttemptEnd.Kind.INCOMPLETE,
+            finish(AttemptResult.interrupted(
+                    AttemptResult.Kind.INCOMPLETE,
                     Execution.RAN,
                     "answer of side '" + side.id() + "' lacks what follows offset " + assembler.nextOffset()));
         } else {
@@ -210,7 +212,7 @@
         Execution execution = assembler.nextOffset() > 0 && refusal.getExecution() == Execution.DID_NOT_RUN
                 ? Execution.RAN
                 : refusal.getExecution();
-        finish(AttemptEnd.failed(refusal, execution, execution == Execution.DID_NOT_RUN));
+        finish(AttemptResult.failed(refusal, execution, execution == Execution.DID_NOT_RUN));
     }
 
     /**
@@ -223,20 +225,20 @@
         mayBeDelivered |= delivered;
         if (!mayBeDelivered) {
             parts.membership().noteReached(side.id(), side.epoch(), false);
-            finish(AttemptEnd.broken(
-                    AttemptEnd.Kind.LOST, Execution.DID_NOT_RUN, "side '" + side.id() + "' was not reached"));
+            finish(AttemptResult.interrupted(
+                    AttemptResult.Kind.LOST, Execution.DID_NOT_RUN, "side '" + side.id() + "' was not reached"));
             return;
         }
         if (++lossesInARow > MAXIMUM_LOSSES_IN_A_ROW) {
             parts.membership().noteReached(side.id(), side.epoch(), false);
-            finish(AttemptEnd.broken(
-                    AttemptEnd.Kind.LOST,
+            finish(AttemptResult.interrupted(
+                    AttemptResult.Kind.LOST,
                     Execution.UNKNOWN,
                     "side '" + side.id() + "' went silent; whether the request ran is unknown"));
             return;
         }
         parts.metrics().resumed();
-        advance(RequestPhase.Event.CONNECTION_LOST);
+        advance(AttemptPhase.Event.CONNECTION_LOST);
         long delayMillis = parts.backoff().delayMillis(lossesInARow - 1, parts.random());
         parts.executor().schedule(() -> guarded(this::resume), delayMillis, TimeUnit.MILLISECONDS);
     }
@@ -245,7 +247,7 @@
         if (maySubmit) {
             submit();
         } else if (!isOver()) {
-            advance(RequestPhase.Event.ACCEPTED);
+            advance(AttemptPhase.Event.ACCEPTED);
             poll();
         }
     }
@@ -256,15 +258,15 @@
         } else if (parts.remainingMillis(deadlineAtMillis) <= 0) {
             Execution execution = mayBeDelivered ? Execution.UNKNOWN : Execution.DID_NOT_RUN;
             cancel();
-            finish(AttemptEnd.broken(AttemptEnd.Kind.DEADLINE, execution, "the deadline has passed"));
+            finish(AttemptResult.interrupted(AttemptResult.Kind.DEADLINE, execution, "the deadline has passed"));
         }
         return end.isDone();
     }
 
     private void endCallerGone() {
         cancel();
-        finish(AttemptEnd.broken(
-                AttemptEnd.Kind.CALLER_GONE,
+        finish(AttemptResult.interrupted(
+                AttemptResult.Kind.CALLER_GONE,
                 mayBeDelivered ? Execution.UNKNOWN : Execution.DID_NOT_RUN,
                 "the caller has gone"));
     }
@@ -280,12 +282,12 @@
         return parts.connections().to(side.address());
     }
 
-    private void advance(RequestPhase.Event event) {
-        phase = phase.on(event);
+    private void advance(AttemptPhase.Event event) {
+        phase = phase.next(event);
     }
 
-    private void finish(AttemptEnd ended) {
-        advance(ended.kind() == AttemptEnd.Kind.DONE ? RequestPhase.Event.COMPLETED : RequestPhase.Event.ENDED);
+    private void finish(AttemptResult ended) {
+        advance(ended.kind() == AttemptResult.Kind.DONE ? AttemptPhase.Event.COMPLETED : AttemptPhase.Event.ENDED);
         end.complete(ended);
     }
 
--- a/src/main/java/io/waxwingquay/entry/CallFailure.java
+++ b/src/main/java/io/waxwingquay/entry/CallFailure.java
@@ -31,7 +31,7 @@
      * @param message what is wrong and how to mend it.
      * @return the failure.
      */
-    public static CallFailure refused(FailureCode code, String element, String message) {
+    public static CallFailure rejected(FailureCode code, String element, String message) {
         return new CallFailure(code, message, element, Execution.DID_NOT_RUN, 0);
     }
 
--- a/src/main/java/io/waxwingquay/entry/CallersHandler.java
+++ b/src/main/java/io/waxwingquay/entry/CallersHandler.java
@@ -65,11 +65,11 @@
     }
 
     private void call(String path, Request request, Response response, Callback callback) {
-        String requestId = RequestReader.requestId(request.getHeaders().get(RequestReader.REQUEST_ID));
-        response.getHeaders().put(RequestReader.REQUEST_ID, requestId);
+        String requestId = RequestReader.requestId(request.getHeaders().get(RequestReader.REQUEST_ID_HEADER));
+        response.getHeaders().put(RequestReader.REQUEST_ID_HEADER, requestId);
         Exchange exchange = new Exchange(path, requestId, request, response, callback);
         if (!gate.tryEnter()) {
-            exchange.fail(parts.withComeBack(CallFailure.refused(
+            exchange.fail(parts.withComeBack(CallFailure.rejected(
                     FailureCode.DRAINING, "entry", "this entry process is shutting down; ask another")));
             return;
         }
@@ -106,18 +106,18 @@
             try {
                 Matcher service = SERVICES.matcher(path);
                 if (!path.equals(COMPLETIONS) && !service.matches()) {
-                    throw CallFailure.refused(
+                    throw CallFailure.rejected(
                             FailureCode.UNKNOWN_PATH,
                             path,
                             "no such path; there are " + COMPLETIONS + " and /v1/services/{service}/{operation}");
                 }
                 if (!HttpMethod.POST.is(request.getMethod())) {
-                    throw CallFailure.refused(FailureCode.WRONG_METHOD, request.getMethod(), "use POST");
+                    throw CallFailure.rejected(FailureCode.WRONG_METHOD, request.getMethod(), "use POST");
                 }
-                String budget = request.getHeaders().get(RequestReader.DEADLINE);
+                String budget = request.getHeaders().get(RequestReader.DEADLINE_HEADER);
                 context = reader.context(requestId, budget, parts.clock().monotonicMillis());
                 Bundle bundle = bundles.current()
-                        .orElseThrow(() -> parts.withComeBack(CallFailure.refused(
+                        .orElseThrow(() -> parts.withComeBack(CallFailure.rejected(
                                 FailureCode.NOT_READY, "bundle", "no bundle has been verified yet")));
                 readBody().whenComplete((body, failure) -> onBody(service, bundle, body, failure));
             } catch (RuntimeException failure) {
@@ -126,7 +126,7 @@
         }
 
         private CompletableFuture<byte[]> readBody() {
-            int limitBytes = parts.settings().bodyLimitBytes();
+            int limitBytes = parts.settings().maximumBodyBytes();
             if (request.getLength() > limitBytes) {
                 return CompletableFuture.failedFuture(tooLarge(limitBytes));
             }
@@ -143,7 +143,7 @@
                             context,
                             service.group(1),
                             service.group(2),
-                            request.getHeaders().get(RequestReader.IDEMPOTENCY_KEY),
+                            request.getHeaders().get(RequestReader.IDEMPOTENCY_KEY_HEADER),
                             body,
                             bundle));
                 } else {
@@ -171,7 +171,7 @@
                 stream(call);
                 return;
             }
-            AnswerSink.Whole sink = new AnswerSink.Whole(gone::get);
+            AnswerSink.Buffered sink = new AnswerSink.Buffered(gone::get);
             models.answer(call, sink).whenComplete((end, failure) -> {
                 if (failure != null) {
                     fail(CallFailure.from(failure));
@@ -230,12 +230,12 @@
                     .filter(text -> cause instanceof IllegalStateException)
                     .isPresent();
             return large
-                    ? tooLarge(parts.settings().bodyLimitBytes())
+                    ? tooLarge(parts.settings().maximumBodyBytes())
                     : CallFailure.of(FailureCode.CALLER_GONE, "body", "the body broke off", Execution.DID_NOT_RUN);
         }
 
         private static CallFailure tooLarge(int limitBytes) {
-            return CallFailure.refused(
+            return CallFailure.rejected(
                     FailureCode.BODY_TOO_LARGE, "body", "the body is larger than " + limitBytes + " bytes; send less");
         }
     }
--- a/src/main/java/io/waxwingquay/entry/ClaimedCall.java
+++ b/src/main/java/io/waxwingquay/entry/ClaimedCall.java
@@ -122,7 +122,7 @@
     private CompletableFuture<ServiceAnswer> dispatch(Side side, Claimed claimed) {
         doors++;
         Submission submission = submission(claimed.record());
-        AnswerSink.Whole sink = new AnswerSink.Whole(() -> false);
+        AnswerSink.Buffered sink = new AnswerSink.Buffered(() -> false);
         return new AttemptRunner(parts, side, submission, request.context().deadlineAtMillis(), sink)
                 .run()
                 .thenComposeAsync(end -> onEnd(side, claimed, end, sink.bytes()), parts.executor());
@@ -135,8 +135,8 @@
                 .setSideEpoch(record.sideEpoch());
     }
 
-    private CompletableFuture<ServiceAnswer> onEnd(Side side, Claimed claimed, AttemptEnd end, byte[] body) {
-        if (end.kind() == AttemptEnd.Kind.DONE) {
+    private CompletableFuture<ServiceAnswer> onEnd(Side side, Claimed claimed, AttemptResult end, byte[] body) {
+        if (end.kind() == AttemptResult.Kind.DONE) {
             parts.comeBack().noteFinished(parts.clock().monotonicMillis());
             return settle(claimed, ServiceAnswer.of(end, body, false));
         }
@@ -149,7 +149,7 @@
             parts.metrics().claim("unknown");
             return fail(end.toFailure(side.id()));
         }
-        return end.certain() ? afterRefusal(side, claimed, end) : withdrawThenRefuse(side, claimed, end);
+        return end.startRuledOut() ? afterRefusal(side, claimed, end) : withdrawThenRefuse(side, claimed, end);
     }
 
     private CompletableFuture<ServiceAnswer> settle(Claimed claimed, ServiceAnswer answer) {
@@ -157,13 +157,13 @@
                 answer.status(),
                 answer.contentType(),
                 answer.body(),
-                parts.settings().outcomeLimitBytes());
+                parts.settings().maximumOutcomeBytes());
         outcomes.record(rowKey, claimed.version(), claimed.record().settled(outcome));
         return CompletableFuture.completedFuture(answer);
     }
 
     /** A submission whose answer was lost may still be under way; only a withdrawal rules out that it starts. */
-    private CompletableFuture<ServiceAnswer> withdrawThenRefuse(Side side, Claimed claimed, AttemptEnd end) {
+    private CompletableFuture<ServiceAnswer> withdrawThenRefuse(Side side, Claimed claimed, AttemptResult end) {
         return resolve(side, claimed.record(), true)
                 .handleAsync(
                         (answer, failure) -> failure == null && answer.getExecution() == Execution.DID_NOT_RUN
@@ -174,7 +174,7 @@
                 .thenCompose(next -> next);
     }
 
-    private CompletableFuture<ServiceAnswer> afterRefusal(Side side, Claimed claimed, AttemptEnd end) {
+    private CompletableFuture<ServiceAnswer> afterRefusal(Side side, Claimed claimed, AttemptResult end) {
         RefusalReason reason = end.reason().orElse(RefusalReason.TARGET_DOWN);
         long remainingMillis = parts.remainingMillis(request.context().deadlineAtMillis());
         boolean again = doors < MAXIMUM_DOORS
@@ -195,7 +195,7 @@
         known = Execution.UNKNOWN;
         ClaimRecord record = existing.record();
         if (record.requestFingerprint() != request.fingerprint()) {
-            return fail(CallFailure.refused(
+            return fail(CallFailure.rejected(
                     FailureCode.KEY_REUSED,
                     key,
                     "key '" + key + "' was used for another request; take a new key for a new request"));
@@ -283,13 +283,13 @@
     }
 
     private CompletableFuture<ServiceAnswer> attach(Side side, Claimed existing) {
-        AnswerSink.Whole sink = new AnswerSink.Whole(() -> false);
+        AnswerSink.Buffered sink = new AnswerSink.Buffered(() -> false);
         Submission submission = submission(existing.record());
         return new AttemptRunner(parts, side, submission, request.context().deadlineAtMillis(), sink)
                 .attach()
                 .thenComposeAsync(
                         end -> {
-                            if (end.kind() != AttemptEnd.Kind.DONE) {
+                            if (end.kind() != AttemptResult.Kind.DONE) {
                                 return fail(end.toFailure(side.id()).withExecution(Execution.RAN));
                             }
                             parts.metrics().claim("replayed");
--- a/src/main/java/io/waxwingquay/entry/EntryLimits.java
+++ b/src/main/java/io/waxwingquay/entry/EntryConfiguration.java
@@ -6,27 +6,27 @@
  * @param host the IP number it listens on for callers.
  * @param port the port; 0 for any free one.
  * @param dataCentre its data centre.
- * @param policy the routing policy's name.
+ * @param routingPolicy the routing policy's name.
  * @param defaultDeadlineMillis the budget of a request that names none.
  * @param maximumDeadlineMillis the largest budget a request may name.
- * @param bodyLimitBytes the largest request body.
- * @param outcomeLimitBytes the largest answer kept for resends of a non-idempotent call.
+ * @param maximumBodyBytes the largest request body.
+ * @param maximumOutcomeBytes the largest answer kept for resends of a non-idempotent call.
  * @param pollWaitMillis how long a side process may hold a poll.
  * @param retryShare retries allowed for each first try, 0 to 1.
- * @param claimBatch the most claim writes in one transaction.
+ * @param maximumClaimBatchSize the most claim writes in one transaction.
  */
-public record EntryLimits(
+public record EntryConfiguration(
         String host,
         int port,
         String dataCentre,
-        String policy,
+        String routingPolicy,
         long defaultDeadlineMillis,
         long maximumDeadlineMillis,
-        int bodyLimitBytes,
-        int outcomeLimitBytes,
+        int maximumBodyBytes,
+        int maximumOutcomeBytes,
         long pollWaitMillis,
         double retryShare,
-        int claimBatch) {
+        int maximumClaimBatchSize) {
 
     /**
      * Settings with every default.
@@ -36,7 +36,8 @@
      * @param dataCentre its data centre.
      * @return the settings.
      */
-    public static EntryLimits withDefaults(String host, int port, String dataCentre) {
-        return new EntryLimits(host, port, dataCentre, "waxwingquay", 30_000, 600_000, 1 << 20, 64 << 10, 250, 0.1, 64);
+    public static EntryConfiguration withDefaults(String host, int port, String dataCentre) {
+        return new EntryConfiguration(
+                host, port, dataCentre, "waxwingquay", 30_000, 600_000, 1 << 20, 64 << 10, 250, 0.1, 64);
     }
 }
--- a/src/main/java/io/waxwingquay/entry/EntryNode.java
+++ b/src/main/java/io/waxwingquay/entry/EntryNode.java
@@ -64,12 +64,13 @@
         this.executor = new ScheduledThreadPoolExecutor(FLOW_THREADS, EntryNode::daemon);
         this.executor.setRemoveOnCancelPolicy(true);
         this.parts = parts(builder);
-        GroupCommitter committer = new GroupCommitter(builder.table, builder.settings.claimBatch(), executor);
+        GroupCommitter committer =
+                new GroupCommitter(builder.table, builder.configuration.maximumClaimBatchSize(), executor);
         ClaimStore store = new ClaimStore(committer);
         this.outcomes = new OutcomeWriter(parts, store, gate);
         ServiceFlow services = new ServiceFlow(parts, store, outcomes);
         this.server = new Server(httpThreads());
-        this.connector = connector(builder.settings);
+        this.connector = connector(builder.configuration);
         server.addConnector(connector);
         server.setHandler(new CallersHandler(parts, builder.bundles, gate, new ModelFlow(parts), services));
         executor.scheduleWithFixedDelay(
@@ -183,14 +184,14 @@
     }
 
     private EntryParts parts(Builder builder) {
-        EntryLimits settings = builder.settings;
+        EntryConfiguration settings = builder.configuration;
         return new EntryParts(
                 settings,
                 builder.membership,
                 builder.connections,
                 board,
                 new SideIndex.Latest(),
-                new Router(Policy.named(settings.policy())),
+                new Router(Policy.named(settings.routingPolicy())),
                 RetryBudget.of(settings.retryShare(), RETRY_BURST),
                 new Backoff(FIRST_BACKOFF_MILLIS, MAXIMUM_BACKOFF_MILLIS),
                 new ComeBack(MINIMUM_COME_BACK_MILLIS, MAXIMUM_COME_BACK_MILLIS, builder.clock.monotonicMillis()),
@@ -205,7 +206,7 @@
         board.retain(membership.sides().stream().map(Side::id).collect(Collectors.toSet()));
     }
 
-    private ServerConnector connector(EntryLimits settings) {
+    private ServerConnector connector(EntryConfiguration settings) {
         HttpConfiguration http = new HttpConfiguration();
         http.setSendServerVersion(false);
         ServerConnector listening = new ServerConnector(server, 1, 1, new HttpConnectionFactory(http));
@@ -231,7 +232,7 @@
     /** Gathers what an entry process works with. */
     public static final class Builder {
 
-        private EntryLimits settings;
+        private EntryConfiguration configuration;
         private BundleSource bundles;
         private Membership membership;
         private Connections connections;
@@ -250,8 +251,8 @@
          * @param value the settings.
          * @return this builder.
          */
-        public Builder settings(EntryLimits value) {
-            this.settings = value;
+        public Builder configuration(EntryConfiguration value) {
+            this.configuration = value;
             return this;
         }
 
@@ -349,7 +350,7 @@
          * @return the process.
          */
         public EntryNode build() {
-            Objects.requireNonNull(settings, "settings");
+            Objects.requireNonNull(configuration, "settings");
             Objects.requireNonNull(bundles, "bundles");
             Objects.requireNonNull(membership, "membership");
             Objects.requireNonNull(connections, "connections");
--- a/src/main/java/io/waxwingquay/entry/EntryParts.java
+++ b/src/main/java/io/waxwingquay/entry/EntryParts.java
@@ -37,7 +37,7 @@
  * @param suspects requests that were running when targets crashed.
  */
 record EntryParts(
-        EntryLimits settings,
+        EntryConfiguration settings,
         Membership membership,
         Connections connections,
         LoadBoard board,
@@ -81,13 +81,13 @@
         boolean quarantined = suspects.filter(book -> book.standing(fingerprint) == SuspectBook.Standing.QUARANTINED)
                 .isPresent();
         if (quarantined) {
-            throw CallFailure.refused(
+            throw CallFailure.rejected(
                     FailureCode.QUARANTINED, "request", "the request was running when targets crashed");
         }
     }
 
     CallFailure noTarget(String service) {
-        CallFailure failure = CallFailure.refused(
+        CallFailure failure = CallFailure.rejected(
                 FailureCode.NO_TARGET, service, "no side process of service '" + service + "' takes work now");
         return withComeBack(failure);
     }
--- a/src/main/java/io/waxwingquay/entry/ModelFlow.java
+++ b/src/main/java/io/waxwingquay/entry/ModelFlow.java
@@ -26,7 +26,7 @@
      * @return the end of a whole answer; fails with {@link CallFailure}.
      * @throws CallFailure if the request is quarantined.
      */
-    CompletableFuture<AttemptEnd> answer(ModelRequest request, AnswerSink sink) {
+    CompletableFuture<AttemptResult> answer(ModelRequest request, AnswerSink sink) {
         parts.refuseQuarantined(request.fingerprint());
         RouteQuery query = new RouteQuery(
                 request.service(),
--- a/src/main/java/io/waxwingquay/entry/RequestReader.java
+++ b/src/main/java/io/waxwingquay/entry/RequestReader.java
@@ -16,18 +16,18 @@
 /**
  * Turns what a caller sent into a valid request, or into a {@link CallFailure} that names the element at fault.
  *
- * @param settings limits and defaults.
+ * @param configuration limits and defaults.
  */
-public record RequestReader(EntryLimits settings) {
+public record RequestReader(EntryConfiguration configuration) {
 
     /** Header with the request's identity. */
-    public static final String REQUEST_ID = "X-Request-Id";
+    public static final String REQUEST_ID_HEADER = "X-Request-Id";
 
     /** Header with the budget in milliseconds. */
-    public static final String DEADLINE = "X-Deadline-Millis";
+    public static final String DEADLINE_HEADER = "X-Deadline-Millis";
 
     /** Header with the idempotency key. */
-    public static final String IDEMPOTENCY_KEY = "Idempotency-Key";
+    public static final String IDEMPOTENCY_KEY_HEADER = "Idempotency-Key";
 
     private static final int MAXIMUM_ID_LENGTH = 200;
     private static final int PREFIX_CHARACTERS = 256;
@@ -43,7 +43,7 @@
      * @return the context.
      */
     public CallContext context(String requestId, String budget, long nowMillis) {
-        long budgetMillis = budget == null ? settings.defaultDeadlineMillis() : budgetMillis(budget.trim());
+        long budgetMillis = budget == null ? configuration.defaultDeadlineMillis() : budgetMillis(budget.trim());
         return new CallContext(requestId(requestId), nowMillis, nowMillis + budgetMillis);
     }
 
@@ -72,13 +72,13 @@
         require(sent.model(), "model");
         require(sent.prompt(), "prompt");
         Bundle.Model model = bundle.model(sent.model())
-                .orElseThrow(() -> CallFailure.refused(
+                .orElseThrow(() -> CallFailure.rejected(
                         FailureCode.UNKNOWN_MODEL,
                         sent.model(),
                         "no bundle names model '" + sent.model() + "'; ask for a model of the bundle in force"));
         int maxTokens = sent.maxTokens().orElseThrow(() -> missing("max_tokens"));
         if (maxTokens < 1 || maxTokens > MAXIMUM_TOKENS) {
-            throw CallFailure.refused(
+            throw CallFailure.rejected(
                     FailureCode.BAD_VALUE, "max_tokens", "max_tokens must be between 1 and " + MAXIMUM_TOKENS);
         }
         List<String> items = new ArrayList<>(List.of(model.item()));
@@ -115,25 +115,25 @@
             CallContext context, String service, String operation, String key, byte[] body, Bundle bundle) {
         bundle.service(service)
                 .filter(found -> found.kind() == Bundle.Kind.PLAIN)
-                .orElseThrow(() -> CallFailure.refused(
+                .orElseThrow(() -> CallFailure.rejected(
                         FailureCode.UNKNOWN_SERVICE, service, "no bundle names plain service '" + service + "'"));
         Bundle.Operation declared = bundle.operation(service, operation)
-                .orElseThrow(() -> CallFailure.refused(
+                .orElseThrow(() -> CallFailure.rejected(
                         FailureCode.UNKNOWN_OPERATION,
                         operation,
                         "no bundle names operation '" + operation + "' of service '" + service + "'"));
         checkJson(body);
         Optional<String> idempotencyKey = Optional.ofNullable(key).filter(text -> !text.isBlank());
         if (declared.nonIdempotent() && idempotencyKey.isEmpty()) {
-            throw CallFailure.refused(
+            throw CallFailure.rejected(
                     FailureCode.MISSING_IDEMPOTENCY_KEY,
-                    IDEMPOTENCY_KEY,
-                    "operation '" + operation + "' runs at most once; send the header " + IDEMPOTENCY_KEY
+                    IDEMPOTENCY_KEY_HEADER,
+                    "operation '" + operation + "' runs at most once; send the header " + IDEMPOTENCY_KEY_HEADER
                             + " with a key of your own, the same on a resend");
         }
         if (idempotencyKey.filter(text -> text.length() > MAXIMUM_ID_LENGTH).isPresent()) {
-            throw CallFailure.refused(
-                    FailureCode.BAD_VALUE, IDEMPOTENCY_KEY, "the key is longer than " + MAXIMUM_ID_LENGTH);
+            throw CallFailure.rejected(
+                    FailureCode.BAD_VALUE, IDEMPOTENCY_KEY_HEADER, "the key is longer than " + MAXIMUM_ID_LENGTH);
         }
         long fingerprint = hash(service + SEPARATOR + operation + SEPARATOR + new String(body, StandardCharsets.UTF_8));
         return new ServiceRequest(
@@ -145,18 +145,20 @@
         try {
             millis = Long.parseLong(text);
         } catch (NumberFormatException failure) {
-            throw CallFailure.refused(
+            throw CallFailure.rejected(
                     FailureCode.BAD_DEADLINE,
-                    DEADLINE,
+                    DEADLINE_HEADER,
                     "'" + text + "' is not a whole number of milliseconds; write for example 2000");
         }
         if (millis <= 0) {
-            throw CallFailure.refused(
-                    FailureCode.DEADLINE, DEADLINE, "the deadline is already past; send a budget above 0");
+            throw CallFailure.rejected(
+                    FailureCode.DEADLINE, DEADLINE_HEADER, "the deadline is already past; send a budget above 0");
         }
-        if (millis > settings.maximumDeadlineMillis()) {
-            throw CallFailure.refused(
-                    FailureCode.BAD_DEADLINE, DEADLINE, "the largest budget is " + settings.maximumDeadlineMillis());
+        if (millis > configuration.maximumDeadlineMillis()) {
+            throw CallFailure.rejected(
+                    FailureCode.BAD_DEADLINE,
+                    DEADLINE_HEADER,
+                    "the largest budget is " + configuration.maximumDeadlineMillis());
         }
         return millis;
     }
@@ -165,12 +167,12 @@
         try {
             CompletionBody parsed = Json.MAPPER.readValue(body, CompletionBody.class);
             if (parsed == null) {
-                throw CallFailure.refused(FailureCode.MALFORMED_BODY, "body", "the body must be a JSON object");
+                throw CallFailure.rejected(FailureCode.MALFORMED_BODY, "body", "the body must be a JSON object");
             }
             return parsed;
         } catch (UnrecognizedPropertyException failure) {
             String field = failure.getPropertyName();
-            throw CallFailure.refused(
+            throw CallFailure.rejected(
                     FailureCode.UNKNOWN_FIELD,
                     field,
                     "field '" + field
@@ -179,28 +181,28 @@
             String element = failure.getPath().isEmpty()
                     ? "body"
                     : failure.getPath().get(0).getFieldName();
-            throw CallFailure.refused(FailureCode.MALFORMED_BODY, element, "'" + element + "' has the wrong type");
+            throw CallFailure.rejected(FailureCode.MALFORMED_BODY, element, "'" + element + "' has the wrong type");
         } catch (JsonProcessingException failure) {
-            throw CallFailure.refused(
+            throw CallFailure.rejected(
                     FailureCode.MALFORMED_BODY, "body", "the body is not JSON: " + failure.getOriginalMessage());
         } catch (IOException failure) {
-            throw CallFailure.refused(FailureCode.MALFORMED_BODY, "body", "the body could not be read");
+            throw CallFailure.rejected(FailureCode.MALFORMED_BODY, "body", "the body could not be read");
         }
     }
 
     private static void checkJson(byte[] body) {
         try {
             if (Json.MAPPER.readTree(body).isMissingNode()) {
-                throw CallFailure.refused(FailureCode.MALFORMED_BODY, "body", "the body is empty; send JSON");
+                throw CallFailure.rejected(FailureCode.MALFORMED_BODY, "body", "the body is empty; send JSON");
             }
         } catch (IOException failure) {
-            throw CallFailure.refused(FailureCode.MALFORMED_BODY, "body", "the body is not JSON");
+            throw CallFailure.rejected(FailureCode.MALFORMED_BODY, "body", "the body is not JSON");
         }
     }
 
     private static String adapterItem(Bundle bundle, String model, String adapter) {
         return bundle.adapter(model, adapter)
-                .orElseThrow(() -> CallFailure.refused(
+                .orElseThrow(() -> CallFailure.rejected(
                         FailureCode.UNKNOWN_ADAPTER,
                         adapter,
                         "no bundle names adapter '" + adapter + "' of model '" + model + "'"))
@@ -214,7 +216,7 @@
     }
 
     private static CallFailure missing(String field) {
-        return CallFailure.refused(
+        return CallFailure.rejected(
                 FailureCode.MALFORMED_BODY, field, "field '" + field + "' is missing or empty; add it");
     }
 
--- a/src/main/java/io/waxwingquay/entry/RetryingFlow.java
+++ b/src/main/java/io/waxwingquay/entry/RetryingFlow.java
@@ -27,7 +27,7 @@
     private final CallContext context;
     private final Submission template;
     private final AnswerSink sink;
-    private final CompletableFuture<AttemptEnd> answer = new CompletableFuture<>();
+    private final CompletableFuture<AttemptResult> answer = new CompletableFuture<>();
 
     private RouteQuery query;
     private Execution worst = Execution.DID_NOT_RUN;
@@ -44,7 +44,7 @@
     }
 
     /** Starts; the future fails with {@link CallFailure}. */
-    CompletableFuture<AttemptEnd> run() {
+    CompletableFuture<AttemptResult> run() {
         parts.retryBudget().noteFirstTry();
         attempt();
         return answer;
@@ -67,12 +67,12 @@
                 .whenCompleteAsync((end, failure) -> onEnd(side, end, failure), parts.executor());
     }
 
-    private void onEnd(Side side, AttemptEnd end, Throwable failure) {
+    private void onEnd(Side side, AttemptResult end, Throwable failure) {
         try {
             if (failure != null) {
                 worst = Execution.UNKNOWN;
                 fail(CallFailure.from(failure));
-            } else if (end.kind() == AttemptEnd.Kind.DONE) {
+            } else if (end.kind() == AttemptResult.Kind.DONE) {
                 parts.comeBack().noteFinished(parts.clock().monotonicMillis());
                 answer.complete(end);
             } else {
@@ -83,7 +83,7 @@
         }
     }
 
-    private void onFailed(Side side, AttemptEnd end) {
+    private void onFailed(Side side, AttemptResult end) {
         worst = worse(worst, end.execution());
         CallFailure failure = end.toFailure(side.id());
         lastFailure = Optional.of(failure);
@@ -103,10 +103,10 @@
         }
     }
 
-    private boolean mayRetry(AttemptEnd end) {
-        boolean retryable = end.kind() == AttemptEnd.Kind.FAILED
-                || end.kind() == AttemptEnd.Kind.LOST
-                || end.kind() == AttemptEnd.Kind.INCOMPLETE;
+    private boolean mayRetry(AttemptResult end) {
+        boolean retryable = end.kind() == AttemptResult.Kind.FAILED
+                || end.kind() == AttemptResult.Kind.LOST
+                || end.kind() == AttemptResult.Kind.INCOMPLETE;
         if (!retryable || sink.isStarted() || doors >= MAXIMUM_DOORS) {
             return false;
         }
--- a/src/main/java/io/waxwingquay/entry/ServiceAnswer.java
+++ b/src/main/java/io/waxwingquay/entry/ServiceAnswer.java
@@ -12,7 +12,7 @@
 
     private static final int OK = 200;
 
-    static ServiceAnswer of(AttemptEnd end, byte[] body, boolean replayed) {
+    static ServiceAnswer of(AttemptResult end, byte[] body, boolean replayed) {
         int status = end.statusCode() == 0 ? OK : end.statusCode();
         String contentType = end.contentType().isEmpty() ? "application/json" : end.contentType();
         return new ServiceAnswer(status, contentType, body, replayed);
--- a/src/main/java/io/waxwingquay/entry/ServiceFlow.java
+++ b/src/main/java/io/waxwingquay/entry/ServiceFlow.java
@@ -42,7 +42,7 @@
         if (request.nonIdempotent()) {
             return new ClaimedCall(parts, store, outcomes, request, query).run();
         }
-        AnswerSink.Whole sink = new AnswerSink.Whole(abandoned);
+        AnswerSink.Buffered sink = new AnswerSink.Buffered(abandoned);
         return new RetryingFlow(parts, request.context(), request.toSubmission(), query, sink)
                 .run()
                 .thenApply(end -> ServiceAnswer.of(end, sink.bytes(), false));
--- a/src/main/java/io/waxwingquay/explain/EndedRequest.java
+++ b/src/main/java/io/waxwingquay/explain/EndedRequest.java
@@ -9,28 +9,28 @@
 /**
  * How one request ended, as an entry logged it.
  *
- * @param arrivedMillis when it came to its entry, in Unix time.
+ * @param arrivedAtMillis when it came to its entry, in Unix time.
  * @param route the name of its route.
  * @param model the model and adapter asked for; empty text for a plain service.
  * @param status the status that its caller got; 0 if it got no whole answer.
- * @param waitedMillis how long it waited in the entry before it was sent to a replica.
- * @param firstMillis how long its caller waited for the first event, or for a plain answer as a whole.
- * @param pauseMillis the longest pause between two events.
- * @param objectiveMillis the time aimed at for the first event; 0 if the route has none.
+ * @param entryWaitMillis how long it waited in the entry before it was sent to a replica.
+ * @param firstEventMillis how long its caller waited for the first event, or for a plain answer as a whole.
+ * @param longestPauseMillis the longest pause between two events.
+ * @param firstEventObjectiveMillis the time aimed at for the first event; 0 if the route has none.
  * @param pauseObjectiveMillis the pause aimed at; 0 if the route has none.
- * @param why what decided it.
+ * @param reason what decided it.
  */
 public record EndedRequest(
-        long arrivedMillis,
+        long arrivedAtMillis,
         String route,
         String model,
         int status,
-        long waitedMillis,
-        long firstMillis,
-        long pauseMillis,
-        long objectiveMillis,
+        long entryWaitMillis,
+        long firstEventMillis,
+        long longestPauseMillis,
+        long firstEventObjectiveMillis,
         long pauseObjectiveMillis,
-        String why) {
+        String reason) {
 
     static final int CALLER_ERROR = 400;
     static final int SERVER_ERROR = 500;
@@ -88,18 +88,18 @@
     }
 
     boolean isRefused() {
-        return status == REFUSED && !why.startsWith("answered by");
+        return status == REFUSED && !reason.startsWith("answered by");
     }
 
     boolean isFirstLate() {
-        return isSuccess() && objectiveMillis > 0 && firstMillis > objectiveMillis;
+        return isSuccess() && firstEventObjectiveMillis > 0 && firstEventMillis > firstEventObjectiveMillis;
     }
 
     boolean isPauseLate() {
-        return isSuccess() && pauseObjectiveMillis > 0 && pauseMillis > pauseObjectiveMillis;
+        return isSuccess() && pauseObjectiveMillis > 0 && longestPauseMillis > pauseObjectiveMillis;
     }
 
     boolean isWaitedMostlyInEntry() {
-        return 2 * waitedMillis >= firstMillis;
+        return 2 * entryWaitMillis >= firstEventMillis;
     }
 }
--- a/src/main/java/io/waxwingquay/explain/Loss.java
+++ b/src/main/java/io/waxwingquay/explain/Loss.java
@@ -9,20 +9,20 @@
  */
 public enum Loss {
     /** No engine held its model, and it was refused. */
-    MODEL_ABSENT(request -> request.isRefused() && request.why().contains("is in no engine")),
+    MODEL_ABSENT(request -> request.isRefused() && request.reason().contains("is in no engine")),
     /** Its adapter was not loaded in time, and it was refused. */
-    ADAPTER_ABSENT(request -> request.isRefused() && request.why().contains("does not come")),
+    ADAPTER_ABSENT(request -> request.isRefused() && request.reason().contains("does not come")),
     /** Replicas had no room, and it was refused. */
-    NO_ROOM(request -> request.isRefused() && request.why().contains("no room")),
+    NO_ROOM(request -> request.isRefused() && request.reason().contains("no room")),
     /** It was refused for another reason. */
     REFUSED_OTHERWISE(EndedRequest::isRefused),
     /** Its caller left before it had a whole answer. */
-    CALLER_LEFT(request -> request.status() == 0 && request.why().contains("the caller left")),
+    CALLER_LEFT(request -> request.status() == 0 && request.reason().contains("the caller left")),
     /** Its time limit passed. */
-    TIME_OVER(request -> request.why().contains("its time is over")),
+    TIME_OVER(request -> request.reason().contains("its time is over")),
     /** A replica answered with a failure of its own. */
     REPLICA_FAILED(request ->
-            request.status() >= EndedRequest.SERVER_ERROR && request.why().startsWith("answered by")),
+            request.status() >= EndedRequest.SERVER_ERROR && request.reason().startsWith("answered by")),
     /** A replica was lost, or broke off, while it ran the request. */
     REPLICA_LOST(request -> !request.isSuccess() && request.status() < EndedRequest.CALLER_ERROR
             || request.status() >= EndedRequest.SERVER_ERROR),
--- a/src/main/java/io/waxwingquay/explain/LossReport.java
+++ b/src/main/java/io/waxwingquay/explain/LossReport.java
@@ -48,10 +48,10 @@
      */
     public static LossReport of(Collection<EndedRequest> requests, long windowMillis) {
         long beginMillis =
-                requests.stream().mapToLong(EndedRequest::arrivedMillis).min().orElse(0);
+                requests.stream().mapToLong(EndedRequest::arrivedAtMillis).min().orElse(0);
         return new LossReport(
                 count(requests, EndedRequest::route),
-                count(requests, request -> window(request.arrivedMillis() - beginMillis, windowMillis)));
+                count(requests, request -> window(request.arrivedAtMillis() - beginMillis, windowMillis)));
     }
 
     private static Map<String, Map<Loss, Long>> count(
--- a/src/main/java/io/waxwingquay/process/EntryProcess.java
+++ b/src/main/java/io/waxwingquay/process/EntryProcess.java
@@ -1,7 +1,7 @@
 package io.waxwingquay.process;
 
 import io.waxwingquay.common.HostPort;
-import io.waxwingquay.entry.EntryLimits;
+import io.waxwingquay.entry.EntryConfiguration;
 import io.waxwingquay.entry.EntryNode;
 import io.waxwingquay.membership.Membership;
 import io.waxwingquay.routing.SideView;
@@ -42,7 +42,7 @@
                 foundation.gossip().handler(), foundation.bundles(), foundation.suspects(), Optional.empty());
         foundation.server().servePeer(peer);
         EntryNode node = EntryNode.builder()
-                .settings(limits(settings))
+                .configuration(limits(settings))
                 .bundles(foundation.bundles())
                 .membership(foundation.members())
                 .connections(foundation.connections())
@@ -145,8 +145,8 @@
                         .views(foundation.members().sides(), foundation.clock().monotonicMillis()));
     }
 
-    private static EntryLimits limits(EntrySettings settings) {
-        return new EntryLimits(
+    private static EntryConfiguration limits(EntrySettings settings) {
+        return new EntryConfiguration(
                 settings.process().host(),
                 settings.callerPort(),
                 settings.process().dataCentre(),
--- a/src/main/java/io/waxwingquay/process/ShippedCharts.java
+++ b/src/main/java/io/waxwingquay/process/ShippedCharts.java
@@ -3,7 +3,7 @@
 import io.waxwingquay.bundle.BundleChart;
 import io.waxwingquay.chart.StateChart;
 import io.waxwingquay.claim.ClaimRecord;
-import io.waxwingquay.entry.RequestPhase;
+import io.waxwingquay.entry.AttemptPhase;
 import io.waxwingquay.forward.ExchangeState;
 import io.waxwingquay.ledger.MemoryLedger;
 import io.waxwingquay.residency.MoveState;
@@ -27,7 +27,7 @@
      * @throws io.waxwingquay.chart.ChartException.Malformed if a chart is missing or faulty.
      */
     public static void check() {
-        StateChart.load(RequestPhase.CHART_NAME, RequestPhase.class, RequestPhase.Event.class);
+        StateChart.load(AttemptPhase.CHART_NAME, AttemptPhase.class, AttemptPhase.Event.class);
         StateChart.load(RequestState.CHART_NAME, RequestState.class, RequestState.Event.class);
         StateChart.load(MemoryLedger.CHART_NAME, MemoryLedger.State.class, MemoryLedger.Event.class);
         StateChart.load(SideEvent.CHART_NAME, SideState.class, SideEvent.class);
--- a/src/main/java/io/waxwingquay/side/ModelRunner.java
+++ b/src/main/java/io/waxwingquay/side/ModelRunner.java
@@ -184,7 +184,7 @@
 
         /** {@inheritDoc} */
         @Override
-        public void token(long offset, String text) {
+        public void onToken(long offset, String text) {
             if (isClosed()) {
                 return;
             }
@@ -200,7 +200,7 @@
 
         /** {@inheritDoc} */
         @Override
-        public void end(OptionalLong totalTokens, Optional<TargetException> failure) {
+        public void onEnd(OptionalLong totalTokens, Optional<TargetException> failure) {
             if (!isClosed()) {
                 close();
                 run.ended(totalTokens, failure);
--- a/src/test/java/io/waxwingquay/claim/GroupCommitterTest.java
+++ b/src/test/java/io/waxwingquay/claim/GroupCommitterTest.java
@@ -57,18 +57,18 @@
 
     @Test
     void writeThatDidNotTakeEffectIsSentOnceMore() {
-        table.failCommits(FakeTable.Fault.OUT);
+        table.failCommits(FakeTable.Fault.UNAVAILABLE);
         assertTrue(committer.commit(new Write("k", 0, "attempt-1")).join().isEmpty());
         assertEquals(2, table.commits());
     }
 
     @Test
     void outageFailsTheWritesAndTheNextOneWorks() {
-        table.setOut(true);
+        table.setUnavailable(true);
         var lost = committer.commit(new Write("k", 0, "v"));
         CompletionException failure = assertThrows(CompletionException.class, lost::join);
         assertTrue(failure.getCause() instanceof PlatformException.Unavailable);
-        table.setOut(false);
+        table.setUnavailable(false);
         assertTrue(committer.commit(new Write("k", 0, "v")).join().isEmpty());
     }
 
--- a/src/test/java/io/waxwingquay/engine/HttpModelEngineTest.java
+++ b/src/test/java/io/waxwingquay/engine/HttpModelEngineTest.java
@@ -231,7 +231,7 @@
         engine.stream(generation("c", 100_000), 0, collected);
 
         assertEquals(TargetException.Kind.LOST, collected.failure().kind());
-        Await.until(() -> Await.value(engine.load()).running() == 0);
+        Await.until(() -> Await.value(engine.loadReport()).running() == 0);
     }
 
     @Test
@@ -278,15 +278,15 @@
     void cutLinkFailsCallsUntilItHeals() throws Exception {
         try (LinkStandin link = LinkStandin.to(new HostPort("127.0.0.1", standin.port()))) {
             HttpModelEngine overLink = engineAt(link.port());
-            Await.value(overLink.load());
+            Await.value(overLink.loadReport());
             link.cut();
-            Await.failure(TargetException.class, overLink.load());
+            Await.failure(TargetException.class, overLink.loadReport());
             // A call may still pick a connection that the cut has closed, and fail with it, until the client has read
             // that.
             Await.until(() -> openConnections(link.port()) == 0);
 
             link.heal();
-            assertEquals(0, Await.value(overLink.load()).running());
+            assertEquals(0, Await.value(overLink.loadReport()).running());
         }
     }
 
@@ -363,7 +363,7 @@
         }
 
         @Override
-        public void token(long offset, String token) {
+        public void onToken(long offset, String token) {
             text.append(token);
             tokens++;
             if (tokens == actAfterTokens) {
@@ -372,7 +372,7 @@
         }
 
         @Override
-        public void end(OptionalLong total, Optional<TargetException> failure) {
+        public void onEnd(OptionalLong total, Optional<TargetException> failure) {
             totalTokens = total;
             assertTrue(ended.complete(failure));
         }
--- a/src/test/java/io/waxwingquay/entry/ClaimedCallTest.java
+++ b/src/test/java/io/waxwingquay/entry/ClaimedCallTest.java
@@ -78,7 +78,7 @@
 
     @Test
     void tableOutRefusesAtOnceWithoutRunning() {
-        fakes.table.setOut(true);
+        fakes.table.setUnavailable(true);
         CallerClient.Answer answer = deposit(one, "k1", BODY);
         assertEquals(503, answer.status());
         assertEquals("table_out", answer.error("code"));
@@ -89,7 +89,7 @@
 
     @Test
     void idempotentOperationNeedsNoTable() {
-        fakes.table.setOut(true);
+        fakes.table.setUnavailable(true);
         assertEquals(
                 200,
                 CallerClient.send(one, "/v1/services/pay/quote", BODY).join().status());
@@ -153,7 +153,7 @@
         fakes.second.refusals.add(new Refusal(RefusalReason.LEAVING, "leaving", 0, Execution.DID_NOT_RUN));
         fakes.table.failCommits(FakeTable.Fault.NONE, FakeTable.Fault.NONE);
         fakes.table.failCommits(
-                Collections.nCopies(OUTCOME_TRIES, FakeTable.Fault.OUT).toArray(FakeTable.Fault[]::new));
+                Collections.nCopies(OUTCOME_TRIES, FakeTable.Fault.UNAVAILABLE).toArray(FakeTable.Fault[]::new));
         assertEquals("did_not_run", deposit(one, "k1", BODY).error("execution"));
         await(() -> fakes.table.commits() >= 2 + OUTCOME_TRIES);
         CallerClient.Answer again = deposit(two, "k1", BODY);
@@ -181,7 +181,11 @@
     void outcomeIsRecordedAfterTheTableComesBack() {
         // The caller is answered at once although the outcome cannot be written; the write is repeated behind
         // its back until the table answers again.
-        fakes.table.failCommits(FakeTable.Fault.NONE, FakeTable.Fault.OUT, FakeTable.Fault.OUT, FakeTable.Fault.OUT);
+        fakes.table.failCommits(
+                FakeTable.Fault.NONE,
+                FakeTable.Fault.UNAVAILABLE,
+                FakeTable.Fault.UNAVAILABLE,
+                FakeTable.Fault.UNAVAILABLE);
         assertEquals(200, deposit(one, "k1", BODY).status());
         await(() -> fakes.table
                 .row(ROW)
--- a/src/test/java/io/waxwingquay/entry/FakeTable.java
+++ b/src/test/java/io/waxwingquay/entry/FakeTable.java
@@ -16,7 +16,7 @@
     public enum Fault {
         NONE,
         LOSE_ANSWER,
-        OUT
+        UNAVAILABLE
     }
 
     private final Queue<Fault> commitFaults = new ArrayDeque<>();
@@ -39,7 +39,7 @@
     public synchronized CompletableFuture<CommitResult> commit(List<Write> writes) {
         commits++;
         Fault fault = Optional.ofNullable(commitFaults.poll()).orElse(Fault.NONE);
-        if (out || fault == Fault.OUT) {
+        if (out || fault == Fault.UNAVAILABLE) {
             return unavailable();
         }
         CompletableFuture<Void> hold =
@@ -56,7 +56,7 @@
         commitHolds.add(until);
     }
 
-    public void setOut(boolean value) {
+    public void setUnavailable(boolean value) {
         out = value;
     }
 
--- a/src/test/java/io/waxwingquay/entry/Fakes.java
+++ b/src/test/java/io/waxwingquay/entry/Fakes.java
@@ -42,13 +42,14 @@
             List.of(new Bundle.Operation("pay", "deposit", true), new Bundle.Operation("pay", "quote", false))));
 
     /** Settings with the policy that takes sides in turn, so that tests know which side is first. */
-    static EntryLimits settings() {
-        return new EntryLimits("127.0.0.1", 0, "dc1", "round-robin", 30_000, 600_000, 4_096, 1_024, 250, 1.0, 64);
+    static EntryConfiguration settings() {
+        return new EntryConfiguration(
+                "127.0.0.1", 0, "dc1", "round-robin", 30_000, 600_000, 4_096, 1_024, 250, 1.0, 64);
     }
 
     EntryNode node() {
         return EntryNode.builder()
-                .settings(settings())
+                .configuration(settings())
                 .bundles(this)
                 .membership(this)
                 .connections(this)
--- a/src/test/java/io/waxwingquay/explain/LossTest.java
+++ b/src/test/java/io/waxwingquay/explain/LossTest.java
@@ -43,8 +43,8 @@
                                 + " objective_ms=500 pause_objective_ms=250 why=streamed by e1")
                 .orElseThrow();
         assertEquals("m/a1", request.model());
-        assertEquals(7, request.waitedMillis());
-        assertEquals(90, request.firstMillis());
+        assertEquals(7, request.entryWaitMillis());
+        assertEquals(90, request.firstEventMillis());
         assertTrue(EndedRequest.parse("INFO  residency: state running=0").isEmpty());
     }
 }
--- a/src/test/java/io/waxwingquay/scenario/AnswerSteps.java
+++ b/src/test/java/io/waxwingquay/scenario/AnswerSteps.java
@@ -89,7 +89,7 @@
             for (ModelEngineStandin engine : world.engines()) {
                 HttpModelEngine seen =
                         new HttpModelEngine(client, new HostPort("127.0.0.1", engine.port()), 1_000L, 1_000L);
-                Await.until(() -> Await.value(seen.load()).running() == 0);
+                Await.until(() -> Await.value(seen.loadReport()).running() == 0);
             }
         } finally {
             client.stop();
--- a/src/test/java/io/waxwingquay/scenario/CallPathWorld.java
+++ b/src/test/java/io/waxwingquay/scenario/CallPathWorld.java
@@ -322,7 +322,7 @@
         connections.add(direct);
         meters.add(registry);
         entries.add(EntryNode.builder()
-                .settings(new io.waxwingquay.entry.EntryLimits(
+                .configuration(new io.waxwingquay.entry.EntryConfiguration(
                         LOOPBACK, 0, "dc-1", "round-robin", 30_000, 600_000, 1 << 20, 64 << 10, 250, 1.0, 64))
                 .bundles(new FixedBundle())
                 .membership(processes.get(0).membership())
--- a/src/test/java/io/waxwingquay/scenario/EngineWorld.java
+++ b/src/test/java/io/waxwingquay/scenario/EngineWorld.java
@@ -252,8 +252,8 @@
         }
 
         @Override
-        public CompletableFuture<EngineLoad> load() {
-            return real.load();
+        public CompletableFuture<EngineLoad> loadReport() {
+            return real.loadReport();
         }
     }
 
--- a/src/test/java/io/waxwingquay/side/FakeEngine.java
+++ b/src/test/java/io/waxwingquay/side/FakeEngine.java
@@ -105,7 +105,7 @@
     }
 
     @Override
-    public CompletableFuture<EngineLoad> load() {
+    public CompletableFuture<EngineLoad> loadReport() {
         return CompletableFuture.completedFuture(new EngineLoad(0, 0, 0L, 0.0, 0L));
     }
 
@@ -114,16 +114,16 @@
 
         void tokens(long from, String... texts) {
             for (int i = 0; i < texts.length; i++) {
-                listener.token(from + i, texts[i]);
+                listener.onToken(from + i, texts[i]);
             }
         }
 
         void finish(long total) {
-            listener.end(OptionalLong.of(total), Optional.empty());
+            listener.onEnd(OptionalLong.of(total), Optional.empty());
         }
 
         void cut() {
-            listener.end(OptionalLong.empty(), Optional.of(new TargetException(Kind.LOST, "stream cut", null)));
+            listener.onEnd(OptionalLong.empty(), Optional.of(new TargetException(Kind.LOST, "stream cut", null)));
         }
     }
 }
