--- a/src/main/java/io/waxwingquay/engine/HttpModelEngine.java
+++ b/src/main/java/io/waxwingquay/engine/HttpModelEngine.java
@@ -25,8 +25,8 @@
     private final HttpClient client;
     private final HostPort address;
     private final long timeoutMillis;
-    private final long inactivityMillis;
-    private final String target;
+    private final long inactivityTimeoutMillis;
+    private final String targetDescription;
 
     /**
      * A client.
@@ -34,14 +34,14 @@
      * @param client the shared, started HTTP client; each open stream holds one of its connections.
      * @param address the engine's address.
      * @param timeoutMillis the most time a call may take; a stream, until it has a connection.
-     * @param inactivityMillis how long a stream may be silent; above the engine's keep-alive interval.
+     * @param inactivityTimeoutMillis how long a stream may be silent; above the engine's keep-alive interval.
      */
-    public HttpModelEngine(HttpClient client, HostPort address, long timeoutMillis, long inactivityMillis) {
+    public HttpModelEngine(HttpClient client, HostPort address, long timeoutMillis, long inactivityTimeoutMillis) {
         this.client = client;
         this.address = address;
         this.timeoutMillis = timeoutMillis;
-        this.inactivityMillis = inactivityMillis;
-        this.target = "model engine at " + address;
+        this.inactivityTimeoutMillis = inactivityTimeoutMillis;
+        this.targetDescription = "model engine at " + address;
     }
 
     /** {@inheritDoc} */
@@ -49,9 +49,9 @@
     public AutoCloseable stream(Generation generation, long fromOffset, Listener listener) {
         Request request =
                 HttpCalls.json(request(HttpMethod.POST, "/generations"), new StreamRequest(generation, fromOffset));
-        request.idleTimeout(inactivityMillis, TimeUnit.MILLISECONDS);
+        request.idleTimeout(inactivityTimeoutMillis, TimeUnit.MILLISECONDS);
         HttpCalls.Sending sending = HttpCalls.Sending.of(request);
-        HttpStream stream = new HttpStream(request, sending, fromOffset, listener, target);
+        HttpStream stream = new HttpStream(request, sending, fromOffset, listener, targetDescription);
         request.send(stream);
         client.getScheduler().schedule(() -> sending.giveUpUnsent(request), timeoutMillis, TimeUnit.MILLISECONDS);
         return stream;
@@ -68,11 +68,11 @@
     @Override
     public CompletableFuture<OrderAnswer> order(Order order) {
         Request request = HttpCalls.json(request(HttpMethod.POST, "/orders"), order);
-        return TargetCalls.send(request, timeoutMillis, target).thenApply(reply -> {
+        return TargetCalls.send(request, timeoutMillis, targetDescription).thenApply(reply -> {
             if (reply.statusCode() == PRECONDITION_FAILED) {
                 return OrderAnswer.STALE_FENCE;
             }
-            expect(reply, ACCEPTED);
+            requireStatus(reply, ACCEPTED);
             return OrderAnswer.TAKEN;
         });
     }
@@ -94,31 +94,33 @@
     }
 
     private CompletableFuture<HttpCalls.Reply> call(Request request, int status) {
-        return TargetCalls.send(request, timeoutMillis, target).thenApply(reply -> expect(reply, status));
+        return TargetCalls.send(request, timeoutMillis, targetDescription)
+                .thenApply(reply -> requireStatus(reply, status));
     }
 
-    private HttpCalls.Reply expect(HttpCalls.Reply reply, int status) {
+    private HttpCalls.Reply requireStatus(HttpCalls.Reply reply, int status) {
         if (reply.statusCode() == status) {
             return reply;
         }
-        throw unexpected(target, reply.statusCode());
+        throw unexpectedStatus(targetDescription, reply.statusCode());
     }
 
     private <T> T read(HttpCalls.Reply reply, Class<T> type) {
         try {
             return reply.read(type);
         } catch (IllegalArgumentException failure) {
-            throw new TargetException(TargetException.Kind.LOST, target + " sent a malformed answer", failure);
+            throw new TargetException(
+                    TargetException.Kind.LOST, targetDescription + " sent a malformed answer", failure);
         }
     }
 
     /**
      * Only a client error is the engine's own word that it will not run the call.
      */
-    static TargetException unexpected(String target, int status) {
+    static TargetException unexpectedStatus(String targetDescription, int status) {
         boolean refused = status >= FIRST_CLIENT_ERROR && status < FIRST_SERVER_ERROR;
         TargetException.Kind kind = refused ? TargetException.Kind.REFUSED : TargetException.Kind.LOST;
-        return new TargetException(kind, target + " answered with status " + status, null);
+        return new TargetException(kind, targetDescription + " answered with status " + status, null);
     }
 
     /**
--- a/src/main/java/io/waxwingquay/engine/HttpStream.java
+++ b/src/main/java/io/waxwingquay/engine/HttpStream.java
@@ -26,18 +26,22 @@
     private final Request request;
     private final HttpCalls.Sending sending;
     private final ModelEngine.Listener listener;
-    private final String target;
+    private final String targetDescription;
     private final ByteArrayOutputStream line = new ByteArrayOutputStream();
-    private final AtomicBoolean settled = new AtomicBoolean();
+    private final AtomicBoolean ended = new AtomicBoolean();
     private long nextOffset;
 
     HttpStream(
-            Request request, HttpCalls.Sending sending, long fromOffset, ModelEngine.Listener listener, String target) {
+            Request request,
+            HttpCalls.Sending sending,
+            long fromOffset,
+            ModelEngine.Listener listener,
+            String targetDescription) {
         this.request = request;
         this.sending = sending;
         this.nextOffset = fromOffset;
         this.listener = listener;
-        this.target = target;
+        this.targetDescription = targetDescription;
     }
 
     /** {@inheritDoc} */
@@ -51,7 +55,7 @@
             if (next == '\n') {
                 String text = line.toString(StandardCharsets.UTF_8);
                 line.reset();
-                takeLine(text);
+                onLine(text);
             } else {
                 line.write(next);
             }
@@ -61,19 +65,19 @@
     /** {@inheritDoc} */
     @Override
     public void onComplete(Result result) {
-        if (!settled.get()) {
-            settle(result);
+        if (!ended.get()) {
+            endWithResult(result);
         }
     }
 
-    private synchronized void settle(Result result) {
+    private synchronized void endWithResult(Result result) {
         int status = result.getResponse() == null ? 0 : result.getResponse().getStatus();
         if (status > OK) {
-            fail(HttpModelEngine.unexpected(target, status));
+            fail(HttpModelEngine.unexpectedStatus(targetDescription, status));
         } else if (result.isFailed()) {
-            fail(TargetCalls.exception(sending.failure(result.getFailure()), target));
+            fail(TargetCalls.exception(sending.failure(result.getFailure()), targetDescription));
         } else {
-            lose("closed the stream before its end");
+            failAsLost("closed the stream before its end");
         }
     }
 
@@ -85,57 +89,57 @@
      */
     @Override
     public void close() {
-        settled.set(true);
+        ended.set(true);
         request.abort(new CancellationException("no longer listening"));
     }
 
-    private void takeLine(String text) {
-        if (settled.get() || !text.startsWith(DATA_PREFIX)) {
+    private void onLine(String text) {
+        if (ended.get() || !text.startsWith(DATA_PREFIX)) {
             return;
         }
         try {
             String json = text.substring(DATA_PREFIX.length());
-            takeEvent(Json.MAPPER.readValue(json, HttpModelEngine.StreamEvent.class));
+            onEvent(Json.MAPPER.readValue(json, HttpModelEngine.StreamEvent.class));
         } catch (JsonProcessingException failure) {
-            lose("sent a malformed event");
+            failAsLost("sent a malformed event");
         }
     }
 
-    private void takeEvent(HttpModelEngine.StreamEvent event) {
+    private void onEvent(HttpModelEngine.StreamEvent event) {
         if (event.error().isPresent()) {
-            lose("ended the generation early: " + event.error().get());
+            failAsLost("ended the generation early: " + event.error().get());
         } else if (event.end().orElse(false)) {
-            takeEnd(event.total().orElse(-1L));
+            onEnd(event.total().orElse(-1L));
         } else {
-            takeToken(event.offset().orElse(-1L), event.text().orElse(""));
+            onToken(event.offset().orElse(-1L), event.text().orElse(""));
         }
     }
 
-    private void takeToken(long offset, String text) {
+    private void onToken(long offset, String text) {
         if (offset > nextOffset) {
-            lose("skipped from token " + nextOffset + " to " + offset);
+            failAsLost("skipped from token " + nextOffset + " to " + offset);
         } else if (offset == nextOffset) {
             nextOffset++;
             listener.onToken(offset, text);
         }
     }
 
-    private void takeEnd(long total) {
+    private void onEnd(long total) {
         if (total != nextOffset) {
-            lose("ended at token " + nextOffset + " and states a total of " + total);
+            failAsLost("ended at token " + nextOffset + " and states a total of " + total);
             return;
         }
-        if (settled.compareAndSet(false, true)) {
+        if (ended.compareAndSet(false, true)) {
             listener.onEnd(OptionalLong.of(total), Optional.empty());
         }
     }
 
-    private void lose(String what) {
-        fail(new TargetException(TargetException.Kind.LOST, target + " " + what, null));
+    private void failAsLost(String description) {
+        fail(new TargetException(TargetException.Kind.LOST, targetDescription + " " + description, null));
     }
 
     private void fail(TargetException failure) {
-        if (settled.compareAndSet(false, true)) {
+        if (ended.compareAndSet(false, true)) {
             listener.onEnd(OptionalLong.empty(), Optional.of(failure));
             request.abort(failure);
         }
--- a/src/main/java/io/waxwingquay/engine/TargetCalls.java
+++ b/src/main/java/io/waxwingquay/engine/TargetCalls.java
@@ -11,17 +11,17 @@
 
     private TargetCalls() {}
 
-    static CompletableFuture<HttpCalls.Reply> send(Request request, long timeoutMillis, String target) {
+    static CompletableFuture<HttpCalls.Reply> send(Request request, long timeoutMillis, String targetDescription) {
         return HttpCalls.send(request, timeoutMillis).handle((reply, failure) -> {
             if (failure != null) {
-                throw exception((HttpCalls.Failure) failure, target);
+                throw exception((HttpCalls.Failure) failure, targetDescription);
             }
             return reply;
         });
     }
 
-    static TargetException exception(HttpCalls.Failure failure, String target) {
+    static TargetException exception(HttpCalls.Failure failure, String targetDescription) {
         TargetException.Kind kind = failure.sent() ? TargetException.Kind.LOST : TargetException.Kind.UNREACHABLE;
-        return new TargetException(kind, target + ": " + failure.getMessage(), failure);
+        return new TargetException(kind, targetDescription + ": " + failure.getMessage(), failure);
     }
 }
--- a/src/main/java/io/waxwingquay/entry/AnswerSink.java
+++ b/src/main/java/io/waxwingquay/entry/AnswerSink.java
@@ -39,7 +39,7 @@
     /** Gathers the whole answer before any of it is shown. */
     final class Buffered implements AnswerSink {
 
-        private final ByteArrayOutputStream gathered = new ByteArrayOutputStream();
+        private final ByteArrayOutputStream buffer = new ByteArrayOutputStream();
         private final BooleanSupplier abandoned;
 
         /**
@@ -54,7 +54,7 @@
         /** {@inheritDoc} */
         @Override
         public synchronized CompletableFuture<Void> accept(long offset, byte[] bytes, int units) {
-            gathered.writeBytes(bytes);
+            buffer.writeBytes(bytes);
             return CompletableFuture.completedFuture(null);
         }
 
@@ -73,7 +73,7 @@
         /** {@inheritDoc} */
         @Override
         public synchronized void restart() {
-            gathered.reset();
+            buffer.reset();
         }
 
         /**
@@ -82,7 +82,7 @@
          * @return the bytes.
          */
         public synchronized byte[] bytes() {
-            return gathered.toByteArray();
+            return buffer.toByteArray();
         }
     }
 }
--- a/src/main/java/io/waxwingquay/entry/AttemptRunner.java
+++ b/src/main/java/io/waxwingquay/entry/AttemptRunner.java
@@ -27,33 +27,34 @@
 final class AttemptRunner {
 
     private static final System.Logger LOG = System.getLogger("waxwingquay.entry");
-    private static final int MAXIMUM_LOSSES_IN_A_ROW = 4;
+    private static final int MAXIMUM_CONSECUTIVE_LOSSES = 4;
     private static final int MAXIMUM_EMPTY_POLLS_AFTER_DONE = 8;
 
-    private final EntryParts parts;
+    private final EntryComponents components;
     private final Side side;
     private final Submission submission;
     private final long deadlineAtMillis;
     private final AnswerSink sink;
     private final StreamAssembler assembler = new StreamAssembler();
-    private final CompletableFuture<AttemptResult> end = new CompletableFuture<>();
+    private final CompletableFuture<AttemptResult> completion = new CompletableFuture<>();
     private final long startedAtMillis;
 
     private AttemptPhase phase = AttemptPhase.CHART.initial();
     private boolean maySubmit = true;
-    private boolean mayBeDelivered;
+    private boolean possiblyDelivered;
     private long acceptedEpoch;
     private boolean accepted;
-    private int lossesInARow;
+    private int consecutiveLosses;
     private int emptyPollsAfterDone;
 
-    AttemptRunner(EntryParts parts, Side side, Submission submission, long deadlineAtMillis, AnswerSink sink) {
-        this.parts = parts;
+    AttemptRunner(
+            EntryComponents components, Side side, Submission submission, long deadlineAtMillis, AnswerSink sink) {
+        this.components = components;
         this.side = side;
         this.submission = submission;
         this.deadlineAtMillis = deadlineAtMillis;
         this.sink = sink;
-        this.startedAtMillis = parts.clock().monotonicMillis();
+        this.startedAtMillis = components.clock().monotonicMillis();
     }
 
     /** Hands the attempt over and gathers its answer. */
@@ -62,52 +63,54 @@
                 System.Logger.Level.DEBUG,
                 () -> "entry: request " + submission.getRequestId() + " goes to side " + side.id() + " as attempt "
                         + submission.getAttemptId() + ".");
-        parts.board().noteSent(side.id());
-        end.whenComplete((ended, failure) -> parts.board().noteOver(side.id()));
-        guarded(this::submit);
-        return end;
+        components.loadBoard().noteSent(side.id());
+        completion.whenComplete((result, failure) -> components.loadBoard().noteOver(side.id()));
+        runGuarded(this::submit);
+        return completion;
     }
 
     /** Gathers the answer of an attempt that another process handed over; never hands it over itself. */
     CompletableFuture<AttemptResult> attach() {
-        parts.board().noteSent(side.id());
-        end.whenComplete((ended, failure) -> parts.board().noteOver(side.id()));
+        components.loadBoard().noteSent(side.id());
+        completion.whenComplete((result, failure) -> components.loadBoard().noteOver(side.id()));
         maySubmit = false;
-        mayBeDelivered = true;
+        possiblyDelivered = true;
         accepted = true;
         acceptedEpoch = side.epoch();
         advance(AttemptPhase.Event.ACCEPTED);
-        guarded(this::poll);
-        return end;
+        runGuarded(this::poll);
+        return completion;
     }
 
     private void submit() {
-        if (isOver()) {
+        if (finishIfExpired()) {
             return;
         }
-        submission.setBudgetMillis(parts.remainingMillis(deadlineAtMillis));
-        then(protocol().submit(submission), this::onSubmitted);
+        submission.setBudgetMillis(components.remainingMillis(deadlineAtMillis));
+        continueWith(protocol().submit(submission), this::onSubmitted);
     }
 
     private void onSubmitted(SubmitAnswer answer, Throwable failure) {
         if (failure != null) {
-            onLost(failure);
+            onConnectionLost(failure);
             return;
         }
-        parts.membership().noteReached(side.id(), answer.getSideEpoch(), true);
-        parts.board().noteReport(side.id(), answer.getLoad(), parts.clock().monotonicMillis());
+        components.membership().noteReached(side.id(), answer.getSideEpoch(), true);
+        components
+                .loadBoard()
+                .noteReport(side.id(), answer.getLoad(), components.clock().monotonicMillis());
         if (!answer.isAccepted()) {
             onRefused(answer);
             return;
         }
         if (accepted && answer.getSideEpoch() != acceptedEpoch) {
-            onReplacedSide();
+            onSideRestarted();
             return;
         }
         accepted = true;
         acceptedEpoch = answer.getSideEpoch();
-        mayBeDelivered = true;
-        lossesInARow = 0;
+        possiblyDelivered = true;
+        consecutiveLosses = 0;
         advance(AttemptPhase.Event.ACCEPTED);
         poll();
     }
@@ -119,15 +122,16 @@
     private void onRefused(SubmitAnswer answer) {
         Refusal refusal = answer.getRefusal();
         if (refusal.getReason() == RefusalReason.LEAVING) {
-            parts.membership().noteLeaving(side.id(), answer.getSideEpoch());
+            components.membership().noteLeaving(side.id(), answer.getSideEpoch());
         }
-        boolean otherEpoch = answer.getSideEpoch() != (accepted ? acceptedEpoch : side.epoch());
-        boolean doubtful = mayBeDelivered && (otherEpoch || refusal.getReason() == RefusalReason.WRONG_EPOCH);
-        Execution execution = doubtful ? Execution.UNKNOWN : refusal.getExecution();
-        finish(AttemptResult.failed(refusal, execution, !mayBeDelivered && execution == Execution.DID_NOT_RUN));
+        boolean differentEpoch = answer.getSideEpoch() != (accepted ? acceptedEpoch : side.epoch());
+        boolean mayHaveRunEarlier =
+                possiblyDelivered && (differentEpoch || refusal.getReason() == RefusalReason.WRONG_EPOCH);
+        Execution execution = mayHaveRunEarlier ? Execution.UNKNOWN : refusal.getExecution();
+        finish(AttemptResult.failed(refusal, execution, !possiblyDelivered && execution == Execution.DID_NOT_RUN));
     }
 
-    private void onReplacedSide() {
+    private void onSideRestarted() {
         protocol().cancel(submission.getAttemptId());
         finish(AttemptResult.interrupted(
                 AttemptResult.Kind.LOST,
@@ -136,30 +140,33 @@
     }
 
     private void poll() {
-        if (isOver()) {
+        if (finishIfExpired()) {
             return;
         }
-        long waitMillis =
-                Math.min(parts.settings().pollWaitMillis(), Math.max(1, parts.remainingMillis(deadlineAtMillis)));
+        long waitMillis = Math.min(
+                components.configuration().pollWaitMillis(), Math.max(1, components.remainingMillis(deadlineAtMillis)));
         PollRequest request = new PollRequest(submission.getAttemptId(), assembler.nextOffset(), waitMillis);
-        then(protocol().poll(request), this::onPolled);
+        continueWith(protocol().poll(request), this::onPolled);
     }
 
     private void onPolled(PollAnswer answer, Throwable failure) {
         if (failure != null) {
-            onLost(failure);
+            onConnectionLost(failure);
             return;
         }
-        lossesInARow = 0;
+        consecutiveLosses = 0;
         advance(AttemptPhase.Event.PROGRESS);
-        parts.board().noteReport(side.id(), answer.getLoad(), parts.clock().monotonicMillis());
+        components
+                .loadBoard()
+                .noteReport(side.id(), answer.getLoad(), components.clock().monotonicMillis());
         if (answer.getState() == AttemptState.ABSENT) {
-            onReplacedSide();
+            onSideRestarted();
             return;
         }
         List<Chunk> chunks = answer.isSetChunks() ? answer.getChunks() : List.of();
         List<Chunk> ready = assembler.accept(chunks);
-        then(deliver(ready), (done, gone) -> afterDelivery(answer, !ready.isEmpty(), gone));
+        continueWith(
+                deliver(ready), (done, deliveryFailure) -> afterDelivery(answer, !ready.isEmpty(), deliveryFailure));
     }
 
     private CompletableFuture<Void> deliver(List<Chunk> ready) {
@@ -171,30 +178,30 @@
         return delivered;
     }
 
-    private void afterDelivery(PollAnswer answer, boolean progress, Throwable gone) {
-        if (gone != null) {
-            endCallerGone();
+    private void afterDelivery(PollAnswer answer, boolean madeProgress, Throwable failure) {
+        if (failure != null) {
+            finishCallerGone();
             return;
         }
         switch (answer.getState()) {
-            case DONE -> onDone(answer, progress);
+            case DONE -> onDone(answer, madeProgress);
             case FAILED, CANCELLED -> onFailed(answer);
             default -> poll();
         }
     }
 
-    private void onDone(PollAnswer answer, boolean progress) {
+    private void onDone(PollAnswer answer, boolean madeProgress) {
         if (!answer.isSetTotalUnits() || assembler.nextOffset() > answer.getTotalUnits()) {
             finish(AttemptResult.interrupted(
                     AttemptResult.Kind.INCOMPLETE,
                     Execution.RAN,
                     "answer of side '" + side.id() + "' has no valid end"));
         } else if (assembler.nextOffset() == answer.getTotalUnits()) {
-            long tookMillis = parts.clock().monotonicMillis() - startedAtMillis;
-            parts.board().noteLatency(side.id(), tookMillis);
+            long tookMillis = components.clock().monotonicMillis() - startedAtMillis;
+            components.loadBoard().noteLatency(side.id(), tookMillis);
             String contentType = answer.isSetContentType() ? answer.getContentType() : "";
             finish(AttemptResult.completed(answer.getTotalUnits(), answer.getStatusCode(), contentType));
-        } else if (!progress && ++emptyPollsAfterDone > MAXIMUM_EMPTY_POLLS_AFTER_DONE) {
+        } else if (!madeProgress && ++emptyPollsAfterDone > MAXIMUM_EMPTY_POLLS_AFTER_DONE) {
             finish(AttemptResult.interrupted(
                     AttemptResult.Kind.INCOMPLETE,
                     Execution.RAN,
@@ -220,87 +227,88 @@
      * same attempt is asked for again over a fresh connection from the offset reached; the side process
      * attaches it to the run it has, so nothing runs twice and no piece is lost.
      */
-    private void onLost(Throwable failure) {
-        boolean delivered = !(failure instanceof TransportException lost) || lost.mayBeDelivered();
-        mayBeDelivered |= delivered;
-        if (!mayBeDelivered) {
-            parts.membership().noteReached(side.id(), side.epoch(), false);
+    private void onConnectionLost(Throwable failure) {
+        boolean callPossiblyDelivered =
+                !(failure instanceof TransportException transportFailure) || transportFailure.mayBeDelivered();
+        possiblyDelivered |= callPossiblyDelivered;
+        if (!possiblyDelivered) {
+            components.membership().noteReached(side.id(), side.epoch(), false);
             finish(AttemptResult.interrupted(
                     AttemptResult.Kind.LOST, Execution.DID_NOT_RUN, "side '" + side.id() + "' was not reached"));
             return;
         }
-        if (++lossesInARow > MAXIMUM_LOSSES_IN_A_ROW) {
-            parts.membership().noteReached(side.id(), side.epoch(), false);
+        if (++consecutiveLosses > MAXIMUM_CONSECUTIVE_LOSSES) {
+            components.membership().noteReached(side.id(), side.epoch(), false);
             finish(AttemptResult.interrupted(
                     AttemptResult.Kind.LOST,
                     Execution.UNKNOWN,
                     "side '" + side.id() + "' went silent; whether the request ran is unknown"));
             return;
         }
-        parts.metrics().resumed();
+        components.metrics().resumed();
         advance(AttemptPhase.Event.CONNECTION_LOST);
-        long delayMillis = parts.backoff().delayMillis(lossesInARow - 1, parts.random());
-        parts.executor().schedule(() -> guarded(this::resume), delayMillis, TimeUnit.MILLISECONDS);
+        long delayMillis = components.backoff().delayMillis(consecutiveLosses - 1, components.random());
+        components.executor().schedule(() -> runGuarded(this::resume), delayMillis, TimeUnit.MILLISECONDS);
     }
 
     private void resume() {
         if (maySubmit) {
             submit();
-        } else if (!isOver()) {
+        } else if (!finishIfExpired()) {
             advance(AttemptPhase.Event.ACCEPTED);
             poll();
         }
     }
 
-    private boolean isOver() {
+    private boolean finishIfExpired() {
         if (sink.isAbandoned()) {
-            endCallerGone();
-        } else if (parts.remainingMillis(deadlineAtMillis) <= 0) {
-            Execution execution = mayBeDelivered ? Execution.UNKNOWN : Execution.DID_NOT_RUN;
+            finishCallerGone();
+        } else if (components.remainingMillis(deadlineAtMillis) <= 0) {
+            Execution execution = possiblyDelivered ? Execution.UNKNOWN : Execution.DID_NOT_RUN;
             cancel();
             finish(AttemptResult.interrupted(AttemptResult.Kind.DEADLINE, execution, "the deadline has passed"));
         }
-        return end.isDone();
+        return completion.isDone();
     }
 
-    private void endCallerGone() {
+    private void finishCallerGone() {
         cancel();
         finish(AttemptResult.interrupted(
                 AttemptResult.Kind.CALLER_GONE,
-                mayBeDelivered ? Execution.UNKNOWN : Execution.DID_NOT_RUN,
+                possiblyDelivered ? Execution.UNKNOWN : Execution.DID_NOT_RUN,
                 "the caller has gone"));
     }
 
     private void cancel() {
-        boolean repeatable = !submission.isSetPlain() || !submission.getPlain().isNonIdempotent();
-        if (mayBeDelivered && repeatable) {
+        boolean idempotent = !submission.isSetPlain() || !submission.getPlain().isNonIdempotent();
+        if (possiblyDelivered && idempotent) {
             protocol().cancel(submission.getAttemptId());
         }
     }
 
     private SideProtocol protocol() {
-        return parts.connections().to(side.address());
+        return components.connections().to(side.address());
     }
 
     private void advance(AttemptPhase.Event event) {
         phase = phase.next(event);
     }
 
-    private void finish(AttemptResult ended) {
-        advance(ended.kind() == AttemptResult.Kind.DONE ? AttemptPhase.Event.COMPLETED : AttemptPhase.Event.ENDED);
-        end.complete(ended);
+    private void finish(AttemptResult result) {
+        advance(result.kind() == AttemptResult.Kind.DONE ? AttemptPhase.Event.COMPLETED : AttemptPhase.Event.ENDED);
+        completion.complete(result);
     }
 
-    private <T> void then(CompletableFuture<T> future, BiConsumer<T, Throwable> step) {
+    private <T> void continueWith(CompletableFuture<T> future, BiConsumer<T, Throwable> step) {
         future.whenCompleteAsync(
-                (value, failure) -> guarded(() -> step.accept(value, unwrap(failure))), parts.executor());
+                (value, failure) -> runGuarded(() -> step.accept(value, unwrap(failure))), components.executor());
     }
 
-    private void guarded(Runnable step) {
+    private void runGuarded(Runnable step) {
         try {
             step.run();
         } catch (RuntimeException failure) {
-            end.completeExceptionally(failure);
+            completion.completeExceptionally(failure);
         }
     }
 
--- a/src/main/java/io/waxwingquay/entry/CallersHandler.java
+++ b/src/main/java/io/waxwingquay/entry/CallerHandler.java
@@ -22,26 +22,31 @@
 /**
  * The callers' HTTP. No thread is held while a request waits.
  */
-final class CallersHandler extends Handler.Abstract.NonBlocking {
+final class CallerHandler extends Handler.Abstract.NonBlocking {
 
     private static final System.Logger LOG = System.getLogger("waxwingquay.entry");
-    private static final String COMPLETIONS = "/v1/completions";
-    private static final Pattern SERVICES = Pattern.compile("/v1/services/([^/]+)/([^/]+)");
+    private static final String COMPLETIONS_PATH = "/v1/completions";
+    private static final Pattern SERVICE_PATH = Pattern.compile("/v1/services/([^/]+)/([^/]+)");
 
-    private final EntryParts parts;
+    private final EntryComponents components;
     private final BundleSource bundles;
     private final DrainGate gate;
-    private final ModelFlow models;
-    private final ServiceFlow services;
+    private final ModelDispatcher modelDispatcher;
+    private final ServiceDispatcher serviceDispatcher;
     private final RequestReader reader;
 
-    CallersHandler(EntryParts parts, BundleSource bundles, DrainGate gate, ModelFlow models, ServiceFlow services) {
-        this.parts = parts;
+    CallerHandler(
+            EntryComponents components,
+            BundleSource bundles,
+            DrainGate gate,
+            ModelDispatcher modelDispatcher,
+            ServiceDispatcher serviceDispatcher) {
+        this.components = components;
         this.bundles = bundles;
         this.gate = gate;
-        this.models = models;
-        this.services = services;
-        this.reader = new RequestReader(parts.settings());
+        this.modelDispatcher = modelDispatcher;
+        this.serviceDispatcher = serviceDispatcher;
+        this.reader = new RequestReader(components.configuration());
     }
 
     /** {@inheritDoc} */
@@ -49,35 +54,35 @@
     public boolean handle(Request request, Response response, Callback callback) {
         String path = Request.getPathInContext(request);
         if (path.equals("/healthz")) {
-            probe(response, callback, true, "ok");
+            answerProbe(response, callback, true, "ok");
         } else if (path.equals("/readyz")) {
             boolean ready = !gate.isClosed() && bundles.current().isPresent();
-            probe(response, callback, ready, ready ? "ready" : "not ready");
+            answerProbe(response, callback, ready, ready ? "ready" : "not ready");
         } else {
-            call(path, request, response, callback);
+            startExchange(path, request, response, callback);
         }
         return true;
     }
 
-    private static void probe(Response response, Callback callback, boolean good, String word) {
-        int status = good ? 200 : FailureCode.NOT_READY.httpStatus();
-        HttpAnswer.write(response, callback, status, "text/plain", word.getBytes(StandardCharsets.US_ASCII));
+    private static void answerProbe(Response response, Callback callback, boolean isHealthy, String text) {
+        int status = isHealthy ? 200 : FailureCode.NOT_READY.httpStatus();
+        HttpAnswerWriter.write(response, callback, status, "text/plain", text.getBytes(StandardCharsets.US_ASCII));
     }
 
-    private void call(String path, Request request, Response response, Callback callback) {
+    private void startExchange(String path, Request request, Response response, Callback callback) {
         String requestId = RequestReader.requestId(request.getHeaders().get(RequestReader.REQUEST_ID_HEADER));
         response.getHeaders().put(RequestReader.REQUEST_ID_HEADER, requestId);
         Exchange exchange = new Exchange(path, requestId, request, response, callback);
         if (!gate.tryEnter()) {
-            exchange.fail(parts.withComeBack(CallFailure.rejected(
+            exchange.fail(components.withRetryAfter(CallFailure.rejected(
                     FailureCode.DRAINING, "entry", "this entry process is shutting down; ask another")));
             return;
         }
         Request.addCompletionListener(request, failure -> {
-            exchange.gone.set(true);
+            exchange.callerGone.set(true);
             gate.leave();
         });
-        request.addFailureListener(failure -> exchange.gone.set(true));
+        request.addFailureListener(failure -> exchange.callerGone.set(true));
         exchange.start();
     }
 
@@ -89,7 +94,7 @@
         private final Request request;
         private final Response response;
         private final Callback callback;
-        private final AtomicBoolean gone = new AtomicBoolean();
+        private final AtomicBoolean callerGone = new AtomicBoolean();
         private final String kind;
         private CallContext context;
 
@@ -99,117 +104,118 @@
             this.request = request;
             this.response = response;
             this.callback = callback;
-            this.kind = path.equals(COMPLETIONS) ? "model" : "service";
+            this.kind = path.equals(COMPLETIONS_PATH) ? "model" : "service";
         }
 
         private void start() {
             try {
-                Matcher service = SERVICES.matcher(path);
-                if (!path.equals(COMPLETIONS) && !service.matches()) {
+                Matcher servicePath = SERVICE_PATH.matcher(path);
+                if (!path.equals(COMPLETIONS_PATH) && !servicePath.matches()) {
                     throw CallFailure.rejected(
                             FailureCode.UNKNOWN_PATH,
                             path,
-                            "no such path; there are " + COMPLETIONS + " and /v1/services/{service}/{operation}");
+                            "no such path; there are " + COMPLETIONS_PATH + " and /v1/services/{service}/{operation}");
                 }
                 if (!HttpMethod.POST.is(request.getMethod())) {
                     throw CallFailure.rejected(FailureCode.WRONG_METHOD, request.getMethod(), "use POST");
                 }
-                String budget = request.getHeaders().get(RequestReader.DEADLINE_HEADER);
-                context = reader.context(requestId, budget, parts.clock().monotonicMillis());
+                String deadline = request.getHeaders().get(RequestReader.DEADLINE_HEADER);
+                context = reader.context(requestId, deadline, components.clock().monotonicMillis());
                 Bundle bundle = bundles.current()
-                        .orElseThrow(() -> parts.withComeBack(CallFailure.rejected(
+                        .orElseThrow(() -> components.withRetryAfter(CallFailure.rejected(
                                 FailureCode.NOT_READY, "bundle", "no bundle has been verified yet")));
-                readBody().whenComplete((body, failure) -> onBody(service, bundle, body, failure));
+                readBody().whenComplete((body, failure) -> onBody(servicePath, bundle, body, failure));
             } catch (RuntimeException failure) {
                 fail(CallFailure.from(failure));
             }
         }
 
         private CompletableFuture<byte[]> readBody() {
-            int limitBytes = parts.settings().maximumBodyBytes();
-            if (request.getLength() > limitBytes) {
-                return CompletableFuture.failedFuture(tooLarge(limitBytes));
+            int maximumBytes = components.configuration().maximumBodyBytes();
+            if (request.getLength() > maximumBytes) {
+                return CompletableFuture.failedFuture(tooLarge(maximumBytes));
             }
-            return Content.Source.asByteArrayAsync(request, limitBytes);
+            return Content.Source.asByteArrayAsync(request, maximumBytes);
         }
 
-        private void onBody(Matcher service, Bundle bundle, byte[] body, Throwable failure) {
+        private void onBody(Matcher servicePath, Bundle bundle, byte[] body, Throwable failure) {
             try {
                 if (failure != null) {
                     throw bodyFailure(failure);
                 }
-                if (service.matches()) {
-                    serve(reader.serviceCall(
+                if (servicePath.matches()) {
+                    answerServiceCall(reader.serviceCall(
                             context,
-                            service.group(1),
-                            service.group(2),
+                            servicePath.group(1),
+                            servicePath.group(2),
                             request.getHeaders().get(RequestReader.IDEMPOTENCY_KEY_HEADER),
                             body,
                             bundle));
                 } else {
-                    complete(reader.completion(context, body, bundle));
+                    answerCompletion(reader.completion(context, body, bundle));
                 }
-            } catch (RuntimeException refused) {
-                fail(CallFailure.from(refused));
+            } catch (RuntimeException rejected) {
+                fail(CallFailure.from(rejected));
             }
         }
 
-        private void serve(ServiceRequest call) {
-            services.answer(call, gone::get).whenComplete((answer, failure) -> {
+        private void answerServiceCall(ServiceRequest call) {
+            serviceDispatcher.answer(call, callerGone::get).whenComplete((answer, failure) -> {
                 if (failure != null) {
                     fail(CallFailure.from(failure));
                     return;
                 }
                 response.getHeaders().put("Idempotency-Replayed", Boolean.toString(answer.replayed()));
-                answered();
-                HttpAnswer.write(response, callback, answer.status(), answer.contentType(), answer.body());
+                recordAnswered();
+                HttpAnswerWriter.write(response, callback, answer.status(), answer.contentType(), answer.body());
             });
         }
 
-        private void complete(ModelRequest call) {
+        private void answerCompletion(ModelRequest call) {
             if (call.stream()) {
-                stream(call);
+                streamCompletion(call);
                 return;
             }
-            AnswerSink.Buffered sink = new AnswerSink.Buffered(gone::get);
-            models.answer(call, sink).whenComplete((end, failure) -> {
+            AnswerSink.Buffered sink = new AnswerSink.Buffered(callerGone::get);
+            modelDispatcher.answer(call, sink).whenComplete((result, failure) -> {
                 if (failure != null) {
                     fail(CallFailure.from(failure));
                     return;
                 }
-                answered();
+                recordAnswered();
                 String text = new String(sink.bytes(), StandardCharsets.UTF_8);
-                byte[] body = CallerMessages.completion(call, text, end.units()).getBytes(StandardCharsets.UTF_8);
-                HttpAnswer.write(response, callback, 200, HttpAnswer.JSON, body);
+                byte[] body =
+                        CallerMessages.completion(call, text, result.units()).getBytes(StandardCharsets.UTF_8);
+                HttpAnswerWriter.write(response, callback, 200, HttpAnswerWriter.JSON, body);
             });
         }
 
-        private void stream(ModelRequest call) {
-            BooleanSupplier abandoned = gone::get;
-            EventStream events = new EventStream(call, response, abandoned, this::firstToken);
-            models.answer(call, events).whenComplete((end, failure) -> {
+        private void streamCompletion(ModelRequest call) {
+            BooleanSupplier abandoned = callerGone::get;
+            EventStreamSink events = new EventStreamSink(call, response, abandoned, this::recordFirstToken);
+            modelDispatcher.answer(call, events).whenComplete((result, failure) -> {
                 if (failure != null) {
-                    CallFailure told = CallFailure.from(failure);
-                    noteFailed(told);
-                    events.fail(told, callback);
+                    CallFailure reported = CallFailure.from(failure);
+                    recordFailed(reported);
+                    events.fail(reported, callback);
                 } else {
-                    answered();
+                    recordAnswered();
                     events.complete(callback);
                 }
             });
         }
 
-        private void firstToken() {
-            parts.metrics().firstToken(parts.clock().monotonicMillis() - context.arrivedAtMillis());
+        private void recordFirstToken() {
+            components.metrics().firstToken(components.clock().monotonicMillis() - context.arrivedAtMillis());
         }
 
-        private void answered() {
+        private void recordAnswered() {
             LOG.log(System.Logger.Level.DEBUG, () -> "entry: request " + requestId + " was answered.");
-            parts.metrics().answered(kind, parts.remainingMillis(context.deadlineAtMillis()) >= 0);
+            components.metrics().answered(kind, components.remainingMillis(context.deadlineAtMillis()) >= 0);
         }
 
-        private void noteFailed(CallFailure failure) {
-            parts.metrics().failed(kind, failure);
+        private void recordFailed(CallFailure failure) {
+            components.metrics().failed(kind, failure);
             LOG.log(
                     System.Logger.Level.INFO,
                     () -> "entry: request " + requestId + " failed, "
@@ -217,8 +223,8 @@
         }
 
         private void fail(CallFailure failure) {
-            noteFailed(failure);
-            HttpAnswer.write(response, callback, failure);
+            recordFailed(failure);
+            HttpAnswerWriter.write(response, callback, failure);
         }
 
         private CallFailure bodyFailure(Throwable failure) {
@@ -226,17 +232,19 @@
             if (cause instanceof CallFailure known) {
                 return known;
             }
-            boolean large = Optional.ofNullable(cause.getMessage())
+            boolean isTooLarge = Optional.ofNullable(cause.getMessage())
                     .filter(text -> cause instanceof IllegalStateException)
                     .isPresent();
-            return large
-                    ? tooLarge(parts.settings().maximumBodyBytes())
+            return isTooLarge
+                    ? tooLarge(components.configuration().maximumBodyBytes())
                     : CallFailure.of(FailureCode.CALLER_GONE, "body", "the body broke off", Execution.DID_NOT_RUN);
         }
 
-        private static CallFailure tooLarge(int limitBytes) {
+        private static CallFailure tooLarge(int maximumBytes) {
             return CallFailure.rejected(
-                    FailureCode.BODY_TOO_LARGE, "body", "the body is larger than " + limitBytes + " bytes; send less");
+                    FailureCode.BODY_TOO_LARGE,
+                    "body",
+                    "the body is larger than " + maximumBytes + " bytes; send less");
         }
     }
 }
--- a/src/main/java/io/waxwingquay/entry/ClaimedCall.java
+++ b/src/main/java/io/waxwingquay/entry/ClaimedCall.java
@@ -27,27 +27,32 @@
  */
 final class ClaimedCall {
 
-    private static final int MAXIMUM_DOORS = 3;
-    private static final int MAXIMUM_TURNS = 6;
-    private static final int MAXIMUM_QUESTIONS = 3;
-    private static final long MINIMUM_TRY_MILLIS = 5;
-    private static final long IN_PROGRESS_RETRY_MILLIS = 500;
-
-    private final EntryParts parts;
-    private final ClaimStore store;
-    private final OutcomeWriter outcomes;
+    private static final int MAXIMUM_ATTEMPTS = 3;
+    private static final int MAXIMUM_CLAIM_ROUNDS = 6;
+    private static final int MAXIMUM_RESOLVE_SENDS = 3;
+    private static final long MINIMUM_ATTEMPT_MILLIS = 5;
+    private static final long IN_PROGRESS_RETRY_AFTER_MILLIS = 500;
+
+    private final EntryComponents components;
+    private final ClaimStore claimStore;
+    private final OutcomeWriter outcomeWriter;
     private final ServiceRequest request;
     private final String key;
     private final String rowKey;
     private RouteQuery query;
-    private Execution known = Execution.DID_NOT_RUN;
-    private int doors;
-    private int turns;
-
-    ClaimedCall(EntryParts parts, ClaimStore store, OutcomeWriter outcomes, ServiceRequest request, RouteQuery query) {
-        this.parts = parts;
-        this.store = store;
-        this.outcomes = outcomes;
+    private Execution knownExecution = Execution.DID_NOT_RUN;
+    private int attempts;
+    private int claimRounds;
+
+    ClaimedCall(
+            EntryComponents components,
+            ClaimStore claimStore,
+            OutcomeWriter outcomeWriter,
+            ServiceRequest request,
+            RouteQuery query) {
+        this.components = components;
+        this.claimStore = claimStore;
+        this.outcomeWriter = outcomeWriter;
         this.request = request;
         this.key = request.idempotencyKey().orElseThrow();
         this.rowKey = ClaimStore.rowKey(request.service(), key);
@@ -56,58 +61,61 @@
 
     /** Starts; the future fails with {@link CallFailure}. */
     CompletableFuture<ServiceAnswer> run() {
-        parts.retryBudget().noteFirstTry();
+        components.retryBudget().noteFirstTry();
         return claim();
     }
 
     private CompletableFuture<ServiceAnswer> claim() {
-        return withSide(side -> write(side, record -> store.claim(rowKey, record)), this::withoutSide);
+        return withCandidate(side -> writeClaim(side, record -> claimStore.claim(rowKey, record)), this::onNoCandidate);
     }
 
     /** Claims anew after the attempt of the claim before was refused or withdrawn for good. */
-    private CompletableFuture<ServiceAnswer> replace(Claimed before) {
-        ClaimRecord notRun = before.record().notRun();
-        return withSide(
-                side -> write(side, record -> store.replace(rowKey, before.version(), notRun.reclaimedBy(record))),
+    private CompletableFuture<ServiceAnswer> reclaim(Claimed previous) {
+        ClaimRecord notRun = previous.record().notRun();
+        return withCandidate(
+                side -> writeClaim(
+                        side, record -> claimStore.replace(rowKey, previous.version(), notRun.reclaimedBy(record))),
                 () -> fail(noTarget()));
     }
 
-    private CompletableFuture<ServiceAnswer> withSide(
+    private CompletableFuture<ServiceAnswer> withCandidate(
             Function<Side, CompletableFuture<ServiceAnswer>> step,
-            Supplier<CompletableFuture<ServiceAnswer>> otherwise) {
-        if (++turns > MAXIMUM_TURNS) {
+            Supplier<CompletableFuture<ServiceAnswer>> whenNoCandidate) {
+        if (++claimRounds > MAXIMUM_CLAIM_ROUNDS) {
             return fail(inProgress("other calls with key '" + key + "' keep changing its claim"));
         }
-        List<SideView> candidates = parts.candidates(query);
+        List<SideView> candidates = components.candidates(query);
         return candidates.isEmpty()
-                ? otherwise.get()
+                ? whenNoCandidate.get()
                 : step.apply(candidates.get(0).side());
     }
 
     /** A resend must learn the outcome of the first try even when nothing could run it now. */
-    private CompletableFuture<ServiceAnswer> withoutSide() {
-        return store.find(rowKey)
+    private CompletableFuture<ServiceAnswer> onNoCandidate() {
+        return claimStore
+                .find(rowKey)
                 .handleAsync(
                         (found, failure) -> failure == null
                                 ? found.map(this::onExisting).orElseGet(() -> fail(noTarget()))
-                                : this.<ServiceAnswer>fail(tableOut()),
-                        parts.executor())
+                                : this.<ServiceAnswer>fail(tableUnavailable()),
+                        components.executor())
                 .thenCompose(next -> next);
     }
 
-    private CompletableFuture<ServiceAnswer> write(
-            Side side, Function<ClaimRecord, CompletableFuture<Claimed>> writing) {
+    private CompletableFuture<ServiceAnswer> writeClaim(
+            Side side, Function<ClaimRecord, CompletableFuture<Claimed>> writer) {
         ClaimRecord record = ClaimRecord.of(
                 UUID.randomUUID().toString(),
                 side.id(),
                 side.epoch(),
                 request.fingerprint(),
-                parts.clock().epochMillis());
-        return writing.apply(record)
+                components.clock().epochMillis());
+        return writer.apply(record)
                 .handleAsync(
-                        (claimed, failure) ->
-                                failure == null ? onClaimed(side, claimed) : this.<ServiceAnswer>fail(tableOut()),
-                        parts.executor())
+                        (claimed, failure) -> failure == null
+                                ? onClaimed(side, claimed)
+                                : this.<ServiceAnswer>fail(tableUnavailable()),
+                        components.executor())
                 .thenCompose(next -> next);
     }
 
@@ -115,17 +123,17 @@
         if (!claimed.ours()) {
             return onExisting(claimed);
         }
-        known = Execution.DID_NOT_RUN;
+        knownExecution = Execution.DID_NOT_RUN;
         return dispatch(side, claimed);
     }
 
     private CompletableFuture<ServiceAnswer> dispatch(Side side, Claimed claimed) {
-        doors++;
+        attempts++;
         Submission submission = submission(claimed.record());
         AnswerSink.Buffered sink = new AnswerSink.Buffered(() -> false);
-        return new AttemptRunner(parts, side, submission, request.context().deadlineAtMillis(), sink)
+        return new AttemptRunner(components, side, submission, request.context().deadlineAtMillis(), sink)
                 .run()
-                .thenComposeAsync(end -> onEnd(side, claimed, end, sink.bytes()), parts.executor());
+                .thenComposeAsync(result -> onEnd(side, claimed, result, sink.bytes()), components.executor());
     }
 
     private Submission submission(ClaimRecord record) {
@@ -135,21 +143,23 @@
                 .setSideEpoch(record.sideEpoch());
     }
 
-    private CompletableFuture<ServiceAnswer> onEnd(Side side, Claimed claimed, AttemptResult end, byte[] body) {
-        if (end.kind() == AttemptResult.Kind.DONE) {
-            parts.comeBack().noteFinished(parts.clock().monotonicMillis());
-            return settle(claimed, ServiceAnswer.of(end, body, false));
+    private CompletableFuture<ServiceAnswer> onEnd(Side side, Claimed claimed, AttemptResult result, byte[] body) {
+        if (result.kind() == AttemptResult.Kind.DONE) {
+            components.retryAfterEstimator().noteFinished(components.clock().monotonicMillis());
+            return settle(claimed, ServiceAnswer.of(result, body, false));
         }
-        if (end.reason().filter(reason -> reason == RefusalReason.WITHDRAWN).isPresent()) {
-            parts.metrics().claim("withdrawn");
-            known = Execution.UNKNOWN;
+        if (result.reason().filter(reason -> reason == RefusalReason.WITHDRAWN).isPresent()) {
+            components.metrics().claim("withdrawn");
+            knownExecution = Execution.UNKNOWN;
             return claim();
         }
-        if (end.execution() != Execution.DID_NOT_RUN) {
-            parts.metrics().claim("unknown");
-            return fail(end.toFailure(side.id()));
+        if (result.execution() != Execution.DID_NOT_RUN) {
+            components.metrics().claim("unknown");
+            return fail(result.toFailure(side.id()));
         }
-        return end.startRuledOut() ? afterRefusal(side, claimed, end) : withdrawThenRefuse(side, claimed, end);
+        return result.startRuledOut()
+                ? afterRefusal(side, claimed, result)
+                : withdrawAfterRefusal(side, claimed, result);
     }
 
     private CompletableFuture<ServiceAnswer> settle(Claimed claimed, ServiceAnswer answer) {
@@ -157,42 +167,42 @@
                 answer.status(),
                 answer.contentType(),
                 answer.body(),
-                parts.settings().maximumOutcomeBytes());
-        outcomes.record(rowKey, claimed.version(), claimed.record().settled(outcome));
+                components.configuration().maximumOutcomeBytes());
+        outcomeWriter.record(rowKey, claimed.version(), claimed.record().settled(outcome));
         return CompletableFuture.completedFuture(answer);
     }
 
     /** A submission whose answer was lost may still be under way; only a withdrawal rules out that it starts. */
-    private CompletableFuture<ServiceAnswer> withdrawThenRefuse(Side side, Claimed claimed, AttemptResult end) {
+    private CompletableFuture<ServiceAnswer> withdrawAfterRefusal(Side side, Claimed claimed, AttemptResult result) {
         return resolve(side, claimed.record(), true)
                 .handleAsync(
                         (answer, failure) -> failure == null && answer.getExecution() == Execution.DID_NOT_RUN
-                                ? afterRefusal(side, claimed, end)
+                                ? afterRefusal(side, claimed, result)
                                 : this.<ServiceAnswer>fail(
-                                        end.toFailure(side.id()).withExecution(Execution.UNKNOWN)),
-                        parts.executor())
+                                        result.toFailure(side.id()).withExecution(Execution.UNKNOWN)),
+                        components.executor())
                 .thenCompose(next -> next);
     }
 
-    private CompletableFuture<ServiceAnswer> afterRefusal(Side side, Claimed claimed, AttemptResult end) {
-        RefusalReason reason = end.reason().orElse(RefusalReason.TARGET_DOWN);
-        long remainingMillis = parts.remainingMillis(request.context().deadlineAtMillis());
-        boolean again = doors < MAXIMUM_DOORS
-                && RetryRule.AT_MOST_ONCE.allows(end.execution(), reason, remainingMillis, MINIMUM_TRY_MILLIS)
-                && (RetryRule.isCheap(reason) || parts.retryBudget().tryRetry());
+    private CompletableFuture<ServiceAnswer> afterRefusal(Side side, Claimed claimed, AttemptResult result) {
+        RefusalReason reason = result.reason().orElse(RefusalReason.TARGET_DOWN);
+        long remainingMillis = components.remainingMillis(request.context().deadlineAtMillis());
+        boolean mayRetry = attempts < MAXIMUM_ATTEMPTS
+                && RetryRule.AT_MOST_ONCE.allows(result.execution(), reason, remainingMillis, MINIMUM_ATTEMPT_MILLIS)
+                && (RetryRule.isCheap(reason) || components.retryBudget().tryRetry());
         query = query.excluding(side.id());
-        if (again && !parts.candidates(query).isEmpty()) {
-            parts.metrics().retried(reason.name());
-            return replace(claimed);
+        if (mayRetry && !components.candidates(query).isEmpty()) {
+            components.metrics().retried(reason.name());
+            return reclaim(claimed);
         }
-        outcomes.record(rowKey, claimed.version(), claimed.record().notRun());
-        parts.metrics().claim("did_not_run");
-        return fail(parts.withComeBack(end.toFailure(side.id())));
+        outcomeWriter.record(rowKey, claimed.version(), claimed.record().notRun());
+        components.metrics().claim("did_not_run");
+        return fail(components.withRetryAfter(result.toFailure(side.id())));
     }
 
     /** From here on another call with this key may run it, until a new claim of ours is in the row. */
     private CompletableFuture<ServiceAnswer> onExisting(Claimed existing) {
-        known = Execution.UNKNOWN;
+        knownExecution = Execution.UNKNOWN;
         ClaimRecord record = existing.record();
         if (record.requestFingerprint() != request.fingerprint()) {
             return fail(CallFailure.rejected(
@@ -202,13 +212,13 @@
         }
         return switch (record.state()) {
             case SETTLED -> replay(record.outcome().orElseThrow());
-            case DID_NOT_RUN -> replace(existing);
+            case DID_NOT_RUN -> reclaim(existing);
             case CLAIMED -> onPending(existing);
         };
     }
 
     private CompletableFuture<ServiceAnswer> replay(ClaimRecord.Outcome outcome) {
-        parts.metrics().claim("replayed");
+        components.metrics().claim("replayed");
         if (outcome.bodyOmitted()) {
             return fail(CallFailure.of(
                     FailureCode.OUTCOME_NOT_KEPT,
@@ -223,7 +233,7 @@
     private CompletableFuture<ServiceAnswer> onPending(Claimed existing) {
         ClaimRecord record = existing.record();
         Optional<Side> holder =
-                parts.membership().side(record.sideId()).filter(side -> side.epoch() == record.sideEpoch());
+                components.membership().side(record.sideId()).filter(side -> side.epoch() == record.sideEpoch());
         if (holder.isEmpty()) {
             return fail(outcomeUnknown("side '" + record.sideId() + "' that held the call is gone"));
         }
@@ -233,7 +243,7 @@
                                 ? onResolved(holder.get(), existing, answer)
                                 : this.<ServiceAnswer>fail(outcomeUnknown(
                                         "side '" + record.sideId() + "' that holds the call does not answer")),
-                        parts.executor())
+                        components.executor())
                 .thenCompose(next -> next);
     }
 
@@ -243,7 +253,7 @@
             return attach(side, existing);
         }
         if (state == AttemptState.QUEUED || state == AttemptState.RUNNING) {
-            parts.metrics().claim("in_progress");
+            components.metrics().claim("in_progress");
             return fail(inProgress("the call with key '" + key + "' is still running"));
         }
         if (answer.getExecution() == Execution.RAN) {
@@ -252,7 +262,7 @@
         if (answer.getExecution() == Execution.DID_NOT_RUN || state == AttemptState.ABSENT) {
             return takeOver(side, existing);
         }
-        return fail(cannotTell(side));
+        return fail(executionUnknown(side));
     }
 
     /**
@@ -266,36 +276,36 @@
         return resolve(side, existing.record(), true)
                 .handleAsync(
                         (answer, failure) -> failure == null && answer.getExecution() == Execution.DID_NOT_RUN
-                                ? replace(existing)
-                                : this.<ServiceAnswer>fail(notTakenOver(side, answer)),
-                        parts.executor())
+                                ? reclaim(existing)
+                                : this.<ServiceAnswer>fail(takeOverFailure(side, answer)),
+                        components.executor())
                 .thenCompose(next -> next);
     }
 
     /** The answer is absent when the side did not reply to the withdrawal. */
-    private CallFailure notTakenOver(Side side, ResolveAnswer answer) {
-        boolean starting = answer == null || answer.getState() != AttemptState.ABSENT;
-        return starting ? inProgress("the call with key '" + key + "' may be starting") : cannotTell(side);
+    private CallFailure takeOverFailure(Side side, ResolveAnswer answer) {
+        boolean mayBeStarting = answer == null || answer.getState() != AttemptState.ABSENT;
+        return mayBeStarting ? inProgress("the call with key '" + key + "' may be starting") : executionUnknown(side);
     }
 
-    private CallFailure cannotTell(Side side) {
+    private CallFailure executionUnknown(Side side) {
         return outcomeUnknown("side '" + side.id() + "' cannot tell whether the call ran");
     }
 
     private CompletableFuture<ServiceAnswer> attach(Side side, Claimed existing) {
         AnswerSink.Buffered sink = new AnswerSink.Buffered(() -> false);
         Submission submission = submission(existing.record());
-        return new AttemptRunner(parts, side, submission, request.context().deadlineAtMillis(), sink)
+        return new AttemptRunner(components, side, submission, request.context().deadlineAtMillis(), sink)
                 .attach()
                 .thenComposeAsync(
-                        end -> {
-                            if (end.kind() != AttemptResult.Kind.DONE) {
-                                return fail(end.toFailure(side.id()).withExecution(Execution.RAN));
+                        result -> {
+                            if (result.kind() != AttemptResult.Kind.DONE) {
+                                return fail(result.toFailure(side.id()).withExecution(Execution.RAN));
                             }
-                            parts.metrics().claim("replayed");
-                            return settle(existing, ServiceAnswer.of(end, sink.bytes(), true));
+                            components.metrics().claim("replayed");
+                            return settle(existing, ServiceAnswer.of(result, sink.bytes(), true));
                         },
-                        parts.executor());
+                        components.executor());
     }
 
     /**
@@ -304,21 +314,21 @@
      * have answered over a fresh one.
      */
     private CompletableFuture<ResolveAnswer> resolve(Side side, ClaimRecord record, boolean withdraw) {
-        ResolveRequest question = new ResolveRequest(record.attemptId(), withdraw, record.sideEpoch());
-        return resolve(side, question, MAXIMUM_QUESTIONS - 1);
+        ResolveRequest resolveRequest = new ResolveRequest(record.attemptId(), withdraw, record.sideEpoch());
+        return resolve(side, resolveRequest, MAXIMUM_RESOLVE_SENDS - 1);
     }
 
-    private CompletableFuture<ResolveAnswer> resolve(Side side, ResolveRequest question, int questionsLeft) {
+    private CompletableFuture<ResolveAnswer> resolve(Side side, ResolveRequest resolveRequest, int resendsLeft) {
         CompletableFuture<ResolveAnswer> answer =
-                parts.connections().to(side.address()).resolve(question);
-        return questionsLeft == 0
+                components.connections().to(side.address()).resolve(resolveRequest);
+        return resendsLeft == 0
                 ? answer
-                : answer.exceptionallyCompose(failure -> resolve(side, question, questionsLeft - 1));
+                : answer.exceptionallyCompose(failure -> resolve(side, resolveRequest, resendsLeft - 1));
     }
 
     private CallFailure inProgress(String message) {
         return CallFailure.of(FailureCode.IN_PROGRESS, key, message, Execution.UNKNOWN)
-                .withRetryAfterMillis(IN_PROGRESS_RETRY_MILLIS);
+                .withRetryAfterMillis(IN_PROGRESS_RETRY_AFTER_MILLIS);
     }
 
     private CallFailure outcomeUnknown(String reason) {
@@ -326,15 +336,15 @@
         return CallFailure.of(FailureCode.OUTCOME_UNKNOWN, key, message, Execution.UNKNOWN);
     }
 
-    private CallFailure tableOut() {
-        parts.metrics().claim("table_out");
+    private CallFailure tableUnavailable() {
+        components.metrics().claim("table_out");
         String message = "the platform's table service does not answer, so nothing was handed on by this request;"
                 + " an earlier request with the same key may have run";
-        return parts.withComeBack(CallFailure.of(FailureCode.TABLE_OUT, key, message, known));
+        return components.withRetryAfter(CallFailure.of(FailureCode.TABLE_OUT, key, message, knownExecution));
     }
 
     private CallFailure noTarget() {
-        return parts.noTarget(request.service()).withExecution(known);
+        return components.noTarget(request.service()).withExecution(knownExecution);
     }
 
     private <T> CompletableFuture<T> fail(CallFailure failure) {
--- a/src/main/java/io/waxwingquay/entry/EntryParts.java
+++ b/src/main/java/io/waxwingquay/entry/EntryComponents.java
@@ -21,31 +21,31 @@
 /**
  * What the flows of one entry process share.
  *
- * @param settings what the process was told.
+ * @param configuration what the process was told.
  * @param membership the side processes known.
  * @param connections how they are reached.
- * @param board their load.
- * @param index the sides by what they hold.
+ * @param loadBoard their load.
+ * @param sideIndex the sides by what they hold.
  * @param router who is asked.
  * @param retryBudget how many retries are allowed.
  * @param backoff waits between tries.
- * @param comeBack when refused callers should come back.
+ * @param retryAfterEstimator when refused callers should come back.
  * @param clock the time.
  * @param random the source of choices; safe for concurrent use.
  * @param executor runs what follows each answer, and the waits.
  * @param metrics what is counted.
  * @param suspects requests that were running when targets crashed.
  */
-record EntryParts(
-        EntryConfiguration settings,
+record EntryComponents(
+        EntryConfiguration configuration,
         Membership membership,
         Connections connections,
-        LoadBoard board,
-        SideIndex.Latest index,
+        LoadBoard loadBoard,
+        SideIndex.Latest sideIndex,
         Router router,
         RetryBudget retryBudget,
         Backoff backoff,
-        ComeBack comeBack,
+        ComeBack retryAfterEstimator,
         Clock clock,
         RandomGenerator random,
         ScheduledExecutorService executor,
@@ -53,8 +53,8 @@
         Optional<SuspectBook> suspects) {
 
     List<SideView> candidates(RouteQuery query) {
-        List<Side> considered = router.policy().considered(query, index.of(membership.sides()));
-        List<SideView> views = board.views(considered, clock.monotonicMillis());
+        List<Side> eligible = router.policy().considered(query, sideIndex.of(membership.sides()));
+        List<SideView> views = loadBoard.views(eligible, clock.monotonicMillis());
         return router.candidates(query, views, random);
     }
 
@@ -66,12 +66,13 @@
      * Adds the time in which the requests in flight here drain at the rate measured here. Only a refusal that
      * time can mend gets it, lest a caller be invited to resend a quarantined or malformed request.
      */
-    CallFailure withComeBack(CallFailure failure) {
-        long waiting = board.totalOutstanding();
-        boolean timeMends = failure.code().httpStatus() == FailureCode.OVERLOADED.httpStatus();
-        return failure.retryAfterMillis() > 0 || !timeMends
+    CallFailure withRetryAfter(CallFailure failure) {
+        long outstandingRequests = loadBoard.totalOutstanding();
+        boolean isTemporary = failure.code().httpStatus() == FailureCode.OVERLOADED.httpStatus();
+        return failure.retryAfterMillis() > 0 || !isTemporary
                 ? failure
-                : failure.withRetryAfterMillis(comeBack.afterMillis(waiting, clock.monotonicMillis(), random));
+                : failure.withRetryAfterMillis(
+                        retryAfterEstimator.afterMillis(outstandingRequests, clock.monotonicMillis(), random));
     }
 
     /**
@@ -89,6 +90,6 @@
     CallFailure noTarget(String service) {
         CallFailure failure = CallFailure.rejected(
                 FailureCode.NO_TARGET, service, "no side process of service '" + service + "' takes work now");
-        return withComeBack(failure);
+        return withRetryAfter(failure);
     }
 }
--- a/src/main/java/io/waxwingquay/entry/EntryNode.java
+++ b/src/main/java/io/waxwingquay/entry/EntryNode.java
@@ -41,42 +41,43 @@
 public final class EntryNode implements AutoCloseable {
 
     private static final System.Logger LOG = System.getLogger("waxwingquay.entry");
-    private static final int FLOW_THREADS = 4;
+    private static final int DISPATCH_THREADS = 4;
     private static final int HTTP_THREADS = 24;
     private static final int RETRY_BURST = 20;
-    private static final long FIRST_BACKOFF_MILLIS = 20;
+    private static final long INITIAL_BACKOFF_MILLIS = 20;
     private static final long MAXIMUM_BACKOFF_MILLIS = 1_000;
-    private static final long MINIMUM_COME_BACK_MILLIS = 250;
-    private static final long MAXIMUM_COME_BACK_MILLIS = 10_000;
-    private static final long IDLE_MARGIN_MILLIS = 30_000;
-    private static final long FORGET_EVERY_MILLIS = 30_000;
+    private static final long MINIMUM_RETRY_AFTER_MILLIS = 250;
+    private static final long MAXIMUM_RETRY_AFTER_MILLIS = 10_000;
+    private static final long IDLE_TIMEOUT_MARGIN_MILLIS = 30_000;
+    private static final long LOAD_BOARD_PRUNE_INTERVAL_MILLIS = 30_000;
 
     private final ScheduledThreadPoolExecutor executor;
     private final DrainGate gate = new DrainGate();
-    private final LoadBoard board = new LoadBoard();
+    private final LoadBoard loadBoard = new LoadBoard();
     private final AtomicBoolean closed = new AtomicBoolean();
-    private final EntryParts parts;
-    private final OutcomeWriter outcomes;
+    private final EntryComponents components;
+    private final OutcomeWriter outcomeWriter;
     private final Server server;
     private final ServerConnector connector;
 
     private EntryNode(Builder builder) {
-        this.executor = new ScheduledThreadPoolExecutor(FLOW_THREADS, EntryNode::daemon);
+        this.executor = new ScheduledThreadPoolExecutor(DISPATCH_THREADS, EntryNode::daemonThread);
         this.executor.setRemoveOnCancelPolicy(true);
-        this.parts = parts(builder);
+        this.components = components(builder);
         GroupCommitter committer =
                 new GroupCommitter(builder.table, builder.configuration.maximumClaimBatchSize(), executor);
-        ClaimStore store = new ClaimStore(committer);
-        this.outcomes = new OutcomeWriter(parts, store, gate);
-        ServiceFlow services = new ServiceFlow(parts, store, outcomes);
+        ClaimStore claimStore = new ClaimStore(committer);
+        this.outcomeWriter = new OutcomeWriter(components, claimStore, gate);
+        ServiceDispatcher serviceDispatcher = new ServiceDispatcher(components, claimStore, outcomeWriter);
         this.server = new Server(httpThreads());
         this.connector = connector(builder.configuration);
         server.addConnector(connector);
-        server.setHandler(new CallersHandler(parts, builder.bundles, gate, new ModelFlow(parts), services));
+        server.setHandler(new CallerHandler(
+                components, builder.bundles, gate, new ModelDispatcher(components), serviceDispatcher));
         executor.scheduleWithFixedDelay(
-                () -> forgetGoneSides(builder.membership),
-                FORGET_EVERY_MILLIS,
-                FORGET_EVERY_MILLIS,
+                () -> pruneLoadBoard(builder.membership),
+                LOAD_BOARD_PRUNE_INTERVAL_MILLIS,
+                LOAD_BOARD_PRUNE_INTERVAL_MILLIS,
                 TimeUnit.MILLISECONDS);
     }
 
@@ -121,7 +122,7 @@
      * @return the board.
      */
     public LoadBoard loadBoard() {
-        return board;
+        return loadBoard;
     }
 
     /**
@@ -139,7 +140,7 @@
      * @return retries that may be sent now.
      */
     public double retriesLeft() {
-        return parts.retryBudget().available();
+        return components.retryBudget().available();
     }
 
     /**
@@ -148,7 +149,7 @@
      * @return the number.
      */
     public int pendingOutcomes() {
-        return outcomes.pending();
+        return outcomeWriter.pending();
     }
 
     /**
@@ -160,7 +161,7 @@
     public CompletableFuture<Boolean> drain(long limitMillis) {
         LOG.log(System.Logger.Level.INFO, "entry: draining, {0} in flight.", gate.inside());
         return gate.close()
-                .thenApply(done -> true)
+                .thenApply(drained -> true)
                 .completeOnTimeout(false, limitMillis, TimeUnit.MILLISECONDS)
                 .thenApplyAsync(finished -> {
                     close();
@@ -183,18 +184,18 @@
         }
     }
 
-    private EntryParts parts(Builder builder) {
-        EntryConfiguration settings = builder.configuration;
-        return new EntryParts(
-                settings,
+    private EntryComponents components(Builder builder) {
+        EntryConfiguration configuration = builder.configuration;
+        return new EntryComponents(
+                configuration,
                 builder.membership,
                 builder.connections,
-                board,
+                loadBoard,
                 new SideIndex.Latest(),
-                new Router(Policy.named(settings.routingPolicy())),
-                RetryBudget.of(settings.retryShare(), RETRY_BURST),
-                new Backoff(FIRST_BACKOFF_MILLIS, MAXIMUM_BACKOFF_MILLIS),
-                new ComeBack(MINIMUM_COME_BACK_MILLIS, MAXIMUM_COME_BACK_MILLIS, builder.clock.monotonicMillis()),
+                new Router(Policy.named(configuration.routingPolicy())),
+                RetryBudget.of(configuration.retryShare(), RETRY_BURST),
+                new Backoff(INITIAL_BACKOFF_MILLIS, MAXIMUM_BACKOFF_MILLIS),
+                new ComeBack(MINIMUM_RETRY_AFTER_MILLIS, MAXIMUM_RETRY_AFTER_MILLIS, builder.clock.monotonicMillis()),
                 builder.clock,
                 builder.random,
                 executor,
@@ -202,18 +203,19 @@
                 builder.suspects);
     }
 
-    private void forgetGoneSides(Membership membership) {
-        board.retain(membership.sides().stream().map(Side::id).collect(Collectors.toSet()));
+    private void pruneLoadBoard(Membership membership) {
+        loadBoard.retain(membership.sides().stream().map(Side::id).collect(Collectors.toSet()));
     }
 
-    private ServerConnector connector(EntryConfiguration settings) {
-        HttpConfiguration http = new HttpConfiguration();
-        http.setSendServerVersion(false);
-        ServerConnector listening = new ServerConnector(server, 1, 1, new HttpConnectionFactory(http));
-        listening.setHost(settings.host());
-        listening.setPort(settings.port());
-        listening.setIdleTimeout(settings.maximumDeadlineMillis() + IDLE_MARGIN_MILLIS);
-        return listening;
+    private ServerConnector connector(EntryConfiguration configuration) {
+        HttpConfiguration httpConfiguration = new HttpConfiguration();
+        httpConfiguration.setSendServerVersion(false);
+        ServerConnector serverConnector =
+                new ServerConnector(server, 1, 1, new HttpConnectionFactory(httpConfiguration));
+        serverConnector.setHost(configuration.host());
+        serverConnector.setPort(configuration.port());
+        serverConnector.setIdleTimeout(configuration.maximumDeadlineMillis() + IDLE_TIMEOUT_MARGIN_MILLIS);
+        return serverConnector;
     }
 
     private static QueuedThreadPool httpThreads() {
@@ -223,7 +225,7 @@
         return threads;
     }
 
-    private static Thread daemon(Runnable work) {
+    private static Thread daemonThread(Runnable work) {
         Thread thread = new Thread(work, "entry-flow");
         thread.setDaemon(true);
         return thread;
--- a/src/main/java/io/waxwingquay/entry/EventStream.java
+++ b/src/main/java/io/waxwingquay/entry/EventStreamSink.java
@@ -15,27 +15,27 @@
  * Writes an answer as server-sent events. The status line goes out with the first piece, so a request that
  * fails before it still gets an HTTP error. Only a whole answer ends with {@code [DONE]}.
  */
-final class EventStream implements AnswerSink {
+final class EventStreamSink implements AnswerSink {
 
-    private static final int LONGEST_CODE_POINT_BYTES = 4;
+    private static final int MAXIMUM_CODE_POINT_BYTES = 4;
 
     private final ModelRequest request;
     private final Response response;
     private final BooleanSupplier abandoned;
-    private final Runnable onFirstPiece;
+    private final Runnable onFirstChunk;
     private final CharsetDecoder decoder = StandardCharsets.UTF_8
             .newDecoder()
             .onMalformedInput(CodingErrorAction.REPLACE)
             .onUnmappableCharacter(CodingErrorAction.REPLACE);
     private byte[] undecoded = new byte[0];
     private volatile boolean started;
-    private volatile boolean broken;
+    private volatile boolean writeFailed;
 
-    EventStream(ModelRequest request, Response response, BooleanSupplier abandoned, Runnable onFirstPiece) {
+    EventStreamSink(ModelRequest request, Response response, BooleanSupplier abandoned, Runnable onFirstChunk) {
         this.request = request;
         this.response = response;
         this.abandoned = abandoned;
-        this.onFirstPiece = onFirstPiece;
+        this.onFirstChunk = onFirstChunk;
     }
 
     /** {@inheritDoc} */
@@ -45,7 +45,7 @@
         String data = CallerMessages.piece(request, offset, units, decode(bytes));
         CompletableFuture<Void> written = new CompletableFuture<>();
         Callback callback = Callback.from(() -> written.complete(null), failure -> {
-            broken = true;
+            writeFailed = true;
             written.completeExceptionally(failure);
         });
         response.write(false, event("data: " + data), callback);
@@ -61,7 +61,7 @@
     /** {@inheritDoc} */
     @Override
     public boolean isAbandoned() {
-        return broken || abandoned.getAsBoolean();
+        return writeFailed || abandoned.getAsBoolean();
     }
 
     /** {@inheritDoc} */
@@ -79,7 +79,7 @@
         if (started) {
             response.write(true, event("event: error\ndata: " + CallerMessages.error(failure)), callback);
         } else {
-            HttpAnswer.write(response, callback, failure);
+            HttpAnswerWriter.write(response, callback, failure);
         }
     }
 
@@ -89,7 +89,7 @@
             response.setStatus(200);
             response.getHeaders().put(HttpHeader.CONTENT_TYPE, "text/event-stream; charset=utf-8");
             response.getHeaders().put(HttpHeader.CACHE_CONTROL, "no-cache");
-            onFirstPiece.run();
+            onFirstChunk.run();
         }
     }
 
@@ -97,7 +97,7 @@
     private String decode(byte[] bytes) {
         ByteBuffer input = ByteBuffer.allocate(undecoded.length + bytes.length);
         input.put(undecoded).put(bytes).flip();
-        CharBuffer output = CharBuffer.allocate(input.remaining() + LONGEST_CODE_POINT_BYTES);
+        CharBuffer output = CharBuffer.allocate(input.remaining() + MAXIMUM_CODE_POINT_BYTES);
         decoder.decode(input, output, false);
         undecoded = new byte[input.remaining()];
         input.get(undecoded);
--- a/src/main/java/io/waxwingquay/entry/HttpAnswer.java
+++ b/src/main/java/io/waxwingquay/entry/HttpAnswerWriter.java
@@ -9,13 +9,13 @@
 /**
  * Writes whole answers.
  */
-final class HttpAnswer {
+final class HttpAnswerWriter {
 
     static final String JSON = "application/json";
 
     private static final long MILLIS_PER_SECOND = 1_000;
 
-    private HttpAnswer() {}
+    private HttpAnswerWriter() {}
 
     static void write(Response response, Callback callback, int status, String contentType, byte[] body) {
         response.setStatus(status);
--- a/src/main/java/io/waxwingquay/entry/ModelFlow.java
+++ b/src/main/java/io/waxwingquay/entry/ModelDispatcher.java
@@ -9,13 +9,13 @@
  * Answers completions. A generation may run more than once, but its tokens differ from run to run, so a caller
  * who has seen some of them is only ever given the rest of the same run.
  */
-final class ModelFlow {
+final class ModelDispatcher {
 
-    private final EntryParts parts;
+    private final EntryComponents components;
     private final AtomicLong sequence = new AtomicLong();
 
-    ModelFlow(EntryParts parts) {
-        this.parts = parts;
+    ModelDispatcher(EntryComponents components) {
+        this.components = components;
     }
 
     /**
@@ -27,14 +27,14 @@
      * @throws CallFailure if the request is quarantined.
      */
     CompletableFuture<AttemptResult> answer(ModelRequest request, AnswerSink sink) {
-        parts.refuseQuarantined(request.fingerprint());
+        components.refuseQuarantined(request.fingerprint());
         RouteQuery query = new RouteQuery(
                 request.service(),
-                parts.settings().dataCentre(),
+                components.configuration().dataCentre(),
                 request.items(),
                 request.prefixHash(),
                 sequence.getAndIncrement(),
                 Set.of());
-        return new RetryingFlow(parts, request.context(), request.toSubmission(), query, sink).run();
+        return new RetryingCall(components, request.context(), request.toSubmission(), query, sink).run();
     }
 }
--- a/src/main/java/io/waxwingquay/entry/OutcomeWriter.java
+++ b/src/main/java/io/waxwingquay/entry/OutcomeWriter.java
@@ -14,17 +14,17 @@
 final class OutcomeWriter {
 
     private static final System.Logger LOG = System.getLogger("waxwingquay.entry");
-    private static final int MAXIMUM_TRIES = 8;
+    private static final int MAXIMUM_ATTEMPTS = 8;
     private static final int MAXIMUM_PENDING = 4_096;
 
-    private final EntryParts parts;
-    private final ClaimStore store;
+    private final EntryComponents components;
+    private final ClaimStore claimStore;
     private final DrainGate gate;
     private final AtomicInteger pending = new AtomicInteger();
 
-    OutcomeWriter(EntryParts parts, ClaimStore store, DrainGate gate) {
-        this.parts = parts;
-        this.store = store;
+    OutcomeWriter(EntryComponents components, ClaimStore claimStore, DrainGate gate) {
+        this.components = components;
+        this.claimStore = claimStore;
         this.gate = gate;
     }
 
@@ -41,48 +41,52 @@
      * @return completes when recorded or given up.
      */
     CompletableFuture<Void> record(String rowKey, long version, ClaimRecord record) {
-        CompletableFuture<Void> over = new CompletableFuture<>();
+        CompletableFuture<Void> completion = new CompletableFuture<>();
         if (pending.incrementAndGet() > MAXIMUM_PENDING) {
             pending.decrementAndGet();
-            parts.metrics().claim("outcome_dropped");
-            over.complete(null);
-            return over;
+            components.metrics().claim("outcome_dropped");
+            completion.complete(null);
+            return completion;
         }
         gate.hold();
-        over.whenComplete((done, failure) -> {
+        completion.whenComplete((done, failure) -> {
             pending.decrementAndGet();
             gate.leave();
         });
-        write(rowKey, version, record, 1, over);
-        return over;
+        write(rowKey, version, record, 1, completion);
+        return completion;
     }
 
-    private void write(String rowKey, long version, ClaimRecord record, int tryNumber, CompletableFuture<Void> over) {
-        store.replace(rowKey, version, record)
+    private void write(
+            String rowKey, long version, ClaimRecord record, int attemptNumber, CompletableFuture<Void> completion) {
+        claimStore
+                .replace(rowKey, version, record)
                 .whenCompleteAsync(
                         (claimed, failure) -> {
-                            boolean again = failure != null || isStillOpen(claimed, record);
-                            if (!again) {
-                                parts.metrics().claim(claimed.ours() ? "recorded" : "superseded");
-                                over.complete(null);
-                            } else if (tryNumber >= MAXIMUM_TRIES) {
+                            boolean retry = failure != null || isStillClaimed(claimed, record);
+                            if (!retry) {
+                                components.metrics().claim(claimed.ours() ? "recorded" : "superseded");
+                                completion.complete(null);
+                            } else if (attemptNumber >= MAXIMUM_ATTEMPTS) {
                                 LOG.log(System.Logger.Level.WARNING, "entry: outcome of {0} was not recorded.", rowKey);
-                                parts.metrics().claim("outcome_dropped");
-                                over.complete(null);
+                                components.metrics().claim("outcome_dropped");
+                                completion.complete(null);
                             } else {
-                                long next = failure == null ? claimed.version() : version;
-                                long delayMillis = parts.backoff().delayMillis(tryNumber, parts.random());
-                                parts.executor()
+                                long expectedVersion = failure == null ? claimed.version() : version;
+                                long delayMillis = components.backoff().delayMillis(attemptNumber, components.random());
+                                components
+                                        .executor()
                                         .schedule(
-                                                () -> write(rowKey, next, record, tryNumber + 1, over),
+                                                () -> write(
+                                                        rowKey, expectedVersion, record, attemptNumber + 1, completion),
                                                 delayMillis,
                                                 TimeUnit.MILLISECONDS);
                             }
                         },
-                        parts.executor());
+                        components.executor());
     }
 
-    private static boolean isStillOpen(ClaimStore.Claimed claimed, ClaimRecord record) {
+    private static boolean isStillClaimed(ClaimStore.Claimed claimed, ClaimRecord record) {
         return !claimed.ours()
                 && claimed.record().attemptId().equals(record.attemptId())
                 && claimed.record().state() == ClaimRecord.State.CLAIMED;
--- a/src/main/java/io/waxwingquay/entry/RequestReader.java
+++ b/src/main/java/io/waxwingquay/entry/RequestReader.java
@@ -29,7 +29,7 @@
     /** Header with the idempotency key. */
     public static final String IDEMPOTENCY_KEY_HEADER = "Idempotency-Key";
 
-    private static final int MAXIMUM_ID_LENGTH = 200;
+    private static final int MAXIMUM_ID_CHARACTERS = 200;
     private static final int PREFIX_CHARACTERS = 256;
     private static final int MAXIMUM_TOKENS = 1_000_000;
     private static final char SEPARATOR = '\u0000';
@@ -38,25 +38,26 @@
      * Reads the headers that every request has.
      *
      * @param requestId the identity the caller gave, or {@code null}.
-     * @param budget the budget the caller gave, or {@code null}.
+     * @param deadline the budget the caller gave, or {@code null}.
      * @param nowMillis the monotonic time of arrival.
      * @return the context.
      */
-    public CallContext context(String requestId, String budget, long nowMillis) {
-        long budgetMillis = budget == null ? configuration.defaultDeadlineMillis() : budgetMillis(budget.trim());
-        return new CallContext(requestId(requestId), nowMillis, nowMillis + budgetMillis);
+    public CallContext context(String requestId, String deadline, long nowMillis) {
+        long deadlineMillis =
+                deadline == null ? configuration.defaultDeadlineMillis() : parseDeadlineMillis(deadline.trim());
+        return new CallContext(requestId(requestId), nowMillis, nowMillis + deadlineMillis);
     }
 
     /**
      * The request's identity; made up if the caller gave none.
      *
-     * @param given what the caller gave, or {@code null}.
+     * @param callerRequestId what the caller gave, or {@code null}.
      * @return the identity.
      */
-    public static String requestId(String given) {
-        return given == null || given.isBlank()
+    public static String requestId(String callerRequestId) {
+        return callerRequestId == null || callerRequestId.isBlank()
                 ? UUID.randomUUID().toString()
-                : given.substring(0, Math.min(MAXIMUM_ID_LENGTH, given.length()));
+                : callerRequestId.substring(0, Math.min(MAXIMUM_ID_CHARACTERS, callerRequestId.length()));
     }
 
     /**
@@ -68,36 +69,36 @@
      * @return the request.
      */
     public ModelRequest completion(CallContext context, byte[] body, Bundle bundle) {
-        CompletionBody sent = parse(body);
-        require(sent.model(), "model");
-        require(sent.prompt(), "prompt");
-        Bundle.Model model = bundle.model(sent.model())
+        CompletionBody parsed = parse(body);
+        require(parsed.model(), "model");
+        require(parsed.prompt(), "prompt");
+        Bundle.Model model = bundle.model(parsed.model())
                 .orElseThrow(() -> CallFailure.rejected(
                         FailureCode.UNKNOWN_MODEL,
-                        sent.model(),
-                        "no bundle names model '" + sent.model() + "'; ask for a model of the bundle in force"));
-        int maxTokens = sent.maxTokens().orElseThrow(() -> missing("max_tokens"));
+                        parsed.model(),
+                        "no bundle names model '" + parsed.model() + "'; ask for a model of the bundle in force"));
+        int maxTokens = parsed.maxTokens().orElseThrow(() -> missing("max_tokens"));
         if (maxTokens < 1 || maxTokens > MAXIMUM_TOKENS) {
             throw CallFailure.rejected(
                     FailureCode.BAD_VALUE, "max_tokens", "max_tokens must be between 1 and " + MAXIMUM_TOKENS);
         }
         List<String> items = new ArrayList<>(List.of(model.item()));
-        sent.adapter().ifPresent(adapter -> items.add(adapterItem(bundle, sent.model(), adapter)));
-        String identity = sent.model() + SEPARATOR + sent.adapter().orElse("") + SEPARATOR;
-        String prefix = sent.prompt()
-                .substring(0, Math.min(PREFIX_CHARACTERS, sent.prompt().length()));
+        parsed.adapter().ifPresent(adapter -> items.add(adapterItem(bundle, parsed.model(), adapter)));
+        String target = parsed.model() + SEPARATOR + parsed.adapter().orElse("") + SEPARATOR;
+        String prefix = parsed.prompt()
+                .substring(0, Math.min(PREFIX_CHARACTERS, parsed.prompt().length()));
         return new ModelRequest(
                 context,
                 model.service(),
-                sent.model(),
-                sent.adapter(),
+                parsed.model(),
+                parsed.adapter(),
                 List.copyOf(items),
-                sent.prompt(),
+                parsed.prompt(),
                 maxTokens,
-                sent.priority().orElse(model.priority()),
-                sent.stream().orElse(false),
-                hash(identity + maxTokens + SEPARATOR + sent.prompt()),
-                hash(identity + prefix));
+                parsed.priority().orElse(model.priority()),
+                parsed.stream().orElse(false),
+                hash(target + maxTokens + SEPARATOR + parsed.prompt()),
+                hash(target + prefix));
     }
 
     /**
@@ -131,16 +132,16 @@
                     "operation '" + operation + "' runs at most once; send the header " + IDEMPOTENCY_KEY_HEADER
                             + " with a key of your own, the same on a resend");
         }
-        if (idempotencyKey.filter(text -> text.length() > MAXIMUM_ID_LENGTH).isPresent()) {
+        if (idempotencyKey.filter(text -> text.length() > MAXIMUM_ID_CHARACTERS).isPresent()) {
             throw CallFailure.rejected(
-                    FailureCode.BAD_VALUE, IDEMPOTENCY_KEY_HEADER, "the key is longer than " + MAXIMUM_ID_LENGTH);
+                    FailureCode.BAD_VALUE, IDEMPOTENCY_KEY_HEADER, "the key is longer than " + MAXIMUM_ID_CHARACTERS);
         }
         long fingerprint = hash(service + SEPARATOR + operation + SEPARATOR + new String(body, StandardCharsets.UTF_8));
         return new ServiceRequest(
                 context, service, operation, body, idempotencyKey, declared.nonIdempotent(), fingerprint);
     }
 
-    private long budgetMillis(String text) {
+    private long parseDeadlineMillis(String text) {
         long millis;
         try {
             millis = Long.parseLong(text);
--- a/src/main/java/io/waxwingquay/entry/ServiceAnswer.java
+++ b/src/main/java/io/waxwingquay/entry/ServiceAnswer.java
@@ -12,9 +12,9 @@
 
     private static final int OK = 200;
 
-    static ServiceAnswer of(AttemptResult end, byte[] body, boolean replayed) {
-        int status = end.statusCode() == 0 ? OK : end.statusCode();
-        String contentType = end.contentType().isEmpty() ? "application/json" : end.contentType();
+    static ServiceAnswer of(AttemptResult result, byte[] body, boolean replayed) {
+        int status = result.statusCode() == 0 ? OK : result.statusCode();
+        String contentType = result.contentType().isEmpty() ? "application/json" : result.contentType();
         return new ServiceAnswer(status, contentType, body, replayed);
     }
 }
--- a/src/main/java/io/waxwingquay/entry/ServiceFlow.java
+++ b/src/main/java/io/waxwingquay/entry/ServiceDispatcher.java
@@ -11,17 +11,17 @@
 /**
  * Answers calls to plain services: idempotent ones like a completion, the others under a claim.
  */
-final class ServiceFlow {
+final class ServiceDispatcher {
 
-    private final EntryParts parts;
-    private final ClaimStore store;
-    private final OutcomeWriter outcomes;
+    private final EntryComponents components;
+    private final ClaimStore claimStore;
+    private final OutcomeWriter outcomeWriter;
     private final AtomicLong sequence = new AtomicLong();
 
-    ServiceFlow(EntryParts parts, ClaimStore store, OutcomeWriter outcomes) {
-        this.parts = parts;
-        this.store = store;
-        this.outcomes = outcomes;
+    ServiceDispatcher(EntryComponents components, ClaimStore claimStore, OutcomeWriter outcomeWriter) {
+        this.components = components;
+        this.claimStore = claimStore;
+        this.outcomeWriter = outcomeWriter;
     }
 
     /**
@@ -34,17 +34,17 @@
     CompletableFuture<ServiceAnswer> answer(ServiceRequest request, BooleanSupplier abandoned) {
         RouteQuery query = new RouteQuery(
                 request.service(),
-                parts.settings().dataCentre(),
+                components.configuration().dataCentre(),
                 List.of(),
                 request.fingerprint(),
                 sequence.getAndIncrement(),
                 Set.of());
         if (request.nonIdempotent()) {
-            return new ClaimedCall(parts, store, outcomes, request, query).run();
+            return new ClaimedCall(components, claimStore, outcomeWriter, request, query).run();
         }
         AnswerSink.Buffered sink = new AnswerSink.Buffered(abandoned);
-        return new RetryingFlow(parts, request.context(), request.toSubmission(), query, sink)
+        return new RetryingCall(components, request.context(), request.toSubmission(), query, sink)
                 .run()
-                .thenApply(end -> ServiceAnswer.of(end, sink.bytes(), false));
+                .thenApply(result -> ServiceAnswer.of(result, sink.bytes(), false));
     }
 }
--- a/src/main/java/io/waxwingquay/entry/StreamAssembler.java
+++ b/src/main/java/io/waxwingquay/entry/StreamAssembler.java
@@ -11,9 +11,9 @@
  */
 public final class StreamAssembler {
 
-    private static final int MAXIMUM_HELD = 256;
+    private static final int MAXIMUM_EARLY_CHUNKS = 256;
 
-    private final TreeMap<Long, Chunk> held = new TreeMap<>();
+    private final TreeMap<Long, Chunk> earlyChunks = new TreeMap<>();
     private long nextOffset;
 
     /**
@@ -23,13 +23,13 @@
      * @return the pieces that are now next in order.
      */
     public List<Chunk> accept(List<Chunk> chunks) {
-        chunks.forEach(this::hold);
+        chunks.forEach(this::buffer);
         List<Chunk> ready = new ArrayList<>();
-        for (Chunk next = held.remove(nextOffset); next != null; next = held.remove(nextOffset)) {
+        for (Chunk next = earlyChunks.remove(nextOffset); next != null; next = earlyChunks.remove(nextOffset)) {
             ready.add(next);
             nextOffset += next.getUnits();
         }
-        held.headMap(nextOffset, false).clear();
+        earlyChunks.headMap(nextOffset, false).clear();
         return ready;
     }
 
@@ -42,12 +42,12 @@
         return nextOffset;
     }
 
-    private void hold(Chunk chunk) {
+    private void buffer(Chunk chunk) {
         if (chunk.getOffset() >= nextOffset && chunk.getUnits() > 0) {
-            held.putIfAbsent(chunk.getOffset(), chunk);
+            earlyChunks.putIfAbsent(chunk.getOffset(), chunk);
         }
-        if (held.size() > MAXIMUM_HELD) {
-            held.pollLastEntry();
+        if (earlyChunks.size() > MAXIMUM_EARLY_CHUNKS) {
+            earlyChunks.pollLastEntry();
         }
     }
 }
--- a/src/main/java/io/waxwingquay/explain/EndedRequest.java
+++ b/src/main/java/io/waxwingquay/explain/EndedRequest.java
@@ -32,11 +32,11 @@
         long pauseObjectiveMillis,
         String reason) {
 
-    static final int CALLER_ERROR = 400;
-    static final int SERVER_ERROR = 500;
-    private static final int REFUSED = 503;
-    private static final int SUCCESS = 200;
-    private static final int REDIRECT = 300;
+    static final int FIRST_CLIENT_ERROR = 400;
+    static final int FIRST_SERVER_ERROR = 500;
+    private static final int SERVICE_UNAVAILABLE = 503;
+    private static final int FIRST_SUCCESS = 200;
+    private static final int FIRST_REDIRECTION = 300;
 
     private static final Pattern LINE = Pattern.compile("(?<at>\\d{4}-\\d\\d-\\d\\dT[\\d:.]+Z) .*forward: ended id=\\S*"
             + " route=(?<route>\\S+) service=\\S+ model=(?<model>\\S*) status=(?<status>\\d+) sent=\\d+"
@@ -54,16 +54,16 @@
         if (!matcher.find()) {
             return Optional.empty();
         }
-        long firstMillis = number(matcher, "first");
+        long firstEventMillis = number(matcher, "first");
         long tookMillis = number(matcher, "took");
-        return instantMillis(matcher.group("at"))
+        return parseEpochMillis(matcher.group("at"))
                 .map(endedMillis -> new EndedRequest(
                         endedMillis - tookMillis,
                         matcher.group("route"),
                         matcher.group("model"),
                         (int) number(matcher, "status"),
                         number(matcher, "waited"),
-                        firstMillis > 0 ? firstMillis : tookMillis,
+                        firstEventMillis > 0 ? firstEventMillis : tookMillis,
                         number(matcher, "pause"),
                         number(matcher, "objective"),
                         number(matcher, "pauseObjective"),
@@ -74,24 +74,24 @@
         return Long.parseLong(matcher.group(group));
     }
 
-    private static Optional<Long> instantMillis(String text) {
+    private static Optional<Long> parseEpochMillis(String text) {
         try {
             return Optional.of(Instant.parse(text).toEpochMilli());
-        } catch (DateTimeParseException notATime) {
+        } catch (DateTimeParseException malformed) {
             // A line that was cut or mixed with another one tells nothing.
             return Optional.empty();
         }
     }
 
     boolean isSuccess() {
-        return status >= SUCCESS && status < REDIRECT;
+        return status >= FIRST_SUCCESS && status < FIRST_REDIRECTION;
     }
 
-    boolean isRefused() {
-        return status == REFUSED && !reason.startsWith("answered by");
+    boolean isRejected() {
+        return status == SERVICE_UNAVAILABLE && !reason.startsWith("answered by");
     }
 
-    boolean isFirstLate() {
+    boolean isFirstEventLate() {
         return isSuccess() && firstEventObjectiveMillis > 0 && firstEventMillis > firstEventObjectiveMillis;
     }
 
@@ -99,7 +99,7 @@
         return isSuccess() && pauseObjectiveMillis > 0 && longestPauseMillis > pauseObjectiveMillis;
     }
 
-    boolean isWaitedMostlyInEntry() {
+    boolean isMostlyEntryWait() {
         return 2 * entryWaitMillis >= firstEventMillis;
     }
 }
--- a/src/main/java/io/waxwingquay/explain/LossReport.java
+++ b/src/main/java/io/waxwingquay/explain/LossReport.java
@@ -21,20 +21,20 @@
  */
 public final class LossReport {
 
-    private static final int WIDTH = 1_100;
-    private static final int HEIGHT = 600;
+    private static final int CHART_WIDTH_PIXELS = 1_100;
+    private static final int CHART_HEIGHT_PIXELS = 600;
     private static final double MILLIS_PER_SECOND = 1_000.0;
-    private static final int LABEL_WIDTH = 22;
-    private static final int NUMBER_WIDTH = 8;
+    private static final int LABEL_COLUMN_CHARACTERS = 22;
+    private static final int MINIMUM_COLUMN_CHARACTERS = 8;
 
     private final Map<String, Map<Loss, Long>> byRoute;
     private final Map<String, Map<Loss, Long>> byWindow;
-    private final List<Loss> seen;
+    private final List<Loss> observedLosses;
 
     private LossReport(Map<String, Map<Loss, Long>> byRoute, Map<String, Map<Loss, Long>> byWindow) {
         this.byRoute = byRoute;
         this.byWindow = byWindow;
-        this.seen = Stream.of(Loss.values())
+        this.observedLosses = Stream.of(Loss.values())
                 .filter(loss -> byRoute.values().stream().anyMatch(counts -> counts.containsKey(loss)))
                 .toList();
     }
@@ -47,11 +47,11 @@
      * @return the counts.
      */
     public static LossReport of(Collection<EndedRequest> requests, long windowMillis) {
-        long beginMillis =
+        long firstArrivalMillis =
                 requests.stream().mapToLong(EndedRequest::arrivedAtMillis).min().orElse(0);
         return new LossReport(
                 count(requests, EndedRequest::route),
-                count(requests, request -> window(request.arrivedAtMillis() - beginMillis, windowMillis)));
+                count(requests, request -> windowLabel(request.arrivedAtMillis() - firstArrivalMillis, windowMillis)));
     }
 
     private static Map<String, Map<Loss, Long>> count(
@@ -64,8 +64,8 @@
     }
 
     /** Padded, so that the order of the texts is that of the times. */
-    private static String window(long sinceMillis, long windowMillis) {
-        return String.format("%8.1f", sinceMillis / windowMillis * windowMillis / MILLIS_PER_SECOND);
+    private static String windowLabel(long elapsedMillis, long windowMillis) {
+        return String.format("%8.1f", elapsedMillis / windowMillis * windowMillis / MILLIS_PER_SECOND);
     }
 
     /**
@@ -78,21 +78,22 @@
     }
 
     private String table(String title, Map<String, Map<Loss, Long>> counts) {
-        StringBuilder text = new StringBuilder(cell(title, LABEL_WIDTH));
-        seen.forEach(loss -> text.append(cell(loss.label(), width(loss))));
+        StringBuilder text = new StringBuilder(cell(title, LABEL_COLUMN_CHARACTERS));
+        observedLosses.forEach(loss -> text.append(cell(loss.label(), columnCharacters(loss))));
         counts.forEach((key, byLoss) -> {
-            text.append(System.lineSeparator()).append(cell(key, LABEL_WIDTH));
-            seen.forEach(loss -> text.append(cell(Long.toString(byLoss.getOrDefault(loss, 0L)), width(loss))));
+            text.append(System.lineSeparator()).append(cell(key, LABEL_COLUMN_CHARACTERS));
+            observedLosses.forEach(
+                    loss -> text.append(cell(Long.toString(byLoss.getOrDefault(loss, 0L)), columnCharacters(loss))));
         });
         return text.append(System.lineSeparator()).toString();
     }
 
-    private static int width(Loss loss) {
-        return Math.max(NUMBER_WIDTH, loss.label().length() + 2);
+    private static int columnCharacters(Loss loss) {
+        return Math.max(MINIMUM_COLUMN_CHARACTERS, loss.label().length() + 2);
     }
 
-    private static String cell(String text, int width) {
-        return String.format("%" + width + "s", text);
+    private static String cell(String text, int characters) {
+        return String.format("%" + characters + "s", text);
     }
 
     /**
@@ -107,9 +108,9 @@
         return root.toPrettyString();
     }
 
-    private static void fill(ObjectNode into, Map<String, Map<Loss, Long>> counts) {
+    private static void fill(ObjectNode parent, Map<String, Map<Loss, Long>> counts) {
         counts.forEach((key, byLoss) -> {
-            ObjectNode row = into.putObject(key.strip());
+            ObjectNode row = parent.putObject(key.strip());
             byLoss.forEach((loss, count) -> row.put(loss.label(), count));
         });
     }
@@ -121,13 +122,13 @@
      * @throws IOException if it can't be written.
      */
     public void plot(Path file) throws IOException {
-        DefaultCategoryDataset bars = new DefaultCategoryDataset();
-        seen.forEach(loss -> byWindow.forEach(
-                (window, byLoss) -> bars.addValue(byLoss.getOrDefault(loss, 0L), loss.label(), window.strip())));
+        DefaultCategoryDataset dataset = new DefaultCategoryDataset();
+        observedLosses.forEach(loss -> byWindow.forEach(
+                (window, byLoss) -> dataset.addValue(byLoss.getOrDefault(loss, 0L), loss.label(), window.strip())));
         ChartUtils.saveChartAsPNG(
                 file.toFile(),
-                ChartFactory.createStackedBarChart("What became of requests", "seconds", "requests", bars),
-                WIDTH,
-                HEIGHT);
+                ChartFactory.createStackedBarChart("What became of requests", "seconds", "requests", dataset),
+                CHART_WIDTH_PIXELS,
+                CHART_HEIGHT_PIXELS);
     }
 }
--- a/src/test/java/io/waxwingquay/engine/HttpModelEngineTest.java
+++ b/src/test/java/io/waxwingquay/engine/HttpModelEngineTest.java
@@ -33,7 +33,7 @@
 
     private static final String MODEL = "model:furnace@1";
     private static final long TIMEOUT_MILLIS = 5_000L;
-    private static final long INACTIVITY_MILLIS = 800L;
+    private static final long INACTIVITY_TIMEOUT_MILLIS = 800L;
 
     private HttpClient client;
     private ModelEngineStandin standin;
@@ -58,24 +58,24 @@
 
     @Test
     void streamsTheWholeAnswerOfItsOwnRequest() throws Exception {
-        Collected collected = stream(engine, "a", 40, 0);
+        RecordingListener listener = stream(engine, "a", 40, 0);
 
-        assertEquals(OptionalLong.of(40), collected.total());
-        assertEquals(StandinText.answer(MODEL, Optional.empty(), "prompt a", 40), collected.text.toString());
+        assertEquals(OptionalLong.of(40), listener.total());
+        assertEquals(StandinText.answer(MODEL, Optional.empty(), "prompt a", 40), listener.text.toString());
     }
 
     @Test
-    void waitingInTheQueueIsNotSilence() throws Exception {
+    void queuedGenerationDoesNotHitTheInactivityTimeout() throws Exception {
         // The batch has one place and its holder needs several inactivity limits; the one that waits gets only
         // keep-alive comments meanwhile. Taking that for silence would resend work that is about to run.
-        try (ModelEngineStandin narrow = ModelEngineStandin.builder()
+        try (ModelEngineStandin singleSlotStandin = ModelEngineStandin.builder()
                 .costs(new CostModel(1, 0, 20_000, 0, 1, 0, 1_000, 1_000, 100_000))
                 .start()) {
-            narrow.preload(MODEL, 60);
-            HttpModelEngine waiting = engineAt(narrow.port());
-            Collected first = listen();
-            waiting.stream(generation("first", 100), 0, first);
-            Collected second = stream(waiting, "second", 1, 0);
+            singleSlotStandin.preload(MODEL, 60);
+            HttpModelEngine singleSlotEngine = engineAt(singleSlotStandin.port());
+            RecordingListener first = newListener();
+            singleSlotEngine.stream(generation("first", 100), 0, first);
+            RecordingListener second = stream(singleSlotEngine, "second", 1, 0);
 
             assertEquals(OptionalLong.of(1), second.total());
             assertEquals(OptionalLong.of(100), first.total());
@@ -89,48 +89,48 @@
         standin.faults().set(Faults.Settings.NONE.withStreamTokens(5));
         standin.faults().next(Faults.Kind.SILENT_STREAM, 1);
 
-        Collected broken = stream(engine, "s", 30, 0);
-        assertEquals(TargetException.Kind.LOST, broken.failure().kind());
-        assertEquals(5, broken.tokens);
+        RecordingListener interrupted = stream(engine, "s", 30, 0);
+        assertEquals(TargetException.Kind.LOST, interrupted.failure().kind());
+        assertEquals(5, interrupted.tokens);
 
-        Collected rest = stream(engine, "s", 30, 5);
+        RecordingListener rest = stream(engine, "s", 30, 5);
         assertEquals(OptionalLong.of(30), rest.total());
         assertEquals(
                 StandinText.answer(MODEL, Optional.empty(), "prompt s", 30),
-                broken.text.toString() + rest.text.toString());
+                interrupted.text.toString() + rest.text.toString());
         assertEquals(1, standin.stats().batch().started());
         assertEquals(30, standin.stats().batch().tokens());
     }
 
     @Test
-    void truncatedStreamIsLostAndNeverAShortSuccess() throws Exception {
+    void truncatedStreamIsReportedAsLost() throws Exception {
         // The HTTP answer ends in order after 3 of 10 tokens, with no end event; without the check of the end the
         // caller would take three tokens for the whole answer.
         standin.faults().set(Faults.Settings.NONE.withStreamTokens(3));
         standin.faults().next(Faults.Kind.TRUNCATE_STREAM, 1);
 
-        Collected broken = stream(engine, "t", 10, 0);
+        RecordingListener interrupted = stream(engine, "t", 10, 0);
 
-        assertEquals(TargetException.Kind.LOST, broken.failure().kind());
-        assertEquals(3, broken.tokens);
+        assertEquals(TargetException.Kind.LOST, interrupted.failure().kind());
+        assertEquals(3, interrupted.tokens);
     }
 
     @Test
     void repeatedTokensReachTheListenerOnce() throws Exception {
         standin.faults().next(Faults.Kind.DUPLICATE_STREAM, 1);
 
-        Collected collected = stream(engine, "d", 12, 0);
+        RecordingListener listener = stream(engine, "d", 12, 0);
 
-        assertEquals(12, collected.tokens);
-        assertEquals(OptionalLong.of(12), collected.total());
+        assertEquals(12, listener.tokens);
+        assertEquals(OptionalLong.of(12), listener.total());
     }
 
     @Test
     void modelThatIsNotResidentIsRefused() throws Exception {
-        Collected collected = listen();
-        engine.stream(new Generation("n", "model:none@1", Optional.empty(), "p", 1, 0), 0, collected);
+        RecordingListener listener = newListener();
+        engine.stream(new Generation("n", "model:none@1", Optional.empty(), "p", 1, 0), 0, listener);
 
-        assertEquals(TargetException.Kind.REFUSED, collected.failure().kind());
+        assertEquals(TargetException.Kind.REFUSED, listener.failure().kind());
         assertEquals(1, standin.stats().notResident());
     }
 
@@ -138,17 +138,17 @@
     void refusedConnectionIsUnreachableSoTheCallCertainlyDidNotRun() throws Exception {
         int port = standin.port();
         standin.close();
-        HttpModelEngine gone = engineAt(port);
+        HttpModelEngine closedEngine = engineAt(port);
 
         assertEquals(
                 TargetException.Kind.UNREACHABLE,
-                stream(gone, "u", 1, 0).failure().kind());
-        TargetException failure = Await.failure(TargetException.class, gone.residency());
+                stream(closedEngine, "u", 1, 0).failure().kind());
+        TargetException failure = Await.failure(TargetException.class, closedEngine.residency());
         assertEquals(TargetException.Kind.UNREACHABLE, failure.kind());
     }
 
     @Test
-    void staleFenceIsRefusedAndLeavesMemoryAsItWas() throws Exception {
+    void orderWithAStaleFenceIsRefusedAndLeavesMemoryUnchanged() throws Exception {
         // A new side orders with fence 2; the paused old side wakes and orders with fence 1. The engine refuses it,
         // so what the old side believed of the memory does no harm.
         assertEquals(OrderAnswer.TAKEN, Await.value(engine.order(load("o1", "adapter:a@1", 10, 2))));
@@ -160,7 +160,7 @@
     }
 
     @Test
-    void overcommitIsObeyedAndRecorded() throws Exception {
+    void overcommittingOrderIsExecutedAndRecorded() throws Exception {
         assertEquals(OrderAnswer.TAKEN, Await.value(engine.order(load("o1", "model:big@1", 50, 1))));
         Await.until(() -> standin.stats().memory().loads() == 1);
 
@@ -169,7 +169,7 @@
     }
 
     @Test
-    void lostOrderCallIsLostWhetherItNeverArrivesOrArrivesLate() throws Exception {
+    void orderCallIsLostWhetherItNeverArrivesOrArrivesLate() throws Exception {
         // Both orders look the same to the side: a closed connection. One never arrives; the other takes effect
         // afterwards. So a lost order must keep its bytes reserved.
         standin.faults().next(Faults.Kind.LOSE_ORDER, 1);
@@ -186,14 +186,14 @@
     }
 
     @Test
-    void markedPromptCrashesTheEngineWhichComesBackEmptyUnderANewBootId() throws Exception {
+    void crashedEngineRestartsEmptyUnderANewBootId() throws Exception {
         // One request's prompt kills the engine: its stream and the one beside it break off, the port is gone for
         // a while, and then the engine answers with another boot id and no residents.
         String bootId = Await.value(engine.residency()).bootId();
         standin.faults().set(Faults.Settings.NONE.withCrash("poison", 50));
-        Collected beside = listen();
+        RecordingListener beside = newListener();
         engine.stream(generation("beside", 5_000), 0, beside);
-        Collected poison = listen();
+        RecordingListener poison = newListener();
         engine.stream(new Generation("p", MODEL, Optional.empty(), "has poison", 4, 0), 0, poison);
 
         assertEquals(TargetException.Kind.LOST, poison.failure().kind());
@@ -207,30 +207,30 @@
     }
 
     @Test
-    void streamOverALinkSilentOnOpenConnectionsResumesOnANewOne() throws Exception {
+    void streamOverASilencedConnectionResumesOnANewOne() throws Exception {
         // Something between side and engine loses track of the open connection: no bytes, no close. New
         // connections work. The inactivity limit ends the old stream and the rest comes over a new one.
         try (LinkStandin link = LinkStandin.to(new HostPort("127.0.0.1", standin.port()))) {
             HttpModelEngine overLink = engineAt(link.port());
-            Collected broken = listen();
-            broken.afterTokens(3, link::silenceOpen);
-            overLink.stream(generation("l", 400), 0, broken);
-            assertEquals(TargetException.Kind.LOST, broken.failure().kind());
+            RecordingListener interrupted = newListener();
+            interrupted.afterTokens(3, link::silenceOpen);
+            overLink.stream(generation("l", 400), 0, interrupted);
+            assertEquals(TargetException.Kind.LOST, interrupted.failure().kind());
 
-            Collected rest = stream(overLink, "l", 400, broken.tokens);
+            RecordingListener rest = stream(overLink, "l", 400, interrupted.tokens);
             assertEquals(OptionalLong.of(400), rest.total());
-            assertEquals(400, broken.tokens + rest.tokens);
+            assertEquals(400, interrupted.tokens + rest.tokens);
             assertEquals(1, standin.stats().batch().started());
         }
     }
 
     @Test
     void cancelEndsTheGeneration() throws Exception {
-        Collected collected = listen();
-        collected.afterTokens(1, () -> engine.cancel("c"));
-        engine.stream(generation("c", 100_000), 0, collected);
+        RecordingListener listener = newListener();
+        listener.afterTokens(1, () -> engine.cancel("c"));
+        engine.stream(generation("c", 100_000), 0, listener);
 
-        assertEquals(TargetException.Kind.LOST, collected.failure().kind());
+        assertEquals(TargetException.Kind.LOST, listener.failure().kind());
         Await.until(() -> Await.value(engine.loadReport()).running() == 0);
     }
 
@@ -238,20 +238,20 @@
     void streamThatGetsNoConnectionInTimeIsUnreachableAndNeverRuns() throws Exception {
         // Every connection is held by an open stream. The next one waits for a place and is given up; were it sent
         // after that, a request told as "did not run" would run.
-        HttpClient narrow = HttpCalls.startClient(1, 2_000L);
-        HttpModelEngine crowded =
-                new HttpModelEngine(narrow, new HostPort("127.0.0.1", standin.port()), 100L, INACTIVITY_MILLIS);
-        Collected first = listen();
-        AutoCloseable holder = crowded.stream(generation("holder", 100_000), 0, first);
+        HttpClient singleConnectionClient = HttpCalls.startClient(1, 2_000L);
+        HttpModelEngine singleConnectionEngine = new HttpModelEngine(
+                singleConnectionClient, new HostPort("127.0.0.1", standin.port()), 100L, INACTIVITY_TIMEOUT_MILLIS);
+        RecordingListener first = newListener();
+        AutoCloseable holder = singleConnectionEngine.stream(generation("holder", 100_000), 0, first);
         Await.until(() -> first.tokens > 0);
 
         assertEquals(
                 TargetException.Kind.UNREACHABLE,
-                stream(crowded, "waiting", 1, 0).failure().kind());
+                stream(singleConnectionEngine, "waiting", 1, 0).failure().kind());
         holder.close();
         assertEquals(OptionalLong.of(1), stream(engine, "next", 1, 0).total());
         assertEquals(2, standin.stats().batch().started());
-        narrow.stop();
+        singleConnectionClient.stop();
     }
 
     @Test
@@ -261,12 +261,12 @@
         CountDownLatch inListener = new CountDownLatch(1);
         CountDownLatch closed = new CountDownLatch(1);
         CompletableFuture<Boolean> released = new CompletableFuture<>();
-        Collected collected = listen();
-        collected.afterTokens(1, () -> {
+        RecordingListener listener = newListener();
+        listener.afterTokens(1, () -> {
             inListener.countDown();
             released.complete(Await.quietly(closed));
         });
-        AutoCloseable handle = engine.stream(generation("closing", 1_000), 0, collected);
+        AutoCloseable handle = engine.stream(generation("closing", 1_000), 0, listener);
         assertTrue(inListener.await(30, TimeUnit.SECONDS));
 
         Await.value(CompletableFuture.runAsync(() -> Await.closing(handle)));
@@ -275,7 +275,7 @@
     }
 
     @Test
-    void cutLinkFailsCallsUntilItHeals() throws Exception {
+    void callsFailWhileTheLinkIsCut() throws Exception {
         try (LinkStandin link = LinkStandin.to(new HostPort("127.0.0.1", standin.port()))) {
             HttpModelEngine overLink = engineAt(link.port());
             Await.value(overLink.loadReport());
@@ -309,7 +309,7 @@
     }
 
     private HttpModelEngine engineAt(int port) {
-        return new HttpModelEngine(client, new HostPort("127.0.0.1", port), TIMEOUT_MILLIS, INACTIVITY_MILLIS);
+        return new HttpModelEngine(client, new HostPort("127.0.0.1", port), TIMEOUT_MILLIS, INACTIVITY_TIMEOUT_MILLIS);
     }
 
     private int openConnections(int port) {
@@ -320,11 +320,12 @@
                 .sum();
     }
 
-    private static Collected stream(HttpModelEngine engine, String id, int tokens, long fromOffset) throws Exception {
-        Collected collected = listen();
-        engine.stream(generation(id, tokens), fromOffset, collected);
-        collected.ended.get(30, TimeUnit.SECONDS);
-        return collected;
+    private static RecordingListener stream(HttpModelEngine engine, String id, int tokens, long fromOffset)
+            throws Exception {
+        RecordingListener listener = newListener();
+        engine.stream(generation(id, tokens), fromOffset, listener);
+        listener.ended.get(30, TimeUnit.SECONDS);
+        return listener;
     }
 
     private static Generation generation(String id, int tokens) {
@@ -335,11 +336,11 @@
         return new Order(id, OrderKind.LOAD, item, bytes, fence);
     }
 
-    private static Collected listen() {
-        return new Collected();
+    private static RecordingListener newListener() {
+        return new RecordingListener();
     }
 
-    private static final class Collected implements ModelEngine.Listener {
+    private static final class RecordingListener implements ModelEngine.Listener {
 
         private final StringBuilder text = new StringBuilder();
         private final CompletableFuture<Optional<TargetException>> ended = new CompletableFuture<>();
--- a/src/test/java/io/waxwingquay/engine/HttpPlainServiceTest.java
+++ b/src/test/java/io/waxwingquay/engine/HttpPlainServiceTest.java
@@ -40,7 +40,7 @@
     }
 
     @Test
-    void lostAnswerIsLostThoughTheServiceRanAndTheCallIsNotRepeated() {
+    void lostAnswerIsReportedAsLostAndTheCallIsNotRepeated() {
         // The service takes the deposit and its answer is lost. The side sees a closed connection; were that told
         // as "did not run", the caller would pay again. The client does not send it a second time either.
         standin.faults().next(Faults.Kind.LOSE_ANSWER, 1);
@@ -53,7 +53,7 @@
     }
 
     @Test
-    void silentServiceIsLostAfterTheTimeoutAndDoesNotHoldUpTheNextCall() throws Exception {
+    void unresponsiveServiceIsLostAfterTheTimeoutAndDoesNotBlockTheNextCall() throws Exception {
         // The first call's connection stays open and silent; its time-out ends it as lost, since it was sent. The
         // next call goes over a new connection.
         standin.faults().next(Faults.Kind.SILENT, 1);
--- a/src/test/java/io/waxwingquay/entry/CallerClient.java
+++ b/src/test/java/io/waxwingquay/entry/CallerClient.java
@@ -11,14 +11,15 @@
 /** A caller. */
 final class CallerClient {
 
-    static final String ASK = "{\"model\":\"m\",\"prompt\":\"p\",\"max_tokens\":8}";
-    static final String ASK_STREAM = "{\"model\":\"m\",\"prompt\":\"p\",\"max_tokens\":8,\"stream\":true}";
+    static final String COMPLETION_BODY = "{\"model\":\"m\",\"prompt\":\"p\",\"max_tokens\":8}";
+    static final String STREAMED_COMPLETION_BODY =
+            "{\"model\":\"m\",\"prompt\":\"p\",\"max_tokens\":8,\"stream\":true}";
 
     private static final HttpClient HTTP = HttpClient.newHttpClient();
 
     private CallerClient() {}
 
-    record Answer(int status, String body, HttpResponse<String> raw) {
+    record Answer(int status, String body, HttpResponse<String> response) {
 
         String error(String field) {
             return json().at("/error/" + field).asText();
@@ -33,7 +34,7 @@
         }
     }
 
-    static Answer ask(EntryNode node, String body, String... headers) {
+    static Answer complete(EntryNode node, String body, String... headers) {
         return send(node, "/v1/completions", body, headers).join();
     }
 
--- a/src/test/java/io/waxwingquay/entry/EntryNodeTest.java
+++ b/src/test/java/io/waxwingquay/entry/EntryNodeTest.java
@@ -1,8 +1,8 @@
 package io.waxwingquay.entry;
 
-import static io.waxwingquay.entry.CallerClient.ASK;
-import static io.waxwingquay.entry.CallerClient.ASK_STREAM;
-import static io.waxwingquay.entry.CallerClient.ask;
+import static io.waxwingquay.entry.CallerClient.COMPLETION_BODY;
+import static io.waxwingquay.entry.CallerClient.STREAMED_COMPLETION_BODY;
+import static io.waxwingquay.entry.CallerClient.complete;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -15,8 +15,8 @@
 
 class EntryNodeTest {
 
-    private final Fakes fakes = new Fakes();
-    private final EntryNode node = fakes.node();
+    private final FakeCluster cluster = new FakeCluster();
+    private final EntryNode node = cluster.startEntry();
 
     @AfterEach
     void close() {
@@ -38,8 +38,8 @@
             {"model":"nix","prompt":"p","max_tokens":8} | 404 | unknown_model | nix
             {"model":"m","adapter":"nix","prompt":"p","max_tokens":8} | 404 | unknown_adapter | nix
             """)
-    void badCompletionIsRefusedByElement(String body, int status, String code, String element) {
-        CallerClient.Answer answer = ask(node, body);
+    void badCompletionIsRejectedNamingTheElement(String body, int status, String code, String element) {
+        CallerClient.Answer answer = complete(node, body);
         assertEquals(status, answer.status(), answer.body());
         assertEquals(code, answer.error("code"));
         assertEquals(element, answer.error("element"));
@@ -48,8 +48,8 @@
 
     @ParameterizedTest
     @CsvSource({"soon,400,bad_deadline", "0,504,deadline", "-5,504,deadline", "999999999,400,bad_deadline"})
-    void badDeadlineIsRefused(String budget, int status, String code) {
-        CallerClient.Answer answer = ask(node, ASK, "X-Deadline-Millis", budget);
+    void badDeadlineIsRejected(String deadline, int status, String code) {
+        CallerClient.Answer answer = complete(node, COMPLETION_BODY, "X-Deadline-Millis", deadline);
         assertEquals(status, answer.status());
         assertEquals(code, answer.error("code"));
         assertEquals("X-Deadline-Millis", answer.error("element"));
@@ -63,30 +63,30 @@
         "/v1/services/pay/deposit,400,missing_idempotency_key",
         "/v2/completions,404,unknown_path"
     })
-    void badPathOrMissingKeyIsRefused(String path, int status, String code) {
+    void badPathOrMissingKeyIsRejected(String path, int status, String code) {
         CallerClient.Answer answer = CallerClient.send(node, path, "{}").join();
         assertEquals(status, answer.status());
         assertEquals(code, answer.error("code"));
     }
 
     @Test
-    void bodyOverTheLimitIsRefused() {
-        CallerClient.Answer answer = ask(node, "x".repeat(5_000));
+    void bodyOverTheLimitIsRejected() {
+        CallerClient.Answer answer = complete(node, "x".repeat(5_000));
         assertEquals(413, answer.status());
         assertEquals("body", answer.error("element"));
     }
 
     @Test
-    void echoesTheRequestIdOrMakesOne() {
+    void echoesTheRequestIdOrGeneratesOne() {
         assertEquals(
                 "r-1",
-                ask(node, ASK, "X-Request-Id", "r-1")
-                        .raw()
+                complete(node, COMPLETION_BODY, "X-Request-Id", "r-1")
+                        .response()
                         .headers()
                         .firstValue("X-Request-Id")
                         .orElseThrow());
-        assertTrue(ask(node, ASK)
-                        .raw()
+        assertTrue(complete(node, COMPLETION_BODY)
+                        .response()
                         .headers()
                         .firstValue("X-Request-Id")
                         .orElseThrow()
@@ -96,42 +96,43 @@
 
     @Test
     void isNotReadyWithoutABundle() {
-        fakes.bundle = Optional.empty();
+        cluster.bundle = Optional.empty();
         assertEquals(503, CallerClient.get(node, "/readyz"));
         assertEquals(200, CallerClient.get(node, "/healthz"));
-        assertEquals("not_ready", ask(node, ASK).error("code"));
+        assertEquals("not_ready", complete(node, COMPLETION_BODY).error("code"));
     }
 
     @Test
-    void characterThatIsSplitOverPiecesIsNotGarbled() {
-        fakes.first.mangle = answer -> {
+    void characterSplitAcrossChunksIsNotGarbled() {
+        cluster.firstSide.pollAnswerFilter = answer -> {
             byte[] bytes = "é".getBytes(java.nio.charset.StandardCharsets.UTF_8);
             answer.getChunks().forEach(chunk -> chunk.setBytes(new byte[0]));
             answer.getChunks().get(0).setBytes(new byte[] {bytes[0]});
             answer.getChunks().get(1).setBytes(new byte[] {bytes[1]});
             return answer;
         };
-        assertTrue(ask(node, ASK_STREAM).body().contains("\"text\":\"é\""));
+        assertTrue(complete(node, STREAMED_COMPLETION_BODY).body().contains("\"text\":\"é\""));
     }
 
     @Test
-    void drainFinishesTheOpenStreamAndRefusesNewRequests() {
+    void drainFinishesTheOpenStreamAndRejectsNewRequests() {
         // The caller of an open stream sees it end whole, though the entry was told to shut down in the middle;
         // a new caller is refused at once, truthfully as not run.
-        fakes.first.running = true;
+        cluster.firstSide.keepRunning = true;
         CompletableFuture<Void> polled = new CompletableFuture<>();
-        fakes.first.pollHold = () -> {
+        cluster.firstSide.pollDelay = () -> {
             polled.complete(null);
             return CompletableFuture.completedFuture(null);
         };
-        CompletableFuture<CallerClient.Answer> open = CallerClient.send(node, "/v1/completions", ASK_STREAM);
+        CompletableFuture<CallerClient.Answer> open =
+                CallerClient.send(node, "/v1/completions", STREAMED_COMPLETION_BODY);
         polled.join();
         CompletableFuture<Boolean> drained = node.drain(60_000);
-        CallerClient.Answer refused = ask(node, ASK);
-        assertEquals("draining", refused.error("code"));
-        assertEquals("did_not_run", refused.error("execution"));
+        CallerClient.Answer rejected = complete(node, COMPLETION_BODY);
+        assertEquals("draining", rejected.error("code"));
+        assertEquals("did_not_run", rejected.error("execution"));
         assertEquals(503, CallerClient.get(node, "/readyz"));
-        fakes.first.running = false;
+        cluster.firstSide.keepRunning = false;
         assertTrue(open.join().body().endsWith("data: [DONE]\n\n"));
         assertTrue(drained.join());
     }
--- a/src/test/java/io/waxwingquay/entry/Fakes.java
+++ b/src/test/java/io/waxwingquay/entry/FakeCluster.java
@@ -21,16 +21,16 @@
 import java.util.function.Consumer;
 
 /** The world around an entry process, in memory. */
-final class Fakes implements Membership, Connections, BundleSource {
+final class FakeCluster implements Membership, Connections, BundleSource {
 
     static final String ITEM = "model:m@1";
 
     final FakeTable table = new FakeTable();
-    final FakeSide first = new FakeSide("side-1", 1);
-    final FakeSide second = new FakeSide("side-2", 2);
+    final FakeSide firstSide = new FakeSide("side-1", 1);
+    final FakeSide secondSide = new FakeSide("side-2", 2);
     final SuspectBook suspects = new InMemorySuspects();
-    final List<String> leaving = new ArrayList<>();
-    List<FakeSide> present = List.of(first, second);
+    final List<String> leavingSideIds = new ArrayList<>();
+    List<FakeSide> knownSides = List.of(firstSide, secondSide);
     Optional<Bundle> bundle = Optional.of(new Bundle(
             1,
             new Bundle.Keys(List.of(), List.of()),
@@ -42,14 +42,14 @@
             List.of(new Bundle.Operation("pay", "deposit", true), new Bundle.Operation("pay", "quote", false))));
 
     /** Settings with the policy that takes sides in turn, so that tests know which side is first. */
-    static EntryConfiguration settings() {
+    static EntryConfiguration configuration() {
         return new EntryConfiguration(
                 "127.0.0.1", 0, "dc1", "round-robin", 30_000, 600_000, 4_096, 1_024, 250, 1.0, 64);
     }
 
-    EntryNode node() {
+    EntryNode startEntry() {
         return EntryNode.builder()
-                .configuration(settings())
+                .configuration(configuration())
                 .bundles(this)
                 .membership(this)
                 .connections(this)
@@ -64,7 +64,7 @@
     @Override
     public List<Side> sides() {
         List<Side> sides = new ArrayList<>();
-        for (FakeSide side : present) {
+        for (FakeSide side : knownSides) {
             sides.add(side.side("llm", Set.of(ITEM)));
             sides.add(side.side("pay", Set.of()));
         }
@@ -83,7 +83,7 @@
 
     @Override
     public synchronized void noteLeaving(String sideId, long epoch) {
-        leaving.add(sideId);
+        leavingSideIds.add(sideId);
     }
 
     @Override
@@ -91,7 +91,7 @@
 
     @Override
     public SideProtocol to(HostPort address) {
-        return address.port() == 1 ? first : second;
+        return address.port() == 1 ? firstSide : secondSide;
     }
 
     @Override
--- a/src/test/java/io/waxwingquay/entry/FakeSide.java
+++ b/src/test/java/io/waxwingquay/entry/FakeSide.java
@@ -54,24 +54,24 @@
 
     final Queue<Fault> submitFaults = new ArrayDeque<>();
     final Queue<Fault> pollFaults = new ArrayDeque<>();
-    final Queue<Refusal> refusals = new ArrayDeque<>();
+    final Queue<Refusal> nextRefusals = new ArrayDeque<>();
     final Queue<Refusal> refusalsAfterRestart = new ArrayDeque<>();
-    final Queue<Refusal> failures = new ArrayDeque<>();
+    final Queue<Refusal> nextFailures = new ArrayDeque<>();
     final List<String> runs = new CopyOnWriteArrayList<>();
-    final Set<String> cancelled = ConcurrentHashMap.newKeySet();
-    UnaryOperator<PollAnswer> mangle = answer -> answer;
-    String[] pieces = {"one ", "two ", "three"};
-    Supplier<CompletableFuture<Void>> pollHold = () -> CompletableFuture.completedFuture(null);
-    volatile boolean running;
+    final Set<String> cancelledAttempts = ConcurrentHashMap.newKeySet();
+    UnaryOperator<PollAnswer> pollAnswerFilter = answer -> answer;
+    String[] chunkTexts = {"one ", "two ", "three"};
+    Supplier<CompletableFuture<Void>> pollDelay = () -> CompletableFuture.completedFuture(null);
+    volatile boolean keepRunning;
     long epoch = 1;
     volatile int submissions;
     volatile Submission lastSubmission;
 
     private final String id;
     private final int port;
-    private final Set<String> withdrawn = new HashSet<>();
-    private final Map<String, Submission> book = new HashMap<>();
-    private final Map<String, Refusal> failed = new HashMap<>();
+    private final Set<String> withdrawnAttempts = new HashSet<>();
+    private final Map<String, Submission> submissionsByAttempt = new HashMap<>();
+    private final Map<String, Refusal> failuresByAttempt = new HashMap<>();
 
     FakeSide(String id, int port) {
         this.id = id;
@@ -101,10 +101,10 @@
 
     synchronized void restart() {
         epoch++;
-        book.clear();
-        withdrawn.clear();
-        failed.clear();
-        refusals.addAll(refusalsAfterRestart);
+        submissionsByAttempt.clear();
+        withdrawnAttempts.clear();
+        failuresByAttempt.clear();
+        nextRefusals.addAll(refusalsAfterRestart);
     }
 
     @Override
@@ -113,34 +113,34 @@
         lastSubmission = submission.deepCopy();
         Fault fault = next(submitFaults);
         if (fault == Fault.UNREACHED) {
-            return lost(false);
+            return connectionLost(false);
         }
-        SubmitAnswer answer = take(submission.deepCopy());
+        SubmitAnswer answer = admit(submission.deepCopy());
         if (fault == Fault.LOSE_ANSWER_AND_RESTART) {
             restart();
         }
-        return fault != Fault.NONE ? lost(true) : CompletableFuture.completedFuture(answer);
+        return fault != Fault.NONE ? connectionLost(true) : CompletableFuture.completedFuture(answer);
     }
 
-    private SubmitAnswer take(Submission submission) {
+    private SubmitAnswer admit(Submission submission) {
         String attemptId = submission.getAttemptId();
-        boolean once = submission.isSetPlain() && submission.getPlain().isNonIdempotent();
-        if (book.containsKey(attemptId)) {
+        boolean nonIdempotent = submission.isSetPlain() && submission.getPlain().isNonIdempotent();
+        if (submissionsByAttempt.containsKey(attemptId)) {
             return accept();
         }
-        if (once && submission.getSideEpoch() != epoch) {
+        if (nonIdempotent && submission.getSideEpoch() != epoch) {
             return refuse(new Refusal(RefusalReason.WRONG_EPOCH, "other epoch", 0, Execution.DID_NOT_RUN));
         }
-        if (withdrawn.contains(attemptId)) {
+        if (withdrawnAttempts.contains(attemptId)) {
             return refuse(new Refusal(RefusalReason.WITHDRAWN, "withdrawn", 0, Execution.DID_NOT_RUN));
         }
-        Refusal refusal = refusals.poll();
+        Refusal refusal = nextRefusals.poll();
         if (refusal != null) {
             return refuse(refusal);
         }
-        book.put(attemptId, submission);
-        Optional.ofNullable(failures.poll()).ifPresent(failure -> failed.put(attemptId, failure));
-        runs.add(once ? submission.getPlain().getIdempotencyKey() : submission.getRequestId());
+        submissionsByAttempt.put(attemptId, submission);
+        Optional.ofNullable(nextFailures.poll()).ifPresent(failure -> failuresByAttempt.put(attemptId, failure));
+        runs.add(nonIdempotent ? submission.getPlain().getIdempotencyKey() : submission.getRequestId());
         return accept();
     }
 
@@ -154,40 +154,40 @@
 
     @Override
     public CompletableFuture<PollAnswer> poll(PollRequest request) {
-        return pollHold.get().thenCompose(held -> answer(request));
+        return pollDelay.get().thenCompose(held -> answer(request));
     }
 
     private synchronized CompletableFuture<PollAnswer> answer(PollRequest request) {
         if (next(pollFaults) != Fault.NONE) {
-            return lost(true);
+            return connectionLost(true);
         }
         PollAnswer answer = new PollAnswer().setLoad(new LoadReport());
         String attemptId = request.getAttemptId();
-        if (!book.containsKey(attemptId)) {
+        if (!submissionsByAttempt.containsKey(attemptId)) {
             return CompletableFuture.completedFuture(
                     answer.setState(AttemptState.ABSENT).setChunks(List.of()));
         }
         List<Chunk> chunks = new ArrayList<>();
-        for (int offset = (int) request.getFromOffset(); offset < pieces.length; offset++) {
+        for (int offset = (int) request.getFromOffset(); offset < chunkTexts.length; offset++) {
             chunks.add(new Chunk()
                     .setOffset(offset)
                     .setUnits(1)
-                    .setBytes(pieces[offset].getBytes(StandardCharsets.UTF_8)));
+                    .setBytes(chunkTexts[offset].getBytes(StandardCharsets.UTF_8)));
         }
         answer.setChunks(chunks);
-        if (failed.containsKey(attemptId)) {
-            answer.setState(AttemptState.FAILED).setFailure(failed.get(attemptId));
-        } else if (running) {
+        if (failuresByAttempt.containsKey(attemptId)) {
+            answer.setState(AttemptState.FAILED).setFailure(failuresByAttempt.get(attemptId));
+        } else if (keepRunning) {
             answer.setState(AttemptState.RUNNING);
         } else {
-            answer.setState(AttemptState.DONE).setTotalUnits(pieces.length);
+            answer.setState(AttemptState.DONE).setTotalUnits(chunkTexts.length);
         }
-        return CompletableFuture.completedFuture(mangle.apply(answer));
+        return CompletableFuture.completedFuture(pollAnswerFilter.apply(answer));
     }
 
     @Override
     public synchronized CompletableFuture<Boolean> cancel(String attemptId) {
-        return CompletableFuture.completedFuture(cancelled.add(attemptId));
+        return CompletableFuture.completedFuture(cancelledAttempts.add(attemptId));
     }
 
     @Override
@@ -195,17 +195,17 @@
         if (request.getSideEpoch() != epoch) {
             return CompletableFuture.completedFuture(new ResolveAnswer(Execution.UNKNOWN, AttemptState.ABSENT));
         }
-        if (book.containsKey(request.getAttemptId())) {
+        if (submissionsByAttempt.containsKey(request.getAttemptId())) {
             return CompletableFuture.completedFuture(
-                    running
+                    keepRunning
                             ? new ResolveAnswer(Execution.UNKNOWN, AttemptState.RUNNING)
                             : new ResolveAnswer(Execution.RAN, AttemptState.DONE));
         }
         if (request.isWithdraw()) {
-            withdrawn.add(request.getAttemptId());
+            withdrawnAttempts.add(request.getAttemptId());
         }
         return CompletableFuture.completedFuture(
-                withdrawn.contains(request.getAttemptId())
+                withdrawnAttempts.contains(request.getAttemptId())
                         ? new ResolveAnswer(Execution.DID_NOT_RUN, AttemptState.CANCELLED)
                         : new ResolveAnswer(Execution.UNKNOWN, AttemptState.ABSENT));
     }
@@ -214,7 +214,7 @@
         return Optional.ofNullable(faults.poll()).orElse(Fault.NONE);
     }
 
-    private static <T> CompletableFuture<T> lost(boolean delivered) {
+    private static <T> CompletableFuture<T> connectionLost(boolean delivered) {
         return CompletableFuture.failedFuture(new TransportException(delivered, "connection lost", null));
     }
 
--- a/src/test/java/io/waxwingquay/entry/FakeTable.java
+++ b/src/test/java/io/waxwingquay/entry/FakeTable.java
@@ -20,14 +20,14 @@
     }
 
     private final Queue<Fault> commitFaults = new ArrayDeque<>();
-    private final Queue<CompletableFuture<Void>> commitHolds = new ArrayDeque<>();
-    private volatile boolean out;
+    private final Queue<CompletableFuture<Void>> commitDelays = new ArrayDeque<>();
+    private volatile boolean unavailable;
     private int commits;
     private final Map<String, Row> rows = new HashMap<>();
 
     @Override
     public synchronized CompletableFuture<Map<String, Row>> read(List<String> keys) {
-        if (out) {
+        if (unavailable) {
             return unavailable();
         }
         Map<String, Row> found = new HashMap<>();
@@ -39,13 +39,13 @@
     public synchronized CompletableFuture<CommitResult> commit(List<Write> writes) {
         commits++;
         Fault fault = Optional.ofNullable(commitFaults.poll()).orElse(Fault.NONE);
-        if (out || fault == Fault.UNAVAILABLE) {
+        if (unavailable || fault == Fault.UNAVAILABLE) {
             return unavailable();
         }
-        CompletableFuture<Void> hold =
-                Optional.ofNullable(commitHolds.poll()).orElse(CompletableFuture.completedFuture(null));
+        CompletableFuture<Void> delay =
+                Optional.ofNullable(commitDelays.poll()).orElse(CompletableFuture.completedFuture(null));
         CommitResult result = apply(writes);
-        return fault == Fault.LOSE_ANSWER ? unavailable() : hold.thenApply(done -> result);
+        return fault == Fault.LOSE_ANSWER ? unavailable() : delay.thenApply(done -> result);
     }
 
     public synchronized void failCommits(Fault... faults) {
@@ -53,11 +53,11 @@
     }
 
     public synchronized void holdCommit(CompletableFuture<Void> until) {
-        commitHolds.add(until);
+        commitDelays.add(until);
     }
 
     public void setUnavailable(boolean value) {
-        out = value;
+        unavailable = value;
     }
 
     public synchronized int commits() {
--- a/src/test/java/io/waxwingquay/entry/StreamAssemblerTest.java
+++ b/src/test/java/io/waxwingquay/entry/StreamAssemblerTest.java
@@ -15,7 +15,7 @@
 class StreamAssemblerTest {
 
     @Property(tries = 200, seed = "20261202")
-    void anyOrderWithDuplicatesGivesEachPieceOnceInOrder(
+    void anyOrderWithDuplicatesGivesEachChunkOnceInOrder(
             @ForAll @IntRange(min = 1, max = 40) int count, @ForAll long seed) {
         Random random = new Random(seed);
         List<Chunk> sent = new ArrayList<>();
--- a/src/test/java/io/waxwingquay/explain/LossReportTest.java
+++ b/src/test/java/io/waxwingquay/explain/LossReportTest.java
@@ -30,19 +30,19 @@
     }
 
     @Test
-    void tablesHaveAColumnForEachReasonSeen() {
+    void tableHasAColumnForEachObservedReason() {
         assertTrue(report.table().contains("no-room"));
         assertTrue(!report.table().contains("model-absent"));
     }
 
     @Test
-    void drawsAPlot(@TempDir Path folder) throws Exception {
+    void plotWritesAChartFile(@TempDir Path folder) throws Exception {
         Path file = folder.resolve("plot.png");
         report.plot(file);
         assertTrue(Files.size(file) > 0);
     }
 
-    private static EndedRequest request(long arrivedMillis, int status, String why) {
-        return new EndedRequest(arrivedMillis, "r", "m", status, 0, 50, 20, 500, 250, why);
+    private static EndedRequest request(long arrivedAtMillis, int status, String reason) {
+        return new EndedRequest(arrivedAtMillis, "r", "m", status, 0, 50, 20, 500, 250, reason);
     }
 }
--- a/src/test/java/io/waxwingquay/explain/LossTest.java
+++ b/src/test/java/io/waxwingquay/explain/LossTest.java
@@ -28,15 +28,20 @@
                 "200 | 0 | 90 | 300 | streamed by e1 | LATE_BY_PAUSE",
                 "200 | 0 | 90 | 30 | streamed by e1 | NONE"
             })
-    void namesWhatBecameOfARequest(
-            int status, long waitedMillis, long firstMillis, long pauseMillis, String why, Loss expected) {
-        EndedRequest request =
-                new EndedRequest(0, "r", "m", status, waitedMillis, firstMillis, pauseMillis, 500, 250, why);
+    void classifiesEndedRequest(
+            int status,
+            long entryWaitMillis,
+            long firstEventMillis,
+            long longestPauseMillis,
+            String reason,
+            Loss expected) {
+        EndedRequest request = new EndedRequest(
+                0, "r", "m", status, entryWaitMillis, firstEventMillis, longestPauseMillis, 500, 250, reason);
         assertEquals(expected, Loss.of(request));
     }
 
     @Test
-    void readsALineOfAnEntry() {
+    void parsesAnEntryLogLine() {
         EndedRequest request = EndedRequest.parse(
                         "  1.5 front-1 2026-08-28T10:41:26.058Z INFO  forward: ended id=d4 route=r-1"
                                 + " service=s model=m/a1 status=200 sent=1 took_ms=2058 first_ms=90 pause_ms=30 waited_ms=7"
