--- a/src/main/java/io/waxwingquay/engine/HttpModelEngine.java
+++ b/src/main/java/io/waxwingquay/engine/HttpModelEngine.java
@@ -11,7 +11,7 @@
 import org.eclipse.jetty.http.HttpMethod;
 
 /**
- * A model engine over HTTP, with streams as server-sent events.
+ * Client of a model engine over HTTP, which receives generations as server-sent events.
  */
 public final class HttpModelEngine implements ModelEngine {
 
@@ -29,12 +29,13 @@
     private final String targetDescription;
 
     /**
-     * A client.
+     * Creates a client.
      *
      * @param client the shared, started HTTP client; each open stream holds one of its connections.
      * @param address the engine's address.
-     * @param timeoutMillis the most time a call may take; a stream, until it has a connection.
-     * @param inactivityTimeoutMillis how long a stream may be silent; above the engine's keep-alive interval.
+     * @param timeoutMillis the timeout of a call; for a stream, of obtaining a connection.
+     * @param inactivityTimeoutMillis how long a stream may receive nothing; longer than the engine's
+     *     keep-alive interval.
      */
     public HttpModelEngine(HttpClient client, HostPort address, long timeoutMillis, long inactivityTimeoutMillis) {
         this.client = client;
@@ -115,7 +116,8 @@
     }
 
     /**
-     * Only a client error is the engine's own word that it will not run the call.
+     * Classifies an unexpected status. Only a client error states that the engine will not run the call; after any
+     * other status it may have run.
      */
     static TargetException unexpectedStatus(String targetDescription, int status) {
         boolean refused = status >= FIRST_CLIENT_ERROR && status < FIRST_SERVER_ERROR;
@@ -124,20 +126,20 @@
     }
 
     /**
-     * Body of a stream request.
+     * Represents the body of a stream request.
      *
      * @param generation what to generate.
-     * @param fromOffset the first token wanted.
+     * @param fromOffset the offset of the first token to send.
      */
     public record StreamRequest(Generation generation, long fromOffset) {}
 
     /**
-     * One event of a stream: a token, the end, or a failure.
+     * Represents one event of a stream: a token, the end, or a failure.
      *
-     * @param offset position of the token.
+     * @param offset the token's offset in the answer.
      * @param text the token's text.
-     * @param end whether the answer is whole.
-     * @param total length of the whole answer, at its end.
+     * @param end whether the answer is complete.
+     * @param total the number of tokens of the complete answer, sent with the end.
      * @param error why the generation ended early.
      */
     @JsonInclude(JsonInclude.Include.NON_ABSENT)
--- a/src/main/java/io/waxwingquay/engine/HttpPlainService.java
+++ b/src/main/java/io/waxwingquay/engine/HttpPlainService.java
@@ -10,14 +10,14 @@
 import org.eclipse.jetty.http.HttpMethod;
 
 /**
- * A plain service over HTTP. A call is sent at most once.
+ * Client of a plain service over HTTP. A call is sent at most once.
  */
 public final class HttpPlainService implements PlainService {
 
-    /** Header that carries the caller's idempotency key. */
+    /** Name of the header that carries the caller's idempotency key. */
     public static final String IDEMPOTENCY_KEY_HEADER = "Idempotency-Key";
 
-    /** Header that carries the request identity. */
+    /** Name of the header that carries the request id. */
     public static final String REQUEST_ID_HEADER = "X-Request-Id";
 
     private final HttpClient client;
@@ -25,11 +25,11 @@
     private final long timeoutMillis;
 
     /**
-     * A client.
+     * Creates a client.
      *
      * @param client the shared, started HTTP client.
      * @param address the service's address.
-     * @param timeoutMillis the most time a call may take.
+     * @param timeoutMillis the timeout of a call.
      */
     public HttpPlainService(HttpClient client, HostPort address, long timeoutMillis) {
         this.client = client;
--- a/src/main/java/io/waxwingquay/engine/HttpStream.java
+++ b/src/main/java/io/waxwingquay/engine/HttpStream.java
@@ -15,8 +15,8 @@
 import org.eclipse.jetty.client.Result;
 
 /**
- * One open stream. Repeated tokens are dropped; a gap, a wrong total or a missing end is a lost answer, since
- * a listener would otherwise take part of an answer for the whole.
+ * Parses the events of one open stream. Repeated tokens are dropped. A gap, a wrong total or a missing end ends the
+ * stream as lost, because the listener would otherwise take a partial answer for the complete one.
  */
 final class HttpStream implements Response.Listener, AutoCloseable {
 
@@ -77,20 +77,20 @@
         } else if (result.isFailed()) {
             fail(TargetCalls.exception(sending.failure(result.getFailure()), targetDescription));
         } else {
-            failAsLost("closed the stream before its end");
+            failAsLost("closed the stream before the end event");
         }
     }
 
     /**
      * {@inheritDoc}
      *
-     * <p>A caller may close while it holds a lock that the listener waits for. Neither this method nor the
-     * {@link #onComplete} that its abort may run takes the stream's own lock, so the two cannot deadlock.
+     * <p>The calling thread may hold a lock that the listener waits for. To avoid a deadlock, neither this method nor
+     * the {@link #onComplete} that its abort may invoke acquires the monitor of this stream.
      */
     @Override
     public void close() {
         ended.set(true);
-        request.abort(new CancellationException("no longer listening"));
+        request.abort(new CancellationException("the listener closed the stream"));
     }
 
     private void onLine(String text) {
@@ -126,7 +126,7 @@
 
     private void onEnd(long total) {
         if (total != nextOffset) {
-            failAsLost("ended at token " + nextOffset + " and states a total of " + total);
+            failAsLost("ended at token " + nextOffset + " but states a total of " + total);
             return;
         }
         if (ended.compareAndSet(false, true)) {
--- a/src/main/java/io/waxwingquay/engine/ModelEngine.java
+++ b/src/main/java/io/waxwingquay/engine/ModelEngine.java
@@ -6,63 +6,64 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * A model engine, as its side process drives it. All futures fail with {@link TargetException}.
+ * Interface of a model engine to its side process. All futures fail with {@link TargetException}.
  */
 public interface ModelEngine {
 
     /**
      * Starts or resumes a generation and streams it.
      *
-     * @param generation what to generate; its id makes a repeated start resume rather than run again.
-     * @param fromOffset the first token wanted.
-     * @param listener receives tokens in the engine's order, then exactly one end.
+     * @param generation what to generate; a resend with the same id resumes the generation instead of running it again.
+     * @param fromOffset the offset of the first token to send.
+     * @param listener receives the tokens in the engine's order, then exactly one end.
      * @return a handle that stops listening when closed; it does not cancel the generation.
      */
     AutoCloseable stream(Generation generation, long fromOffset, Listener listener);
 
     /**
-     * Cancels a generation; an unknown one is ignored.
+     * Cancels a generation. An unknown id is ignored.
      *
-     * @param generationId the generation.
-     * @return completes when the engine has confirmed.
+     * @param generationId the id of the generation.
+     * @return a future that completes when the engine has confirmed.
      */
     CompletableFuture<Void> cancel(String generationId);
 
     /**
-     * Sends an order to load or evict. Completion says that the engine took the order, not that it is done.
+     * Sends an order to load or evict an item. Completion means that the engine accepted the order, not that it has
+     * executed it.
      *
      * @param order the order.
-     * @return whether it was taken; a fenced engine refuses an old fencing number.
+     * @return whether the engine accepted the order; it refuses a fencing number older than the newest it has seen.
      */
     CompletableFuture<OrderAnswer> order(Order order);
 
     /**
-     * Reads which items the engine holds and which orders it has open.
+     * Reads which items are in the engine's memory and which orders are open.
      *
-     * @return the residency as of now.
+     * @return the current residency.
      */
     CompletableFuture<Residency> residency();
 
     /**
-     * Reads the engine's load report, which lags.
+     * Reads the engine's latest load report, which may be stale; see {@link EngineLoad#ageMillis()}.
      *
      * @return the report.
      */
     CompletableFuture<EngineLoad> loadReport();
 
     /**
-     * A generation.
+     * Describes a generation.
      *
-     * @param id unique identifier of the attempt.
+     * @param id the unique id of the attempt.
      * @param model the model version's item name.
      * @param adapter the adapter version's item name, if any.
      * @param prompt the prompt.
-     * @param maxTokens the most tokens wanted.
-     * @param priority a higher one goes first.
+     * @param maxTokens the maximum number of tokens to generate.
+     * @param priority the scheduling priority; higher values run first.
      */
     record Generation(String id, String model, Optional<String> adapter, String prompt, int maxTokens, int priority) {}
 
-    /** What an order does. */
+    /** Kinds of orders. */
     enum OrderKind {
         /** Load an item from the weight store. */
         LOAD,
@@ -71,69 +72,69 @@
     }
 
     /**
-     * An order to the engine.
+     * Describes an order to the engine.
      *
-     * @param id unique identifier; a repeated order with the same id is taken once.
-     * @param kind load or evict.
+     * @param id the unique id; a resent order with the same id is executed once.
+     * @param kind whether to load or evict.
      * @param item the item's name.
-     * @param bytes the memory the item takes.
+     * @param bytes the size of the item in memory.
      * @param fence the fencing number of the side process.
      */
     record Order(String id, OrderKind kind, String item, long bytes, long fence) {}
 
-    /** The engine's answer to an order. */
+    /** Answers of an engine to an order. */
     enum OrderAnswer {
-        /** The order was taken and will take effect. */
+        /** The engine accepted the order and will execute it. */
         TAKEN,
-        /** The order carried a fencing number older than the newest the engine has seen. */
+        /** The fencing number of the order is older than the newest one that the engine has seen. */
         STALE_FENCE
     }
 
     /**
-     * What an engine holds.
+     * Describes the contents of an engine's memory.
      *
-     * @param bootId changes whenever the engine restarts and so has lost its memory.
-     * @param capacityBytes the accelerator memory.
-     * @param residents items in memory.
-     * @param openOrders orders taken and not yet done.
+     * @param bootId identifies the engine's incarnation; a new one means that the engine has lost its memory.
+     * @param capacityBytes the size of the accelerator memory.
+     * @param residents the items in memory.
+     * @param openOrders orders that the engine has accepted but not yet executed.
      */
     record Residency(String bootId, long capacityBytes, List<Resident> residents, List<Order> openOrders) {}
 
     /**
-     * One item in memory.
+     * Describes an item in memory.
      *
      * @param item the item's name.
-     * @param bytes the memory it takes.
+     * @param bytes the size of the item in memory.
      */
     record Resident(String item, long bytes) {}
 
     /**
-     * An engine's load report.
+     * Represents a load report of an engine.
      *
-     * @param running generations in the batch.
-     * @param queued generations waiting.
-     * @param queuedTokens tokens still to generate for all of them.
-     * @param tokensPerSecond recent speed of the whole batch.
-     * @param ageMillis age of the report.
+     * @param running the number of generations in the batch.
+     * @param queued the number of queued generations.
+     * @param queuedTokens the number of tokens still to generate for all of them.
+     * @param tokensPerSecond the recent throughput of the whole batch.
+     * @param ageMillis the age of the report.
      */
     record EngineLoad(int running, int queued, long queuedTokens, double tokensPerSecond, long ageMillis) {}
 
-    /** Receives a stream. Methods are called from one thread at a time. */
+    /** Receives the tokens of a stream. Its methods are called from one thread at a time. */
     interface Listener {
 
         /**
-         * One token.
+         * Receives a token.
          *
-         * @param offset position of the token, from 0.
+         * @param offset the offset of the token in the answer, starting at 0.
          * @param text the token's text.
          */
         void onToken(long offset, String text);
 
         /**
-         * The end of the stream.
+         * Receives the end of the stream.
          *
-         * @param totalTokens the whole answer's length if the engine finished it, else empty.
-         * @param failure why it ended early, if it did.
+         * @param totalTokens the number of tokens of the complete answer, or empty if the stream ended early.
+         * @param failure why the stream ended early, or empty if the answer is complete.
          */
         void onEnd(OptionalLong totalTokens, Optional<TargetException> failure);
     }
--- a/src/main/java/io/waxwingquay/engine/PlainService.java
+++ b/src/main/java/io/waxwingquay/engine/PlainService.java
@@ -4,12 +4,12 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * A plain service beside the model engines. The future fails with {@link TargetException}.
+ * Interface of a plain service, a target that is not a model engine. The future fails with {@link TargetException}.
  */
 public interface PlainService {
 
     /**
-     * Calls an operation once.
+     * Calls an operation. The call is sent at most once.
      *
      * @param call the call.
      * @return the service's answer.
@@ -17,21 +17,21 @@
     CompletableFuture<Answer> call(Call call);
 
     /**
-     * A call.
+     * Describes a call of an operation.
      *
      * @param operation the operation's name.
-     * @param requestId the caller's request identity.
-     * @param idempotencyKey the caller's key, if any.
-     * @param contentType type of the body.
+     * @param requestId the request id.
+     * @param idempotencyKey the caller's idempotency key, if any.
+     * @param contentType the media type of the body.
      * @param body the body.
      */
     record Call(String operation, String requestId, Optional<String> idempotencyKey, String contentType, byte[] body) {}
 
     /**
-     * An answer.
+     * Represents the answer to a call.
      *
      * @param statusCode the HTTP status.
-     * @param contentType type of the body.
+     * @param contentType the media type of the body.
      * @param body the body.
      */
     record Answer(int statusCode, String contentType, byte[] body) {}
--- a/src/main/java/io/waxwingquay/engine/TargetCalls.java
+++ b/src/main/java/io/waxwingquay/engine/TargetCalls.java
@@ -5,7 +5,7 @@
 import org.eclipse.jetty.client.Request;
 
 /**
- * Turns HTTP failures towards a target into {@link TargetException}.
+ * Sends requests to a target and translates HTTP failures into {@link TargetException}.
  */
 final class TargetCalls {
 
--- a/src/main/java/io/waxwingquay/engine/TargetException.java
+++ b/src/main/java/io/waxwingquay/engine/TargetException.java
@@ -1,7 +1,7 @@
 package io.waxwingquay.engine;
 
 /**
- * A failure between a side process and its target.
+ * Signals that a call from a side process to its target failed.
  */
 public final class TargetException extends RuntimeException {
 
@@ -10,11 +10,11 @@
     private final Kind kind;
 
     /**
-     * A failure.
+     * Creates an exception.
      *
-     * @param kind what is known of the call.
-     * @param message what failed, naming the element.
-     * @param cause the failure below, or {@code null}.
+     * @param kind whether the call may have run.
+     * @param message what failed, with the name of the target.
+     * @param cause the cause, or {@code null}.
      */
     public TargetException(Kind kind, String message, Throwable cause) {
         super(message, cause);
@@ -22,21 +22,21 @@
     }
 
     /**
-     * What is known of the call.
+     * Returns whether the call may have run.
      *
-     * @return the kind.
+     * @return the kind of the failure.
      */
     public Kind kind() {
         return kind;
     }
 
-    /** What is known of a failed call. */
+    /** Kinds of failures, by whether the target may have run the call. */
     public enum Kind {
-        /** The target was never reached: the call did not run. */
+        /** The target was not reached: the call did not run. */
         UNREACHABLE,
-        /** The connection broke or went silent after the call was sent: it may have run. */
+        /** The connection broke or timed out after the call was sent: the call may have run. */
         LOST,
-        /** The target answered that it will not run the call. */
+        /** The target rejected the call and will not run it. */
         REFUSED
     }
 }
--- a/src/main/java/io/waxwingquay/engine/package-info.java
+++ b/src/main/java/io/waxwingquay/engine/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Clients of targets: model engines and plain services, spoken to by their side process only.
+ * Clients of targets: model engines and plain services. Only the side process beside a target uses them.
  */
 package io.waxwingquay.engine;
--- a/src/main/java/io/waxwingquay/entry/AnswerSink.java
+++ b/src/main/java/io/waxwingquay/entry/AnswerSink.java
@@ -5,47 +5,48 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * Where the pieces of an answer go, in order of offset and without gaps.
+ * Receives the chunks of an answer, in order of offset and without gaps.
  */
 public interface AnswerSink {
 
     /**
-     * Takes the next piece.
+     * Accepts the next chunk.
      *
-     * @param offset the offset of its first unit.
+     * @param offset the offset of the chunk's first unit.
      * @param bytes the content.
-     * @param units how many units it has.
-     * @return completes when more may follow; fails if the caller has gone.
+     * @param units the number of units in the chunk.
+     * @return a future that completes when the next chunk may follow, and fails if the caller has disconnected.
      */
     CompletableFuture<Void> accept(long offset, byte[] bytes, int units);
 
     /**
-     * Whether the caller has seen any of the answer, so that another attempt's answer can no longer take its place.
+     * Returns whether the caller may have received a part of the answer. The answer of another attempt can then no
+     * longer replace it.
      *
-     * @return whether it has.
+     * @return whether the answer has started.
      */
     boolean isStarted();
 
     /**
-     * Whether nobody wants the answer any more.
+     * Returns whether the answer is no longer needed.
      *
-     * @return whether the caller has gone.
+     * @return whether the caller has disconnected.
      */
     boolean isAbandoned();
 
-    /** Drops what was gathered, before another attempt begins. */
+    /** Discards the chunks received so far, before another attempt starts. */
     void restart();
 
-    /** Gathers the whole answer before any of it is shown. */
+    /** Buffers the complete answer before any of it is sent to the caller. */
     final class Buffered implements AnswerSink {
 
         private final ByteArrayOutputStream buffer = new ByteArrayOutputStream();
         private final BooleanSupplier abandoned;
 
         /**
-         * An empty sink.
+         * Creates an empty sink.
          *
-         * @param abandoned tells whether the caller has gone.
+         * @param abandoned returns whether the caller has disconnected.
          */
         public Buffered(BooleanSupplier abandoned) {
             this.abandoned = abandoned;
@@ -77,7 +78,7 @@
         }
 
         /**
-         * What was gathered.
+         * Returns the content received so far.
          *
          * @return the bytes.
          */
--- a/src/main/java/io/waxwingquay/entry/AttemptPhase.java
+++ b/src/main/java/io/waxwingquay/entry/AttemptPhase.java
@@ -3,48 +3,48 @@
 import io.waxwingquay.chart.StateChart;
 
 /**
- * Where an attempt stands, as the entry process sees it. {@code charts/entry-attempt.chart} has the moves.
+ * Phases of an attempt in the entry process. {@code charts/entry-attempt.chart} defines the transitions.
  */
 public enum AttemptPhase {
-    /** It is being handed to a side process. */
+    /** The attempt is being submitted to a side process. */
     SUBMITTING,
-    /** A side process has it, and the entry waits for its answer. */
+    /** A side process has accepted the attempt, and the entry polls its answer. */
     POLLING,
-    /** The connection was lost, and the entry asks the same side process for the same attempt again. */
+    /** The connection was lost, and the entry resumes the same attempt at the same side process. */
     RESUMING,
-    /** The answer is whole. */
+    /** The answer is complete. */
     DONE,
-    /** It has failed for good. */
+    /** The attempt has failed. */
     FAILED;
 
-    /** The name of the chart. */
+    /** Name of the state chart. */
     public static final String CHART_NAME = "entry-attempt";
 
-    /** The chart. */
+    /** State chart with the transitions. */
     static final StateChart<AttemptPhase, Event> CHART = StateChart.load(CHART_NAME, AttemptPhase.class, Event.class);
 
     /**
-     * The next phase.
+     * Returns the phase after an event.
      *
-     * @param event what happened.
-     * @return the phase that follows.
+     * @param event the event.
+     * @return the next phase.
      * @throws io.waxwingquay.chart.ChartException.IllegalEvent if the event cannot happen in this phase.
      */
     AttemptPhase next(Event event) {
         return CHART.next(this, event).orElse(this);
     }
 
-    /** What happens to an attempt. */
+    /** Events of an attempt. */
     public enum Event {
-        /** The side process took it. */
+        /** The side process accepted the attempt, or polling is resumed. */
         ACCEPTED,
         /** The side process answered a poll. */
         PROGRESS,
-        /** A call failed or stayed silent. */
+        /** A call to the side process failed or timed out. */
         CONNECTION_LOST,
-        /** The last piece of the answer came. */
+        /** The last chunk of the answer arrived. */
         COMPLETED,
-        /** It was refused, it failed, its time is over or its caller has gone. */
+        /** The attempt was refused or failed, its deadline passed, or its caller disconnected. */
         ENDED
     }
 }
--- a/src/main/java/io/waxwingquay/entry/AttemptResult.java
+++ b/src/main/java/io/waxwingquay/entry/AttemptResult.java
@@ -6,17 +6,17 @@
 import java.util.Optional;
 
 /**
- * How one attempt at one side process ended.
+ * Describes how one attempt at one side process ended.
  *
- * @param kind the way it ended.
+ * @param kind how it ended.
  * @param execution whether the target ran it.
- * @param reason why the side process refused or failed it, if it said so.
+ * @param reason why the side process refused or failed it, if it gave a reason.
  * @param message what happened.
- * @param retryAfterMillis when to come back; 0 for no advice.
- * @param statusCode the plain service's HTTP status; 0 for none.
- * @param contentType the plain service's media type; empty for none.
- * @param units units of a whole answer.
- * @param startRuledOut whether the attempt can never start from now on.
+ * @param retryAfterMillis the retry-after delay; 0 for none.
+ * @param statusCode the HTTP status of a plain service; 0 for none.
+ * @param contentType the media type of a plain service's answer; empty for none.
+ * @param units the number of units of a complete answer.
+ * @param startRuledOut whether the attempt can no longer start, for example by a submission still under way.
  */
 public record AttemptResult(
         Kind kind,
@@ -29,29 +29,29 @@
         long units,
         boolean startRuledOut) {
 
-    /** The ways an attempt ends. */
+    /** Kinds of results. */
     public enum Kind {
-        /** With a whole answer. */
+        /** The answer is complete. */
         DONE,
-        /** Refused by the side process or failed by its target. */
+        /** The side process refused the attempt, or its target failed it. */
         FAILED,
-        /** Without an answer: the side process cannot be reached. */
+        /** The side process is unreachable or unresponsive, or was restarted. */
         LOST,
-        /** With an answer that lacks its end. */
+        /** The answer lacks its end. */
         INCOMPLETE,
-        /** With its time over. */
+        /** The deadline passed. */
         DEADLINE,
-        /** With its caller gone. */
+        /** The caller disconnected. */
         CALLER_GONE
     }
 
     /**
-     * A whole answer.
+     * Creates the result of an attempt with a complete answer.
      *
-     * @param units its units.
+     * @param units the number of units of the answer.
      * @param statusCode the HTTP status of a plain service, else 0.
-     * @param contentType the media type, else empty.
-     * @return the end.
+     * @param contentType the media type of a plain service's answer, else empty.
+     * @return the result.
      */
     static AttemptResult completed(long units, int statusCode, String contentType) {
         return new AttemptResult(
@@ -59,14 +59,14 @@
     }
 
     /**
-     * A refusal or failure told by the side process.
+     * Creates the result of an attempt for which the side process reported a refusal or failure.
      *
-     * @param refusal what it told.
-     * @param execution whether the target ran it, as far as this process may believe it.
-     * @param certain whether the attempt can never start from now on.
-     * @return the end.
+     * @param refusal the report.
+     * @param execution whether the target ran the attempt, as far as this process can conclude from the report.
+     * @param startRuledOut whether the attempt can no longer start.
+     * @return the result.
      */
-    static AttemptResult failed(Refusal refusal, Execution execution, boolean certain) {
+    static AttemptResult failed(Refusal refusal, Execution execution, boolean startRuledOut) {
         return new AttemptResult(
                 Kind.FAILED,
                 execution,
@@ -76,26 +76,26 @@
                 0,
                 "",
                 0,
-                certain);
+                startRuledOut);
     }
 
     /**
-     * An end without a word from the side process.
+     * Creates the result of an attempt that ended without a report of failure from the side process.
      *
-     * @param kind the way.
+     * @param kind how it ended.
      * @param execution whether the target ran it.
      * @param message what happened.
-     * @return the end.
+     * @return the result.
      */
     static AttemptResult interrupted(Kind kind, Execution execution, String message) {
-        boolean certain = execution == Execution.DID_NOT_RUN;
-        return new AttemptResult(kind, execution, Optional.empty(), message, 0, 0, "", 0, certain);
+        boolean startRuledOut = execution == Execution.DID_NOT_RUN;
+        return new AttemptResult(kind, execution, Optional.empty(), message, 0, 0, "", 0, startRuledOut);
     }
 
     /**
-     * The caller's answer to this end.
+     * Converts this result into the failure that the caller receives.
      *
-     * @param element the side process concerned.
+     * @param element the id of the side process.
      * @return the failure.
      */
     CallFailure toFailure(String element) {
--- a/src/main/java/io/waxwingquay/entry/AttemptRunner.java
+++ b/src/main/java/io/waxwingquay/entry/AttemptRunner.java
@@ -19,10 +19,10 @@
 import java.util.function.BiConsumer;
 
 /**
- * Carries one attempt through one side process: hands it over, polls its answer, and takes it up again over a
- * fresh connection when a connection is lost. It never moves the attempt to another side.
+ * Runs one attempt at one side process: submits it, polls its answer, and resumes it over a new connection when a
+ * connection is lost. It never moves the attempt to another side.
  *
- * <p>The steps run one after another, each started by the end of the one before, so the fields need no lock.
+ * <p>Each step starts when the previous one has completed, so the fields need no lock.
  */
 final class AttemptRunner {
 
@@ -57,7 +57,7 @@
         this.startedAtMillis = components.clock().monotonicMillis();
     }
 
-    /** Hands the attempt over and gathers its answer. */
+    /** Submits the attempt and collects its answer. */
     CompletableFuture<AttemptResult> run() {
         LOG.log(
                 System.Logger.Level.DEBUG,
@@ -69,7 +69,7 @@
         return completion;
     }
 
-    /** Gathers the answer of an attempt that another process handed over; never hands it over itself. */
+    /** Collects the answer of an attempt that another process has submitted; never submits it itself. */
     CompletableFuture<AttemptResult> attach() {
         components.loadBoard().noteSent(side.id());
         completion.whenComplete((result, failure) -> components.loadBoard().noteOver(side.id()));
@@ -116,8 +116,8 @@
     }
 
     /**
-     * A side that was restarted refuses truthfully for its own epoch, but the epoch before may have run an
-     * earlier submission whose answer was lost. Then only "unknown" is true.
+     * Reports the execution as unknown when a restarted side refuses the attempt. Its refusal holds for its own epoch
+     * only: the previous epoch may have run an earlier submission whose answer was lost.
      */
     private void onRefused(SubmitAnswer answer) {
         Refusal refusal = answer.getRefusal();
@@ -136,7 +136,7 @@
         finish(AttemptResult.interrupted(
                 AttemptResult.Kind.LOST,
                 Execution.UNKNOWN,
-                "side '" + side.id() + "' was restarted while it held the request"));
+                "side '" + side.id() + "' was restarted while the request was assigned to it"));
     }
 
     private void poll() {
@@ -205,7 +205,7 @@
             finish(AttemptResult.interrupted(
                     AttemptResult.Kind.INCOMPLETE,
                     Execution.RAN,
-                    "answer of side '" + side.id() + "' lacks what follows offset " + assembler.nextOffset()));
+                    "answer of side '" + side.id() + "' lacks the chunks from offset " + assembler.nextOffset()));
         } else {
             poll();
         }
@@ -223,9 +223,9 @@
     }
 
     /**
-     * A connection that something in between has forgotten stays silent for good while new ones work. The
-     * same attempt is asked for again over a fresh connection from the offset reached; the side process
-     * attaches it to the run it has, so nothing runs twice and no piece is lost.
+     * Resumes the same attempt over a new connection from the next offset. If a network element drops the state of a
+     * connection, no more data arrives over it while new connections work. The side process attaches the resend to the
+     * run in progress, so nothing runs twice and no chunk is lost.
      */
     private void onConnectionLost(Throwable failure) {
         boolean callPossiblyDelivered =
@@ -234,7 +234,7 @@
         if (!possiblyDelivered) {
             components.membership().noteReached(side.id(), side.epoch(), false);
             finish(AttemptResult.interrupted(
-                    AttemptResult.Kind.LOST, Execution.DID_NOT_RUN, "side '" + side.id() + "' was not reached"));
+                    AttemptResult.Kind.LOST, Execution.DID_NOT_RUN, "side '" + side.id() + "' is unreachable"));
             return;
         }
         if (++consecutiveLosses > MAXIMUM_CONSECUTIVE_LOSSES) {
@@ -242,7 +242,7 @@
             finish(AttemptResult.interrupted(
                     AttemptResult.Kind.LOST,
                     Execution.UNKNOWN,
-                    "side '" + side.id() + "' went silent; whether the request ran is unknown"));
+                    "side '" + side.id() + "' is unresponsive; whether the request ran is unknown"));
             return;
         }
         components.metrics().resumed();
@@ -276,7 +276,7 @@
         finish(AttemptResult.interrupted(
                 AttemptResult.Kind.CALLER_GONE,
                 possiblyDelivered ? Execution.UNKNOWN : Execution.DID_NOT_RUN,
-                "the caller has gone"));
+                "the caller has disconnected"));
     }
 
     private void cancel() {
--- a/src/main/java/io/waxwingquay/entry/CallContext.java
+++ b/src/main/java/io/waxwingquay/entry/CallContext.java
@@ -1,10 +1,10 @@
 package io.waxwingquay.entry;
 
 /**
- * What every request carries besides its content.
+ * Holds the id and the times of a request.
  *
- * @param requestId its identity through entry, side and target.
- * @param arrivedAtMillis when it came, by the monotonic clock.
- * @param deadlineAtMillis when its answer is worthless, by the monotonic clock.
+ * @param requestId the request id, the same in entry, side and target.
+ * @param arrivedAtMillis when it arrived, by the monotonic clock.
+ * @param deadlineAtMillis its deadline, by the monotonic clock.
  */
 public record CallContext(String requestId, long arrivedAtMillis, long deadlineAtMillis) {}
--- a/src/main/java/io/waxwingquay/entry/CallFailure.java
+++ b/src/main/java/io/waxwingquay/entry/CallFailure.java
@@ -4,7 +4,7 @@
 import java.util.concurrent.CompletionException;
 
 /**
- * The final answer to a request that failed.
+ * Represents the final failure of a request, as its caller receives it.
  */
 public final class CallFailure extends RuntimeException {
 
@@ -24,11 +24,11 @@
     }
 
     /**
-     * A request that was refused before anything was handed on.
+     * Creates the failure of a request that was rejected before it was sent to any side process.
      *
-     * @param code why.
-     * @param element the field, header or name at fault.
-     * @param message what is wrong and how to mend it.
+     * @param code the reason.
+     * @param element the invalid field, header or name.
+     * @param message what is wrong and how to correct it.
      * @return the failure.
      */
     public static CallFailure rejected(FailureCode code, String element, String message) {
@@ -36,10 +36,10 @@
     }
 
     /**
-     * A request that failed with a known or unknown outcome.
+     * Creates the failure of a request that may have run.
      *
-     * @param code why.
-     * @param element the side, key or name concerned.
+     * @param code the reason.
+     * @param element the side, key or name that the failure concerns.
      * @param message what happened.
      * @param execution whether the request ran.
      * @return the failure.
@@ -49,30 +49,30 @@
     }
 
     /**
-     * The same failure with a come-back time.
+     * Returns a copy of this failure with a retry-after delay.
      *
-     * @param millis when the caller should come back; 0 for no advice.
-     * @return the new failure.
+     * @param millis the retry-after delay; 0 for none.
+     * @return the copy.
      */
     public CallFailure withRetryAfterMillis(long millis) {
         return new CallFailure(code, getMessage(), element, execution, millis);
     }
 
     /**
-     * The same failure with what is known of all tries of the request.
+     * Returns a copy of this failure with the execution over all attempts of the request.
      *
-     * @param known whether the request ran in any of them.
-     * @return the new failure.
+     * @param known whether the request ran in any of the attempts, as far as known.
+     * @return the copy.
      */
     public CallFailure withExecution(Execution known) {
         return new CallFailure(code, getMessage(), element, known, retryAfterMillis);
     }
 
     /**
-     * Turns any failure into the caller's answer. An unforeseen one has an unknown outcome.
+     * Converts any failure into the one that the caller receives. The execution of an unexpected failure is unknown.
      *
      * @param failure the failure, possibly wrapped by a future.
-     * @return the answer.
+     * @return the failure for the caller.
      */
     public static CallFailure from(Throwable failure) {
         Throwable cause = failure;
@@ -85,7 +85,7 @@
     }
 
     /**
-     * Why it failed.
+     * Returns the reason of the failure.
      *
      * @return the code.
      */
@@ -94,27 +94,27 @@
     }
 
     /**
-     * What is at fault or concerned.
+     * Returns what the failure concerns.
      *
-     * @return the element's name.
+     * @return the name of the element.
      */
     public String element() {
         return element;
     }
 
     /**
-     * Whether the request ran.
+     * Returns whether the request ran.
      *
-     * @return the outcome.
+     * @return the execution.
      */
     public Execution execution() {
         return execution;
     }
 
     /**
-     * When to come back.
+     * Returns the retry-after delay.
      *
-     * @return milliseconds; 0 for no advice.
+     * @return the delay in milliseconds; 0 for none.
      */
     public long retryAfterMillis() {
         return retryAfterMillis;
--- a/src/main/java/io/waxwingquay/entry/CallerHandler.java
+++ b/src/main/java/io/waxwingquay/entry/CallerHandler.java
@@ -20,7 +20,7 @@
 import org.eclipse.jetty.util.Callback;
 
 /**
- * The callers' HTTP. No thread is held while a request waits.
+ * Handles the HTTP requests of callers. It is non-blocking: no thread is occupied while a request waits.
  */
 final class CallerHandler extends Handler.Abstract.NonBlocking {
 
@@ -75,7 +75,7 @@
         Exchange exchange = new Exchange(path, requestId, request, response, callback);
         if (!gate.tryEnter()) {
             exchange.fail(components.withRetryAfter(CallFailure.rejected(
-                    FailureCode.DRAINING, "entry", "this entry process is shutting down; ask another")));
+                    FailureCode.DRAINING, "entry", "this entry process is shutting down; use another entry")));
             return;
         }
         Request.addCompletionListener(request, failure -> {
@@ -86,7 +86,7 @@
         exchange.start();
     }
 
-    /** One request on its way through this process. */
+    /** State of one request in this process. */
     private final class Exchange {
 
         private final String path;
@@ -114,7 +114,8 @@
                     throw CallFailure.rejected(
                             FailureCode.UNKNOWN_PATH,
                             path,
-                            "no such path; there are " + COMPLETIONS_PATH + " and /v1/services/{service}/{operation}");
+                            "no such path; known paths are " + COMPLETIONS_PATH
+                                    + " and /v1/services/{service}/{operation}");
                 }
                 if (!HttpMethod.POST.is(request.getMethod())) {
                     throw CallFailure.rejected(FailureCode.WRONG_METHOD, request.getMethod(), "use POST");
@@ -237,7 +238,7 @@
                     .isPresent();
             return isTooLarge
                     ? tooLarge(components.configuration().maximumBodyBytes())
-                    : CallFailure.of(FailureCode.CALLER_GONE, "body", "the body broke off", Execution.DID_NOT_RUN);
+                    : CallFailure.of(FailureCode.CALLER_GONE, "body", "the body ended early", Execution.DID_NOT_RUN);
         }
 
         private static CallFailure tooLarge(int maximumBytes) {
--- a/src/main/java/io/waxwingquay/entry/CallerMessages.java
+++ b/src/main/java/io/waxwingquay/entry/CallerMessages.java
@@ -7,7 +7,7 @@
 import java.util.Locale;
 
 /**
- * The JSON that callers read.
+ * Defines the JSON messages that callers receive.
  */
 final class CallerMessages {
 
--- a/src/main/java/io/waxwingquay/entry/ClaimedCall.java
+++ b/src/main/java/io/waxwingquay/entry/ClaimedCall.java
@@ -21,9 +21,9 @@
 import java.util.function.Supplier;
 
 /**
- * Runs one non-idempotent call at most once. The claim names the one side process that may run the one attempt,
- * and that side process refuses an attempt that was withdrawn. So an entry that pauses between claim and
- * submission cannot run the call late, and no claim is taken over while its attempt may still start.
+ * Runs one non-idempotent call at most once. The claim names the one side process that may run the one attempt, and
+ * that side process refuses an attempt that was withdrawn. Therefore an entry that pauses between claim and submission
+ * cannot run the call late, and no claim is taken over while its attempt may still start.
  */
 final class ClaimedCall {
 
@@ -59,7 +59,7 @@
         this.query = query;
     }
 
-    /** Starts; the future fails with {@link CallFailure}. */
+    /** Starts the call. The future fails with {@link CallFailure}. */
     CompletableFuture<ServiceAnswer> run() {
         components.retryBudget().noteFirstTry();
         return claim();
@@ -69,7 +69,7 @@
         return withCandidate(side -> writeClaim(side, record -> claimStore.claim(rowKey, record)), this::onNoCandidate);
     }
 
-    /** Claims anew after the attempt of the claim before was refused or withdrawn for good. */
+    /** Replaces the previous claim, whose attempt was refused or withdrawn and can no longer run. */
     private CompletableFuture<ServiceAnswer> reclaim(Claimed previous) {
         ClaimRecord notRun = previous.record().notRun();
         return withCandidate(
@@ -82,7 +82,7 @@
             Function<Side, CompletableFuture<ServiceAnswer>> step,
             Supplier<CompletableFuture<ServiceAnswer>> whenNoCandidate) {
         if (++claimRounds > MAXIMUM_CLAIM_ROUNDS) {
-            return fail(inProgress("other calls with key '" + key + "' keep changing its claim"));
+            return fail(inProgress("other calls with key '" + key + "' keep replacing its claim"));
         }
         List<SideView> candidates = components.candidates(query);
         return candidates.isEmpty()
@@ -90,7 +90,7 @@
                 : step.apply(candidates.get(0).side());
     }
 
-    /** A resend must learn the outcome of the first try even when nothing could run it now. */
+    /** Looks up an existing claim: a resend must learn the outcome of the first send even if no side can run it now. */
     private CompletableFuture<ServiceAnswer> onNoCandidate() {
         return claimStore
                 .find(rowKey)
@@ -172,7 +172,10 @@
         return CompletableFuture.completedFuture(answer);
     }
 
-    /** A submission whose answer was lost may still be under way; only a withdrawal rules out that it starts. */
+    /**
+     * Withdraws the attempt: a submission whose answer was lost may still arrive, and only a withdrawal prevents a late
+     * start.
+     */
     private CompletableFuture<ServiceAnswer> withdrawAfterRefusal(Side side, Claimed claimed, AttemptResult result) {
         return resolve(side, claimed.record(), true)
                 .handleAsync(
@@ -200,7 +203,10 @@
         return fail(components.withRetryAfter(result.toFailure(side.id())));
     }
 
-    /** From here on another call with this key may run it, until a new claim of ours is in the row. */
+    /**
+     * Handles an existing claim. Execution is unknown from here on, because another call with this key may run the
+     * operation, until the row holds a new claim of this call.
+     */
     private CompletableFuture<ServiceAnswer> onExisting(Claimed existing) {
         knownExecution = Execution.UNKNOWN;
         ClaimRecord record = existing.record();
@@ -208,7 +214,7 @@
             return fail(CallFailure.rejected(
                     FailureCode.KEY_REUSED,
                     key,
-                    "key '" + key + "' was used for another request; take a new key for a new request"));
+                    "key '" + key + "' was used for another request; use a new key for a new request"));
         }
         return switch (record.state()) {
             case SETTLED -> replay(record.outcome().orElseThrow());
@@ -235,14 +241,14 @@
         Optional<Side> holder =
                 components.membership().side(record.sideId()).filter(side -> side.epoch() == record.sideEpoch());
         if (holder.isEmpty()) {
-            return fail(outcomeUnknown("side '" + record.sideId() + "' that held the call is gone"));
+            return fail(outcomeUnknown("side '" + record.sideId() + "', which was to run the call, is gone"));
         }
         return resolve(holder.get(), record, false)
                 .handleAsync(
                         (answer, failure) -> failure == null
                                 ? onResolved(holder.get(), existing, answer)
                                 : this.<ServiceAnswer>fail(outcomeUnknown(
-                                        "side '" + record.sideId() + "' that holds the call does not answer")),
+                                        "side '" + record.sideId() + "', which was to run the call, does not answer")),
                         components.executor())
                 .thenCompose(next -> next);
     }
@@ -266,11 +272,12 @@
     }
 
     /**
-     * Only a side's word that the attempt did not run and now never will allows a new attempt.
+     * Withdraws the attempt of the existing claim. A new attempt is allowed only if the side confirms that the old one
+     * did not run and never will.
      *
-     * <p>A side that does not know the attempt can give that word too: it was refused at the door, or has not come yet.
-     * The withdrawal then keeps it out for good. Failure without it: the first try is refused, the row still says
-     * claimed, and the resend is told that the outcome is unknown for ever although the call never ran.
+     * <p>A side that does not know the attempt can confirm this too: the attempt was rejected, or has not arrived yet,
+     * and the withdrawal blocks it permanently. Without this case, if the first send is rejected and the row still says
+     * claimed, every resend is answered that the outcome is unknown although the call never ran.
      */
     private CompletableFuture<ServiceAnswer> takeOver(Side side, Claimed existing) {
         return resolve(side, existing.record(), true)
@@ -282,7 +289,7 @@
                 .thenCompose(next -> next);
     }
 
-    /** The answer is absent when the side did not reply to the withdrawal. */
+    /** Returns the failure of a takeover; {@code answer} is {@code null} if the side did not answer the withdrawal. */
     private CallFailure takeOverFailure(Side side, ResolveAnswer answer) {
         boolean mayBeStarting = answer == null || answer.getState() != AttemptState.ABSENT;
         return mayBeStarting ? inProgress("the call with key '" + key + "' may be starting") : executionUnknown(side);
@@ -309,9 +316,9 @@
     }
 
     /**
-     * Asks again when a connection is lost, as the question can be repeated without harm. Failure without it: a
-     * pooled connection has gone silent, and the resend is told that the outcome is unknown although the side would
-     * have answered over a fresh one.
+     * Resolves an attempt, and resends the request when a connection is lost, since it is idempotent. Without this, a
+     * stale pooled connection makes a resend of the call fail as unknown although the side would answer over a new
+     * connection.
      */
     private CompletableFuture<ResolveAnswer> resolve(Side side, ClaimRecord record, boolean withdraw) {
         ResolveRequest resolveRequest = new ResolveRequest(record.attemptId(), withdraw, record.sideEpoch());
@@ -332,13 +339,13 @@
     }
 
     private CallFailure outcomeUnknown(String reason) {
-        String message = reason + "; whether it ran is unknown and it is not run again under this key";
+        String message = reason + "; whether it ran is unknown, and it is not run again under this key";
         return CallFailure.of(FailureCode.OUTCOME_UNKNOWN, key, message, Execution.UNKNOWN);
     }
 
     private CallFailure tableUnavailable() {
         components.metrics().claim("table_out");
-        String message = "the platform's table service does not answer, so nothing was handed on by this request;"
+        String message = "the platform's table service does not answer, so this request was not sent to any side;"
                 + " an earlier request with the same key may have run";
         return components.withRetryAfter(CallFailure.of(FailureCode.TABLE_OUT, key, message, knownExecution));
     }
--- a/src/main/java/io/waxwingquay/entry/CompletionBody.java
+++ b/src/main/java/io/waxwingquay/entry/CompletionBody.java
@@ -4,14 +4,14 @@
 import java.util.Optional;
 
 /**
- * The body of a completion request, as callers write it.
+ * Represents the body of a completion request, as callers send it.
  *
  * @param model the model's name.
  * @param adapter the adapter's name.
  * @param prompt the prompt.
- * @param maxTokens the most tokens wanted.
- * @param stream whether the answer comes as server-sent events.
- * @param priority a higher one goes first; the model's own if absent.
+ * @param maxTokens the maximum number of tokens to generate.
+ * @param stream whether to send the answer as server-sent events.
+ * @param priority the scheduling priority, higher values first; the model's priority if absent.
  */
 record CompletionBody(
         String model,
--- a/src/main/java/io/waxwingquay/entry/EntryComponents.java
+++ b/src/main/java/io/waxwingquay/entry/EntryComponents.java
@@ -19,22 +19,22 @@
 import java.util.random.RandomGenerator;
 
 /**
- * What the flows of one entry process share.
+ * Holds the components that the requests of one entry process share.
  *
- * @param configuration what the process was told.
- * @param membership the side processes known.
- * @param connections how they are reached.
- * @param loadBoard their load.
- * @param sideIndex the sides by what they hold.
- * @param router who is asked.
- * @param retryBudget how many retries are allowed.
- * @param backoff waits between tries.
- * @param retryAfterEstimator when refused callers should come back.
- * @param clock the time.
- * @param random the source of choices; safe for concurrent use.
- * @param executor runs what follows each answer, and the waits.
- * @param metrics what is counted.
- * @param suspects requests that were running when targets crashed.
+ * @param configuration the configuration of the process.
+ * @param membership the known side processes.
+ * @param connections the connections to side processes.
+ * @param loadBoard the load of the side processes.
+ * @param sideIndex the side processes by resident item.
+ * @param router selects the side process of a request.
+ * @param retryBudget limits the number of retries.
+ * @param backoff the delays between attempts.
+ * @param retryAfterEstimator computes the retry-after delay of rejected callers.
+ * @param clock the clock.
+ * @param random the random generator; safe for concurrent use.
+ * @param executor runs the continuations of answers, and delayed tasks.
+ * @param metrics the metrics.
+ * @param suspects the book of requests that were running when targets crashed, if any.
  */
 record EntryComponents(
         EntryConfiguration configuration,
@@ -63,8 +63,8 @@
     }
 
     /**
-     * Adds the time in which the requests in flight here drain at the rate measured here. Only a refusal that
-     * time can mend gets it, lest a caller be invited to resend a quarantined or malformed request.
+     * Adds a retry-after delay: the time in which the requests in flight in this process drain at the measured rate.
+     * Only a temporary rejection gets it, so that callers are not told to resend a quarantined or malformed request.
      */
     CallFailure withRetryAfter(CallFailure failure) {
         long outstandingRequests = loadBoard.totalOutstanding();
@@ -76,7 +76,7 @@
     }
 
     /**
-     * Refuses a request that two crashes name before it costs a hop; the side processes refuse it as well.
+     * Rejects a request that is suspected of two crashes, which saves a hop. The side processes reject it as well.
      */
     void refuseQuarantined(long fingerprint) {
         boolean quarantined = suspects.filter(book -> book.standing(fingerprint) == SuspectBook.Standing.QUARANTINED)
@@ -89,7 +89,7 @@
 
     CallFailure noTarget(String service) {
         CallFailure failure = CallFailure.rejected(
-                FailureCode.NO_TARGET, service, "no side process of service '" + service + "' takes work now");
+                FailureCode.NO_TARGET, service, "no side process of service '" + service + "' accepts work now");
         return withRetryAfter(failure);
     }
 }
--- a/src/main/java/io/waxwingquay/entry/EntryConfiguration.java
+++ b/src/main/java/io/waxwingquay/entry/EntryConfiguration.java
@@ -1,19 +1,19 @@
 package io.waxwingquay.entry;
 
 /**
- * What an entry process is told at its start.
+ * Holds the configuration of an entry process.
  *
- * @param host the IP number it listens on for callers.
- * @param port the port; 0 for any free one.
+ * @param host the IP address on which it listens for callers.
+ * @param port the port; 0 for any free port.
  * @param dataCentre its data centre.
- * @param routingPolicy the routing policy's name.
- * @param defaultDeadlineMillis the budget of a request that names none.
- * @param maximumDeadlineMillis the largest budget a request may name.
- * @param maximumBodyBytes the largest request body.
- * @param maximumOutcomeBytes the largest answer kept for resends of a non-idempotent call.
+ * @param routingPolicy the name of the routing policy.
+ * @param defaultDeadlineMillis the time to the deadline of a request that names none.
+ * @param maximumDeadlineMillis the longest time to the deadline that a request may name.
+ * @param maximumBodyBytes the maximum size of a request body.
+ * @param maximumOutcomeBytes the maximum size of an answer that is kept for resends of a non-idempotent call.
  * @param pollWaitMillis how long a side process may hold a poll.
- * @param retryShare retries allowed for each first try, 0 to 1.
- * @param maximumClaimBatchSize the most claim writes in one transaction.
+ * @param retryShare the number of retries allowed per first attempt, 0 to 1.
+ * @param maximumClaimBatchSize the maximum number of claim writes in one transaction.
  */
 public record EntryConfiguration(
         String host,
@@ -29,12 +29,12 @@
         int maximumClaimBatchSize) {
 
     /**
-     * Settings with every default.
+     * Creates a configuration with default values.
      *
-     * @param host the IP number it listens on.
-     * @param port the port; 0 for any free one.
+     * @param host the IP address on which the process listens.
+     * @param port the port; 0 for any free port.
      * @param dataCentre its data centre.
-     * @return the settings.
+     * @return the configuration.
      */
     public static EntryConfiguration withDefaults(String host, int port, String dataCentre) {
         return new EntryConfiguration(
--- a/src/main/java/io/waxwingquay/entry/EntryException.java
+++ b/src/main/java/io/waxwingquay/entry/EntryException.java
@@ -1,17 +1,17 @@
 package io.waxwingquay.entry;
 
 /**
- * The entry process cannot start.
+ * Signals that an entry process cannot start.
  */
 public final class EntryException extends RuntimeException {
 
     private static final long serialVersionUID = 1L;
 
     /**
-     * A failure.
+     * Creates an exception.
      *
      * @param message what failed.
-     * @param cause the failure below.
+     * @param cause the cause.
      */
     public EntryException(String message, Throwable cause) {
         super(message, cause);
--- a/src/main/java/io/waxwingquay/entry/EntryMetrics.java
+++ b/src/main/java/io/waxwingquay/entry/EntryMetrics.java
@@ -9,17 +9,17 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * What an entry process counts.
+ * Registers and updates the metrics of an entry process.
  *
  * <ul>
  *   <li>{@code waxwingquay.requests} {kind, outcome}: finished requests; outcome is {@code answered} or a code
  *       of {@link FailureCode}.
- *   <li>{@code waxwingquay.attainment} {kind, met}: requests answered whole within their deadline, and the others.
+ *   <li>{@code waxwingquay.attainment} {kind, met}: requests answered completely within their deadline, and all others.
  *   <li>{@code waxwingquay.refusals} {reason, execution}: failed requests by code and execution.
  *   <li>{@code waxwingquay.retries} {reason}: attempts after the first.
- *   <li>{@code waxwingquay.resumes}: attempts taken up again over a fresh connection.
- *   <li>{@code waxwingquay.claims} {outcome}: claims by how they ended.
- *   <li>{@code waxwingquay.first.token}: time from arrival to the first piece of a streamed answer.
+ *   <li>{@code waxwingquay.resumes}: attempts resumed over a new connection.
+ *   <li>{@code waxwingquay.claims} {outcome}: claims by outcome.
+ *   <li>{@code waxwingquay.first.token}: time from arrival to the first chunk of a streamed answer.
  * </ul>
  */
 public final class EntryMetrics {
@@ -40,7 +40,7 @@
     private final Timer firstToken;
 
     /**
-     * Counters in a registry.
+     * Registers the metrics in a registry.
      *
      * @param registry the registry.
      */
@@ -52,7 +52,7 @@
         registerAll();
     }
 
-    /** A counter that is first seen at its first event hides that event from rates, so all begin at 0. */
+    /** Registers all counters with the value 0: a rate does not include the event at which a counter first appears. */
     private void registerAll() {
         for (String kind : KINDS) {
             requests(kind, "answered");
--- a/src/main/java/io/waxwingquay/entry/EntryNode.java
+++ b/src/main/java/io/waxwingquay/entry/EntryNode.java
@@ -35,7 +35,7 @@
 import org.eclipse.jetty.util.thread.QueuedThreadPool;
 
 /**
- * An entry process: the callers' HTTP with admission, routing and claims behind it. It does not own the
+ * Runs an entry process: the HTTP server for callers, with admission control, routing and claims. It does not own the
  * collaborators that it was built with and does not close them.
  */
 public final class EntryNode implements AutoCloseable {
@@ -82,9 +82,9 @@
     }
 
     /**
-     * Starts to build an entry process.
+     * Returns a builder of an entry process.
      *
-     * @return a builder.
+     * @return a new builder.
      */
     public static Builder builder() {
         return new Builder();
@@ -94,7 +94,7 @@
      * Starts to listen for callers.
      *
      * @return this process.
-     * @throws EntryException if the address cannot be listened on.
+     * @throws EntryException if the address cannot be bound.
      */
     public EntryNode start() {
         try {
@@ -108,25 +108,25 @@
     }
 
     /**
-     * Where callers reach it.
+     * Returns the address on which this process listens for callers.
      *
-     * @return the address, with the port in use.
+     * @return the address, with the actual port.
      */
     public HostPort address() {
         return new HostPort(connector.getHost(), connector.getLocalPort());
     }
 
     /**
-     * Load of the side processes as this process knows it, for dumps.
+     * Returns the load of the side processes as known to this process, for dumps.
      *
-     * @return the board.
+     * @return the load board.
      */
     public LoadBoard loadBoard() {
         return loadBoard;
     }
 
     /**
-     * How many requests, and outcomes still to be recorded, are in flight.
+     * Returns the number of requests in flight and of outcomes still to be recorded.
      *
      * @return the number.
      */
@@ -135,16 +135,16 @@
     }
 
     /**
-     * What is left of the retry budget, for dumps.
+     * Returns the remaining retry budget, for dumps.
      *
-     * @return retries that may be sent now.
+     * @return the number of retries that may be sent now.
      */
     public double retriesLeft() {
         return components.retryBudget().available();
     }
 
     /**
-     * Outcomes of claimed calls that are still to be recorded in the table, for dumps.
+     * Returns the number of outcomes of claimed calls that are still to be recorded in the table, for dumps.
      *
      * @return the number.
      */
@@ -153,10 +153,10 @@
     }
 
     /**
-     * Refuses new requests, waits for those in flight, and closes.
+     * Rejects new requests, waits for those in flight, and closes this process.
      *
-     * @param limitMillis the longest wait.
-     * @return whether everything in flight was finished.
+     * @param limitMillis the maximum wait.
+     * @return whether all requests in flight were finished.
      */
     public CompletableFuture<Boolean> drain(long limitMillis) {
         LOG.log(System.Logger.Level.INFO, "entry: draining, {0} in flight.", gate.inside());
@@ -178,7 +178,7 @@
         try {
             server.stop();
         } catch (Exception failure) {
-            LOG.log(System.Logger.Level.WARNING, "entry: HTTP server did not stop cleanly.", failure);
+            LOG.log(System.Logger.Level.WARNING, "entry: the HTTP server did not stop cleanly.", failure);
         } finally {
             executor.shutdownNow();
         }
@@ -231,7 +231,7 @@
         return thread;
     }
 
-    /** Gathers what an entry process works with. */
+    /** Builds an entry process from its collaborators. */
     public static final class Builder {
 
         private EntryConfiguration configuration;
@@ -248,9 +248,9 @@
         private Builder() {}
 
         /**
-         * Sets what the process is told at its start.
+         * Sets the configuration.
          *
-         * @param value the settings.
+         * @param value the configuration.
          * @return this builder.
          */
         public Builder configuration(EntryConfiguration value) {
@@ -259,7 +259,7 @@
         }
 
         /**
-         * Sets where the bundle in force comes from.
+         * Sets the source of the bundle in force.
          *
          * @param value the source.
          * @return this builder.
@@ -270,7 +270,7 @@
         }
 
         /**
-         * Sets what is known of the side processes.
+         * Sets the membership of the side processes.
          *
          * @param value the membership.
          * @return this builder.
@@ -281,7 +281,7 @@
         }
 
         /**
-         * Sets how side processes are reached.
+         * Sets the connections to side processes.
          *
          * @param value the connections.
          * @return this builder.
@@ -303,7 +303,7 @@
         }
 
         /**
-         * Sets where metrics go.
+         * Sets the registry of the metrics.
          *
          * @param value the registry.
          * @return this builder.
@@ -314,7 +314,7 @@
         }
 
         /**
-         * Sets the time; the machine's by default.
+         * Sets the clock; the system clock by default.
          *
          * @param value the clock.
          * @return this builder.
@@ -325,9 +325,9 @@
         }
 
         /**
-         * Sets the source of choices, which must be safe for concurrent use.
+         * Sets the random generator, which must be safe for concurrent use.
          *
-         * @param value the source.
+         * @param value the generator.
          * @return this builder.
          */
         public Builder random(RandomGenerator value) {
@@ -336,7 +336,8 @@
         }
 
         /**
-         * Sets the book by which quarantined completions are refused here; without it only the sides refuse them.
+         * Sets the suspect book by which this process rejects quarantined completions. Without it, only the sides
+         * reject them.
          *
          * @param value the book.
          * @return this builder.
@@ -347,7 +348,7 @@
         }
 
         /**
-         * Builds the process; it listens only once started.
+         * Builds the process, which listens once it is started.
          *
          * @return the process.
          */
--- a/src/main/java/io/waxwingquay/entry/EventStreamSink.java
+++ b/src/main/java/io/waxwingquay/entry/EventStreamSink.java
@@ -12,8 +12,8 @@
 import org.eclipse.jetty.util.Callback;
 
 /**
- * Writes an answer as server-sent events. The status line goes out with the first piece, so a request that
- * fails before it still gets an HTTP error. Only a whole answer ends with {@code [DONE]}.
+ * Writes an answer as server-sent events. The status line is sent with the first chunk, so a request that fails before
+ * then still gets an HTTP error. Only a complete answer ends with {@code [DONE]}.
  */
 final class EventStreamSink implements AnswerSink {
 
@@ -93,7 +93,7 @@
         }
     }
 
-    /** A piece may end within a character; its bytes wait for the next piece, lest the text be garbled. */
+    /** Decodes a chunk. A chunk may end within a character, whose bytes are kept and decoded with the next chunk. */
     private String decode(byte[] bytes) {
         ByteBuffer input = ByteBuffer.allocate(undecoded.length + bytes.length);
         input.put(undecoded).put(bytes).flip();
--- a/src/main/java/io/waxwingquay/entry/HttpAnswerWriter.java
+++ b/src/main/java/io/waxwingquay/entry/HttpAnswerWriter.java
@@ -7,7 +7,7 @@
 import org.eclipse.jetty.util.Callback;
 
 /**
- * Writes whole answers.
+ * Writes complete HTTP answers.
  */
 final class HttpAnswerWriter {
 
--- a/src/main/java/io/waxwingquay/entry/ModelDispatcher.java
+++ b/src/main/java/io/waxwingquay/entry/ModelDispatcher.java
@@ -6,8 +6,8 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * Answers completions. A generation may run more than once, but its tokens differ from run to run, so a caller
- * who has seen some of them is only ever given the rest of the same run.
+ * Dispatches completions to side processes. A generation may run more than once, but its tokens differ from run to run,
+ * so a caller that has received some tokens only receives the rest of the same run.
  */
 final class ModelDispatcher {
 
@@ -19,11 +19,11 @@
     }
 
     /**
-     * Answers one completion.
+     * Dispatches one completion.
      *
      * @param request the request.
-     * @param sink where the pieces go.
-     * @return the end of a whole answer; fails with {@link CallFailure}.
+     * @param sink receives the chunks of the answer.
+     * @return a future with the result of the attempt that completed the answer; fails with {@link CallFailure}.
      * @throws CallFailure if the request is quarantined.
      */
     CompletableFuture<AttemptResult> answer(ModelRequest request, AnswerSink sink) {
--- a/src/main/java/io/waxwingquay/entry/ModelRequest.java
+++ b/src/main/java/io/waxwingquay/entry/ModelRequest.java
@@ -6,19 +6,19 @@
 import java.util.Optional;
 
 /**
- * A valid request for a completion.
+ * Represents a valid completion request.
  *
- * @param context identity and deadline.
+ * @param context the request id and the deadline.
  * @param service the service that runs the model.
  * @param model the model's name.
  * @param adapter the adapter's name, if any.
- * @param items what has to be resident, the model first.
+ * @param items the items that must be resident, the model first.
  * @param prompt the prompt.
- * @param maxTokens the most tokens generated.
- * @param priority a higher one goes first.
- * @param stream whether the caller wants the pieces as they come.
- * @param fingerprint hash of what is asked, equal for a resend.
- * @param prefixHash hash of the prompt's beginning.
+ * @param maxTokens the maximum number of tokens to generate.
+ * @param priority the scheduling priority; higher values run first.
+ * @param stream whether to stream the answer.
+ * @param fingerprint the hash of the request's content, equal for a resend.
+ * @param prefixHash the hash of the model, the adapter and the start of the prompt.
  */
 public record ModelRequest(
         CallContext context,
@@ -34,7 +34,7 @@
         long prefixHash) {
 
     /**
-     * The message to a side process, without attempt, times and epoch.
+     * Creates the message to a side process, without attempt id, times and epoch.
      *
      * @return a new message.
      */
--- a/src/main/java/io/waxwingquay/entry/OutcomeWriter.java
+++ b/src/main/java/io/waxwingquay/entry/OutcomeWriter.java
@@ -8,8 +8,8 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * Records outcomes of claims behind the caller's back. A call that ran is answered at once, also while the
- * table service is out; until the outcome is recorded, a resend learns it from the side process.
+ * Records the outcomes of claims in the background. A call that ran is answered at once, even while the table service
+ * is unavailable. Until its outcome is recorded, a resend learns it from the side process.
  */
 final class OutcomeWriter {
 
@@ -33,12 +33,12 @@
     }
 
     /**
-     * Starts to record; never fails the caller.
+     * Starts to record an outcome. The future never fails.
      *
-     * @param rowKey the claim's row.
-     * @param version the row's version.
+     * @param rowKey the key of the claim's row.
+     * @param version the expected version of the row.
      * @param record the claim with its outcome.
-     * @return completes when recorded or given up.
+     * @return a future that completes when the outcome is recorded or dropped.
      */
     CompletableFuture<Void> record(String rowKey, long version, ClaimRecord record) {
         CompletableFuture<Void> completion = new CompletableFuture<>();
--- a/src/main/java/io/waxwingquay/entry/RequestReader.java
+++ b/src/main/java/io/waxwingquay/entry/RequestReader.java
@@ -14,19 +14,19 @@
 import org.apache.commons.codec.digest.MurmurHash3;
 
 /**
- * Turns what a caller sent into a valid request, or into a {@link CallFailure} that names the element at fault.
+ * Parses and validates the requests of callers. An invalid one fails with a {@link CallFailure} that names the element.
  *
- * @param configuration limits and defaults.
+ * @param configuration the limits and defaults.
  */
 public record RequestReader(EntryConfiguration configuration) {
 
-    /** Header with the request's identity. */
+    /** Name of the header with the request id. */
     public static final String REQUEST_ID_HEADER = "X-Request-Id";
 
-    /** Header with the budget in milliseconds. */
+    /** Name of the header with the time to the deadline in milliseconds. */
     public static final String DEADLINE_HEADER = "X-Deadline-Millis";
 
-    /** Header with the idempotency key. */
+    /** Name of the header with the idempotency key. */
     public static final String IDEMPOTENCY_KEY_HEADER = "Idempotency-Key";
 
     private static final int MAXIMUM_ID_CHARACTERS = 200;
@@ -35,10 +35,10 @@
     private static final char SEPARATOR = '\u0000';
 
     /**
-     * Reads the headers that every request has.
+     * Parses the headers that are common to all requests.
      *
-     * @param requestId the identity the caller gave, or {@code null}.
-     * @param deadline the budget the caller gave, or {@code null}.
+     * @param requestId the request id that the caller sent, or {@code null}.
+     * @param deadline the deadline header that the caller sent, or {@code null}.
      * @param nowMillis the monotonic time of arrival.
      * @return the context.
      */
@@ -49,10 +49,10 @@
     }
 
     /**
-     * The request's identity; made up if the caller gave none.
+     * Returns the request id: the one that the caller sent, truncated to the maximum length, or else a random one.
      *
-     * @param callerRequestId what the caller gave, or {@code null}.
-     * @return the identity.
+     * @param callerRequestId the request id that the caller sent, or {@code null}.
+     * @return the request id.
      */
     public static String requestId(String callerRequestId) {
         return callerRequestId == null || callerRequestId.isBlank()
@@ -61,7 +61,7 @@
     }
 
     /**
-     * Reads a completion.
+     * Parses a completion.
      *
      * @param context identity and deadline.
      * @param body the body.
@@ -76,7 +76,7 @@
                 .orElseThrow(() -> CallFailure.rejected(
                         FailureCode.UNKNOWN_MODEL,
                         parsed.model(),
-                        "no bundle names model '" + parsed.model() + "'; ask for a model of the bundle in force"));
+                        "no bundle names model '" + parsed.model() + "'; use a model of the bundle in force"));
         int maxTokens = parsed.maxTokens().orElseThrow(() -> missing("max_tokens"));
         if (maxTokens < 1 || maxTokens > MAXIMUM_TOKENS) {
             throw CallFailure.rejected(
@@ -102,7 +102,7 @@
     }
 
     /**
-     * Reads a call to a plain service.
+     * Parses a call to a plain service.
      *
      * @param context identity and deadline.
      * @param service the service named by the path.
@@ -130,7 +130,7 @@
                     FailureCode.MISSING_IDEMPOTENCY_KEY,
                     IDEMPOTENCY_KEY_HEADER,
                     "operation '" + operation + "' runs at most once; send the header " + IDEMPOTENCY_KEY_HEADER
-                            + " with a key of your own, the same on a resend");
+                            + " with a unique key, and the same key on a resend");
         }
         if (idempotencyKey.filter(text -> text.length() > MAXIMUM_ID_CHARACTERS).isPresent()) {
             throw CallFailure.rejected(
@@ -153,13 +153,13 @@
         }
         if (millis <= 0) {
             throw CallFailure.rejected(
-                    FailureCode.DEADLINE, DEADLINE_HEADER, "the deadline is already past; send a budget above 0");
+                    FailureCode.DEADLINE, DEADLINE_HEADER, "the deadline has already passed; send a value above 0");
         }
         if (millis > configuration.maximumDeadlineMillis()) {
             throw CallFailure.rejected(
                     FailureCode.BAD_DEADLINE,
                     DEADLINE_HEADER,
-                    "the largest budget is " + configuration.maximumDeadlineMillis());
+                    "the largest value is " + configuration.maximumDeadlineMillis());
         }
         return millis;
     }
@@ -177,7 +177,7 @@
                     FailureCode.UNKNOWN_FIELD,
                     field,
                     "field '" + field
-                            + "' is unknown; take it out (known: model, adapter, prompt, max_tokens, stream, priority)");
+                            + "' is unknown; remove it (known: model, adapter, prompt, max_tokens, stream, priority)");
         } catch (MismatchedInputException failure) {
             String element = failure.getPath().isEmpty()
                     ? "body"
@@ -187,7 +187,7 @@
             throw CallFailure.rejected(
                     FailureCode.MALFORMED_BODY, "body", "the body is not JSON: " + failure.getOriginalMessage());
         } catch (IOException failure) {
-            throw CallFailure.rejected(FailureCode.MALFORMED_BODY, "body", "the body could not be read");
+            throw CallFailure.rejected(FailureCode.MALFORMED_BODY, "body", "the body cannot be read");
         }
     }
 
--- a/src/main/java/io/waxwingquay/entry/RetryingCall.java
+++ b/src/main/java/io/waxwingquay/entry/RetryingCall.java
@@ -14,8 +14,8 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Answers one idempotent request: asks one side process after another, as far as deadline, retry rule and
- * retry budget allow.
+ * Runs one idempotent request: attempts it at one side process after another, as far as deadline, retry rule and retry
+ * budget allow.
  */
 final class RetryingCall {
 
@@ -44,7 +44,7 @@
         this.sink = sink;
     }
 
-    /** Starts; the future fails with {@link CallFailure}. */
+    /** Starts the first attempt. The future fails with {@link CallFailure}. */
     CompletableFuture<AttemptResult> run() {
         components.retryBudget().noteFirstTry();
         startAttempt();
@@ -130,7 +130,10 @@
         completion.completeExceptionally(components.withRetryAfter(reported));
     }
 
-    /** An earlier try that may have run makes "did not run" untrue of the request, whatever came after. */
+    /**
+     * Combines the executions of two attempts: once any attempt may have run, the request must not be reported as not
+     * run, whatever followed.
+     */
     private static Execution worse(Execution first, Execution second) {
         if (first == Execution.UNKNOWN || second == Execution.UNKNOWN) {
             return Execution.UNKNOWN;
--- a/src/main/java/io/waxwingquay/entry/ServiceAnswer.java
+++ b/src/main/java/io/waxwingquay/entry/ServiceAnswer.java
@@ -1,10 +1,10 @@
 package io.waxwingquay.entry;
 
 /**
- * The answer of a plain service.
+ * Represents the answer of a plain service.
  *
- * @param status its HTTP status.
- * @param contentType the body's media type.
+ * @param status the HTTP status.
+ * @param contentType the media type of the body.
  * @param body the body.
  * @param replayed whether it is the recorded answer of an earlier run.
  */
--- a/src/main/java/io/waxwingquay/entry/ServiceDispatcher.java
+++ b/src/main/java/io/waxwingquay/entry/ServiceDispatcher.java
@@ -9,7 +9,8 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * Answers calls to plain services: idempotent ones like a completion, the others under a claim.
+ * Dispatches calls of plain services to side processes: idempotent calls with retries, non-idempotent ones under a
+ * claim.
  */
 final class ServiceDispatcher {
 
@@ -25,11 +26,11 @@
     }
 
     /**
-     * Answers one call.
+     * Dispatches one call.
      *
      * @param request the call.
-     * @param abandoned tells whether the caller has gone.
-     * @return the answer; fails with {@link CallFailure}.
+     * @param abandoned returns whether the caller has disconnected.
+     * @return a future with the answer; fails with {@link CallFailure}.
      */
     CompletableFuture<ServiceAnswer> answer(ServiceRequest request, BooleanSupplier abandoned) {
         RouteQuery query = new RouteQuery(
--- a/src/main/java/io/waxwingquay/entry/ServiceRequest.java
+++ b/src/main/java/io/waxwingquay/entry/ServiceRequest.java
@@ -5,15 +5,15 @@
 import java.util.Optional;
 
 /**
- * A valid call to a plain service.
+ * Represents a valid call to a plain service.
  *
- * @param context identity and deadline.
- * @param service the service.
- * @param operation the operation.
- * @param body the body, JSON.
- * @param idempotencyKey the caller's key, if any.
+ * @param context the request id and the deadline.
+ * @param service the name of the service.
+ * @param operation the name of the operation.
+ * @param body the body, as JSON.
+ * @param idempotencyKey the caller's idempotency key, if any.
  * @param nonIdempotent whether it may run at most once; the key is then present.
- * @param fingerprint hash of operation and body.
+ * @param fingerprint the hash of service, operation and body, equal for a resend.
  */
 public record ServiceRequest(
         CallContext context,
@@ -25,7 +25,7 @@
         long fingerprint) {
 
     /**
-     * The message to a side process, without attempt, times and epoch.
+     * Creates the message to a side process, without attempt id, times and epoch.
      *
      * @return a new message.
      */
--- a/src/main/java/io/waxwingquay/entry/StreamAssembler.java
+++ b/src/main/java/io/waxwingquay/entry/StreamAssembler.java
@@ -6,8 +6,8 @@
 import java.util.TreeMap;
 
 /**
- * Puts the pieces of one answer in order. Pieces that were seen are dropped, and pieces that came early are
- * held until the gap before them is filled. Not safe for concurrent use.
+ * Reorders the chunks of one answer. Duplicate chunks are dropped, and chunks that arrive early are buffered until the
+ * gap before them is filled. Not safe for concurrent use.
  */
 public final class StreamAssembler {
 
@@ -17,10 +17,10 @@
     private long nextOffset;
 
     /**
-     * Takes pieces in any order.
+     * Accepts chunks in any order.
      *
-     * @param chunks the pieces.
-     * @return the pieces that are now next in order.
+     * @param chunks the chunks.
+     * @return the chunks that are now next in order.
      */
     public List<Chunk> accept(List<Chunk> chunks) {
         chunks.forEach(this::buffer);
@@ -34,9 +34,9 @@
     }
 
     /**
-     * The offset wanted next.
+     * Returns the next expected offset.
      *
-     * @return the offset after the last piece in order.
+     * @return the offset after the last chunk in order.
      */
     public long nextOffset() {
         return nextOffset;
--- a/src/main/java/io/waxwingquay/entry/package-info.java
+++ b/src/main/java/io/waxwingquay/entry/package-info.java
@@ -1,4 +1,4 @@
 /**
- * The entry process: callers' connections, admission, routing, retries and bundle intake.
+ * Entry process: serves callers over HTTP, with admission control, routing, retries and claims.
  */
 package io.waxwingquay.entry;
--- a/src/main/java/io/waxwingquay/explain/EndedRequest.java
+++ b/src/main/java/io/waxwingquay/explain/EndedRequest.java
@@ -7,18 +7,18 @@
 import java.util.regex.Pattern;
 
 /**
- * How one request ended, as an entry logged it.
+ * Describes how a request ended, as parsed from a log line of an entry.
  *
- * @param arrivedAtMillis when it came to its entry, in Unix time.
+ * @param arrivedAtMillis when it arrived at its entry, in Unix time.
  * @param route the name of its route.
- * @param model the model and adapter asked for; empty text for a plain service.
- * @param status the status that its caller got; 0 if it got no whole answer.
- * @param entryWaitMillis how long it waited in the entry before it was sent to a replica.
- * @param firstEventMillis how long its caller waited for the first event, or for a plain answer as a whole.
- * @param longestPauseMillis the longest pause between two events.
- * @param firstEventObjectiveMillis the time aimed at for the first event; 0 if the route has none.
- * @param pauseObjectiveMillis the pause aimed at; 0 if the route has none.
- * @param reason what decided it.
+ * @param model the requested model and adapter; an empty string for a plain service.
+ * @param status the HTTP status of the answer; 0 if the caller got no complete answer.
+ * @param entryWaitMillis how long it was queued in the entry before it was sent to a replica.
+ * @param firstEventMillis the time to the first event, or to the complete answer if it is not a stream.
+ * @param longestPauseMillis the longest pause between two consecutive events.
+ * @param firstEventObjectiveMillis the objective for the time to the first event; 0 if the route has none.
+ * @param pauseObjectiveMillis the objective for the longest pause; 0 if the route has none.
+ * @param reason the reason that the entry logged for the outcome.
  */
 public record EndedRequest(
         long arrivedAtMillis,
@@ -44,10 +44,10 @@
             + " objective_ms=(?<objective>\\d+) pause_objective_ms=(?<pauseObjective>\\d+) why=(?<why>.*)");
 
     /**
-     * Reads a log line.
+     * Parses a log line.
      *
-     * @param line the line, with anything before its time.
-     * @return the request; empty if the line tells of something else.
+     * @param line the line; any text may precede its timestamp.
+     * @return the request, or empty if the line does not record the end of a request.
      */
     public static Optional<EndedRequest> parse(String line) {
         Matcher matcher = LINE.matcher(line);
@@ -78,7 +78,7 @@
         try {
             return Optional.of(Instant.parse(text).toEpochMilli());
         } catch (DateTimeParseException malformed) {
-            // A line that was cut or mixed with another one tells nothing.
+            // The line is truncated or interleaved with another one, so its values are not usable.
             return Optional.empty();
         }
     }
--- a/src/main/java/io/waxwingquay/explain/Loss.java
+++ b/src/main/java/io/waxwingquay/explain/Loss.java
@@ -5,36 +5,36 @@
 import java.util.function.Predicate;
 
 /**
- * What became of a request as far as its caller is concerned. The first that applies is it.
+ * Classifies the outcome of a request for its caller. The constants are tested in order, and the first match applies.
  */
 public enum Loss {
-    /** No engine held its model, and it was refused. */
+    /** Rejected because no engine had its model in memory. */
     MODEL_ABSENT(request -> request.isRejected() && request.reason().contains("is in no engine")),
-    /** Its adapter was not loaded in time, and it was refused. */
+    /** Rejected because its adapter was not loaded in time. */
     ADAPTER_ABSENT(request -> request.isRejected() && request.reason().contains("does not come")),
-    /** Replicas had no room, and it was refused. */
+    /** Rejected because no replica had a free slot. */
     NO_ROOM(request -> request.isRejected() && request.reason().contains("no room")),
-    /** It was refused for another reason. */
+    /** Rejected for another reason. */
     REFUSED_OTHERWISE(EndedRequest::isRejected),
-    /** Its caller left before it had a whole answer. */
+    /** Its caller disconnected before it had a complete answer. */
     CALLER_LEFT(request -> request.status() == 0 && request.reason().contains("the caller left")),
-    /** Its time limit passed. */
+    /** Its deadline passed. */
     TIME_OVER(request -> request.reason().contains("its time is over")),
-    /** A replica answered with a failure of its own. */
+    /** A replica answered with a server error. */
     REPLICA_FAILED(request -> request.status() >= EndedRequest.FIRST_SERVER_ERROR
             && request.reason().startsWith("answered by")),
-    /** A replica was lost, or broke off, while it ran the request. */
+    /** The connection to a replica was lost, or its answer was interrupted, while it ran the request. */
     REPLICA_LOST(request -> !request.isSuccess() && request.status() < EndedRequest.FIRST_CLIENT_ERROR
             || request.status() >= EndedRequest.FIRST_SERVER_ERROR),
-    /** The caller's own fault, such as a request that can't be read. */
+    /** A client error, such as a malformed request. */
     CALLER_ERROR(request -> !request.isSuccess()),
-    /** Late by its first event, having waited in the entry for most of that time. */
+    /** The first event was late, and the request was queued in the entry for at least half of that time. */
     LATE_WAITED_HERE(request -> request.isFirstEventLate() && request.isMostlyEntryWait()),
-    /** Late by its first event, having waited in the engine for most of that time. */
+    /** The first event was late, and the request spent more than half of that time in the engine. */
     LATE_WAITED_IN_ENGINE(EndedRequest::isFirstEventLate),
-    /** Its first event came in time, but a later pause was too long. */
+    /** The first event was in time, but a later pause was too long. */
     LATE_BY_PAUSE(EndedRequest::isPauseLate),
-    /** Served in time. */
+    /** Answered in time. */
     NONE(request -> true);
 
     private final Predicate<EndedRequest> applies;
@@ -44,10 +44,10 @@
     }
 
     /**
-     * What became of a request.
+     * Classifies a request.
      *
      * @param request the request.
-     * @return the first of these that applies.
+     * @return the first constant that matches.
      */
     public static Loss of(EndedRequest request) {
         return List.of(values()).stream()
@@ -57,9 +57,9 @@
     }
 
     /**
-     * How it is called in tables and in JSON.
+     * Returns the label that tables and JSON use.
      *
-     * @return lower case words, joined by hyphens.
+     * @return the label, in lower case with hyphens.
      */
     public String label() {
         return this == NONE ? "in-time" : name().toLowerCase(Locale.ROOT).replace('_', '-');
--- a/src/main/java/io/waxwingquay/explain/LossReport.java
+++ b/src/main/java/io/waxwingquay/explain/LossReport.java
@@ -17,7 +17,7 @@
 import org.jfree.data.category.DefaultCategoryDataset;
 
 /**
- * How many requests were lost or late for which reason, by route and by the time at which they came.
+ * Counts requests by {@link Loss}, grouped by route and by time window of arrival.
  */
 public final class LossReport {
 
@@ -40,11 +40,11 @@
     }
 
     /**
-     * Counts requests.
+     * Creates a report on requests.
      *
      * @param requests the requests.
-     * @param windowMillis the length of the windows of time that they are sorted into.
-     * @return the counts.
+     * @param windowMillis the length of a time window.
+     * @return the report.
      */
     public static LossReport of(Collection<EndedRequest> requests, long windowMillis) {
         long firstArrivalMillis =
@@ -63,15 +63,15 @@
                         Collectors.groupingBy(Loss::of, () -> new EnumMap<>(Loss.class), Collectors.counting())));
     }
 
-    /** Padded, so that the order of the texts is that of the times. */
+    /** Pads the label, so that labels sort by time. */
     private static String windowLabel(long elapsedMillis, long windowMillis) {
         return String.format("%8.1f", elapsedMillis / windowMillis * windowMillis / MILLIS_PER_SECOND);
     }
 
     /**
-     * The counts as two tables, one line a route and one line a window.
+     * Formats the counts as two tables, with one row per route and one row per time window.
      *
-     * @return the text.
+     * @return the tables as text.
      */
     public String table() {
         return table("route", byRoute) + System.lineSeparator() + table("seconds", byWindow);
@@ -97,9 +97,10 @@
     }
 
     /**
-     * The counts as JSON: an object for routes and one for windows, each with an object of counts by reason.
+     * Formats the counts as JSON: one object for routes and one for time windows, each with an object of counts by
+     * label.
      *
-     * @return the text.
+     * @return the JSON.
      */
     public String json() {
         ObjectNode root = new JsonMapper().createObjectNode();
@@ -116,10 +117,10 @@
     }
 
     /**
-     * Draws the counts by window as stacked bars.
+     * Draws the counts by time window as a stacked bar chart.
      *
-     * @param file where the PNG is written.
-     * @throws IOException if it can't be written.
+     * @param file the PNG file to write.
+     * @throws IOException if the file cannot be written.
      */
     public void plot(Path file) throws IOException {
         DefaultCategoryDataset dataset = new DefaultCategoryDataset();
--- a/src/main/java/io/waxwingquay/explain/package-info.java
+++ b/src/main/java/io/waxwingquay/explain/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Says from the log lines of entries which requests were not served in time, when, and for what reason.
+ * Reports from the log lines of entries which requests were lost or late, when, and for what reason.
  */
 package io.waxwingquay.explain;
