--- a/src/test/java/io/waxwingquay/engine/HttpModelEngineTest.java
+++ b/src/test/java/io/waxwingquay/engine/HttpModelEngineTest.java
@@ -66,8 +66,9 @@
 
     @Test
     void queuedGenerationDoesNotHitTheInactivityTimeout() throws Exception {
-        // The batch has one place and its holder needs several inactivity limits; the one that waits gets only
-        // keep-alive comments meanwhile. Taking that for silence would resend work that is about to run.
+        // The batch has one slot, and the generation in it runs for several inactivity timeouts. The queued generation
+        // receives only keep-alive comments meanwhile. If they did not reset the timeout, it would be resent
+        // needlessly.
         try (ModelEngineStandin singleSlotStandin = ModelEngineStandin.builder()
                 .costs(new CostModel(1, 0, 20_000, 0, 1, 0, 1_000, 1_000, 100_000))
                 .start()) {
@@ -84,8 +85,8 @@
 
     @Test
     void silentStreamIsLostAndResumesAtItsOffsetWithoutRunningAgain() throws Exception {
-        // The caller sees a stream stop after 5 tokens with its connection still open. The inactivity limit ends
-        // it as lost; the same generation asked for from offset 5 gives the rest, and the engine ran it once.
+        // A stream stops after 5 tokens while its connection stays open. The inactivity timeout must end it as lost,
+        // and a resend from offset 5 must deliver the rest of the same run.
         standin.faults().set(Faults.Settings.NONE.withStreamTokens(5));
         standin.faults().next(Faults.Kind.SILENT_STREAM, 1);
 
@@ -104,8 +105,8 @@
 
     @Test
     void truncatedStreamIsReportedAsLost() throws Exception {
-        // The HTTP answer ends in order after 3 of 10 tokens, with no end event; without the check of the end the
-        // caller would take three tokens for the whole answer.
+        // The HTTP response ends normally after 3 of 10 tokens, without an end event. Without the check of the end, the
+        // caller would take 3 tokens for the complete answer.
         standin.faults().set(Faults.Settings.NONE.withStreamTokens(3));
         standin.faults().next(Faults.Kind.TRUNCATE_STREAM, 1);
 
@@ -149,8 +150,8 @@
 
     @Test
     void orderWithAStaleFenceIsRefusedAndLeavesMemoryUnchanged() throws Exception {
-        // A new side orders with fence 2; the paused old side wakes and orders with fence 1. The engine refuses it,
-        // so what the old side believed of the memory does no harm.
+        // A new side sends an order with fence 2, then the old side resumes after a pause and sends one with fence 1.
+        // The engine must refuse it, because the old side's view of the memory is stale.
         assertEquals(OrderAnswer.TAKEN, Await.value(engine.order(load("o1", "adapter:a@1", 10, 2))));
         assertEquals(OrderAnswer.STALE_FENCE, Await.value(engine.order(load("o2", "adapter:b@1", 90, 1))));
         Await.until(() -> standin.stats().memory().loads() == 1);
@@ -170,8 +171,8 @@
 
     @Test
     void orderCallIsLostWhetherItNeverArrivesOrArrivesLate() throws Exception {
-        // Both orders look the same to the side: a closed connection. One never arrives; the other takes effect
-        // afterwards. So a lost order must keep its bytes reserved.
+        // The side sees a closed connection in both cases, but one order never arrives and the other is executed later.
+        // Both must be reported as lost, so that the bytes of the item stay reserved.
         standin.faults().next(Faults.Kind.LOSE_ORDER, 1);
         TargetException lost = Await.failure(TargetException.class, engine.order(load("o1", "adapter:a@1", 10, 1)));
         standin.faults().next(Faults.Kind.DELAY_ORDER, 1);
@@ -187,8 +188,8 @@
 
     @Test
     void crashedEngineRestartsEmptyUnderANewBootId() throws Exception {
-        // One request's prompt kills the engine: its stream and the one beside it break off, the port is gone for
-        // a while, and then the engine answers with another boot id and no residents.
+        // A prompt crashes the engine. Its stream and a concurrent one must end as lost. After a restart, during which
+        // the port is closed, the engine must report another boot id and no residents.
         String bootId = Await.value(engine.residency()).bootId();
         standin.faults().set(Faults.Settings.NONE.withCrash("poison", 50));
         RecordingListener beside = newListener();
@@ -208,8 +209,8 @@
 
     @Test
     void streamOverASilencedConnectionResumesOnANewOne() throws Exception {
-        // Something between side and engine loses track of the open connection: no bytes, no close. New
-        // connections work. The inactivity limit ends the old stream and the rest comes over a new one.
+        // A network element between side and engine drops the state of an open connection: no bytes, no close. New
+        // connections work. The inactivity timeout must end the old stream, and a new one must deliver the rest.
         try (LinkStandin link = LinkStandin.to(new HostPort("127.0.0.1", standin.port()))) {
             HttpModelEngine overLink = engineAt(link.port());
             RecordingListener interrupted = newListener();
@@ -236,8 +237,8 @@
 
     @Test
     void streamThatGetsNoConnectionInTimeIsUnreachableAndNeverRuns() throws Exception {
-        // Every connection is held by an open stream. The next one waits for a place and is given up; were it sent
-        // after that, a request told as "did not run" would run.
+        // The only connection is occupied by an open stream. The next stream waits for it and times out. If it were
+        // sent later, a request that was reported as not run would run.
         HttpClient singleConnectionClient = HttpCalls.startClient(1, 2_000L);
         HttpModelEngine singleConnectionEngine = new HttpModelEngine(
                 singleConnectionClient, new HostPort("127.0.0.1", standin.port()), 100L, INACTIVITY_TIMEOUT_MILLIS);
@@ -256,8 +257,8 @@
 
     @Test
     void closingAStreamDoesNotWaitForItsListener() throws Exception {
-        // The listener waits for a lock which the closing thread holds, as a side process's attempt may. Were close
-        // to wait for the listener, both would stand still for ever.
+        // The listener waits for a lock that the closing thread holds, as in the attempts of a side process. If close
+        // waited for the listener, both threads would deadlock.
         CountDownLatch inListener = new CountDownLatch(1);
         CountDownLatch closed = new CountDownLatch(1);
         CompletableFuture<Boolean> released = new CompletableFuture<>();
@@ -281,8 +282,7 @@
             Await.value(overLink.loadReport());
             link.cut();
             Await.failure(TargetException.class, overLink.loadReport());
-            // A call may still pick a connection that the cut has closed, and fail with it, until the client has read
-            // that.
+            // Until the client has detected the closed connections, a call may still use one of them and fail.
             Await.until(() -> openConnections(link.port()) == 0);
 
             link.heal();
--- a/src/test/java/io/waxwingquay/engine/HttpPlainServiceTest.java
+++ b/src/test/java/io/waxwingquay/engine/HttpPlainServiceTest.java
@@ -41,8 +41,8 @@
 
     @Test
     void lostAnswerIsReportedAsLostAndTheCallIsNotRepeated() {
-        // The service takes the deposit and its answer is lost. The side sees a closed connection; were that told
-        // as "did not run", the caller would pay again. The client does not send it a second time either.
+        // The service runs the deposit and its answer is lost: the side sees a closed connection. If the call were
+        // reported as not run, or resent by the HTTP client, the deposit would be paid twice.
         standin.faults().next(Faults.Kind.LOSE_ANSWER, 1);
 
         TargetException failure =
@@ -54,8 +54,8 @@
 
     @Test
     void unresponsiveServiceIsLostAfterTheTimeoutAndDoesNotBlockTheNextCall() throws Exception {
-        // The first call's connection stays open and silent; its time-out ends it as lost, since it was sent. The
-        // next call goes over a new connection.
+        // The first call gets no answer on an open connection. Its timeout must end it as lost, since it was sent, and
+        // the next call must use a new connection.
         standin.faults().next(Faults.Kind.SILENT, 1);
 
         TargetException failure =
--- a/src/test/java/io/waxwingquay/entry/CallerClient.java
+++ b/src/test/java/io/waxwingquay/entry/CallerClient.java
@@ -8,7 +8,7 @@
 import java.net.http.HttpResponse;
 import java.util.concurrent.CompletableFuture;
 
-/** A caller. */
+/** HTTP client in the role of a caller. */
 final class CallerClient {
 
     static final String COMPLETION_BODY = "{\"model\":\"m\",\"prompt\":\"p\",\"max_tokens\":8}";
--- a/src/test/java/io/waxwingquay/entry/ClaimedCallTest.java
+++ b/src/test/java/io/waxwingquay/entry/ClaimedCallTest.java
@@ -35,8 +35,8 @@
 
     @Test
     void resendThroughAnotherEntryIsAnsweredFromTheFirstRun() {
-        // The caller sends a deposit twice through different entries and sees the same answer. It runs once:
-        // the second entry finds the claim, and then the outcome in the row or at the side that ran it.
+        // Guards against running a deposit twice when it is resent through another entry. The second entry finds the
+        // claim, and the outcome in its row or at the side that ran it.
         assertEquals("one two three", deposit(firstEntry, "k1", BODY).body());
         CallerClient.Answer resent = deposit(secondEntry, "k1", BODY);
         assertEquals("one two three", resent.body());
@@ -48,8 +48,8 @@
 
     @Test
     void resendDuringTheFirstRunIsAnsweredInProgress() {
-        // The caller resends through another entry while the first run goes on and sees 409 with execution
-        // unknown; when the run has ended, both sends get its answer.
+        // The call is resent through another entry while the first run is in progress. The resend must be answered 409
+        // with execution unknown; after the run, both sends get its answer.
         cluster.firstSide.keepRunning = true;
         CompletableFuture<Void> polled = new CompletableFuture<>();
         cluster.firstSide.pollDelay = () -> {
@@ -100,9 +100,9 @@
 
     @Test
     void entryPausedAfterItsClaimCannotRunTheCallLate() {
-        // The caller sends a deposit; its entry claims and pauses before it hands the call on. The resend
-        // through another entry withdraws that attempt and runs the call. The first entry goes on, its late
-        // attempt is refused by the side, and it answers from the run that took place: one run in all.
+        // An entry claims a deposit and pauses before it submits the attempt. A resend through another entry withdraws
+        // that attempt and runs the call. When the first entry resumes, the side must refuse its late attempt, and the
+        // entry must answer with the outcome of the only run.
         CompletableFuture<Void> pause = new CompletableFuture<>();
         cluster.table.holdCommit(pause);
         CompletableFuture<CallerClient.Answer> paused =
@@ -116,8 +116,8 @@
 
     @Test
     void claimWhoseSideWasRestartedStaysUnknownAndIsNeverRunAgain() {
-        // The caller's deposit may have run in a side that then lost its memory. A resend sees 409 unknown,
-        // each time: a second run could take the deposit twice.
+        // A deposit may have run at a side that has since lost its state by a restart. Every resend must be answered
+        // 409 with execution unknown, because another run could take the deposit twice.
         cluster.firstSide.submitFaults.addAll(Collections.nCopies(5, FakeSide.Fault.LOSE_ANSWER));
         assertEquals("unknown", deposit(firstEntry, "k1", BODY).error("execution"));
         cluster.firstSide.restart();
@@ -132,8 +132,8 @@
 
     @Test
     void sideRestartedBetweenLostSubmissionAndResumeIsUnknown() {
-        // The side runs the call, its answer is lost, and the side restarts before the entry asks again. The
-        // new epoch truthfully refuses the old attempt as not run by it; the caller is told unknown.
+        // The side runs the call, its answer is lost, and the side restarts before the entry resumes. The new epoch
+        // refuses the attempt as not run, which holds for itself only; the caller must get unknown.
         cluster.firstSide.submitFaults.add(FakeSide.Fault.LOSE_ANSWER_AND_RESTART);
         CallerClient.Answer answer = deposit(firstEntry, "k1", BODY);
         assertEquals("unknown", answer.error("execution"), answer.body());
@@ -149,9 +149,9 @@
 
     @Test
     void resendOfARejectedCallRuns() throws Exception {
-        // Both sides refuse the first try at the door, and the table is out when its entry writes that it did not
-        // run. The row says claimed and the side has never heard of the attempt. The resend withdraws it there and
-        // runs the call; before, it was told that the outcome is unknown, for ever.
+        // Both sides reject the first send, and the table is unavailable when the entry records that the call did not
+        // run. The row still says claimed, and the side does not know the attempt. The resend must withdraw it there
+        // and run the call; otherwise every resend is answered that the outcome is unknown.
         cluster.firstSide.nextRefusals.add(new Refusal(RefusalReason.LEAVING, "leaving", 0, Execution.DID_NOT_RUN));
         cluster.secondSide.nextRefusals.add(new Refusal(RefusalReason.LEAVING, "leaving", 0, Execution.DID_NOT_RUN));
         cluster.table.failCommits(FakeTable.Fault.NONE, FakeTable.Fault.NONE);
@@ -182,8 +182,8 @@
 
     @Test
     void outcomeIsRecordedOnceTheTableIsAvailableAgain() {
-        // The caller is answered at once although the outcome cannot be written; the write is repeated behind
-        // its back until the table answers again.
+        // The caller must be answered at once although the outcome cannot be written. The write is retried in the
+        // background until the table is available.
         cluster.table.failCommits(
                 FakeTable.Fault.NONE,
                 FakeTable.Fault.UNAVAILABLE,
@@ -217,7 +217,7 @@
     private static void await(java.util.function.BooleanSupplier condition) {
         long deadlineNanos = System.nanoTime() + 20_000_000_000L;
         while (!condition.getAsBoolean()) {
-            assertTrue(System.nanoTime() < deadlineNanos, "the condition never came true");
+            assertTrue(System.nanoTime() < deadlineNanos, "the condition was not met in time");
             Thread.onSpinWait();
         }
     }
--- a/src/test/java/io/waxwingquay/entry/EntryNodeTest.java
+++ b/src/test/java/io/waxwingquay/entry/EntryNodeTest.java
@@ -116,8 +116,8 @@
 
     @Test
     void drainFinishesTheOpenStreamAndRejectsNewRequests() {
-        // The caller of an open stream sees it end whole, though the entry was told to shut down in the middle;
-        // a new caller is refused at once, truthfully as not run.
+        // The entry is drained while a stream is open. The stream must still end completely, and a new request must be
+        // rejected at once as not run.
         cluster.firstSide.keepRunning = true;
         CompletableFuture<Void> polled = new CompletableFuture<>();
         cluster.firstSide.pollDelay = () -> {
--- a/src/test/java/io/waxwingquay/entry/FakeCluster.java
+++ b/src/test/java/io/waxwingquay/entry/FakeCluster.java
@@ -20,7 +20,7 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.function.Consumer;
 
-/** The world around an entry process, in memory. */
+/** In-memory surroundings of an entry process: sides, table, membership, connections and bundle. */
 final class FakeCluster implements Membership, Connections, BundleSource {
 
     static final String ITEM = "model:m@1";
@@ -41,7 +41,7 @@
             List.of(),
             List.of(new Bundle.Operation("pay", "deposit", true), new Bundle.Operation("pay", "quote", false))));
 
-    /** Settings with the policy that takes sides in turn, so that tests know which side is first. */
+    /** Returns a configuration with the round-robin policy, so that tests know which side is tried first. */
     static EntryConfiguration configuration() {
         return new EntryConfiguration(
                 "127.0.0.1", 0, "dc1", "round-robin", 30_000, 600_000, 4_096, 1_024, 250, 1.0, 64);
@@ -105,7 +105,7 @@
     @Override
     public void onAdopted(Consumer<Bundle> listener) {}
 
-    /** A book in which one crash is enough. */
+    /** Suspect book that quarantines a request after one crash. */
     private static final class InMemorySuspects implements SuspectBook {
 
         private final Set<Long> quarantined = ConcurrentHashMap.newKeySet();
--- a/src/test/java/io/waxwingquay/entry/FakeSide.java
+++ b/src/test/java/io/waxwingquay/entry/FakeSide.java
@@ -42,7 +42,7 @@
 import java.util.function.Supplier;
 import java.util.function.UnaryOperator;
 
-/** A side process in memory: a book of attempts, an answer of fixed pieces, and faults as told. */
+/** In-memory side process that records attempts, answers with fixed chunks, and injects configured faults. */
 final class FakeSide implements SideProtocol {
 
     enum Fault {
@@ -129,7 +129,7 @@
             return accept();
         }
         if (nonIdempotent && submission.getSideEpoch() != epoch) {
-            return refuse(new Refusal(RefusalReason.WRONG_EPOCH, "other epoch", 0, Execution.DID_NOT_RUN));
+            return refuse(new Refusal(RefusalReason.WRONG_EPOCH, "wrong epoch", 0, Execution.DID_NOT_RUN));
         }
         if (withdrawnAttempts.contains(attemptId)) {
             return refuse(new Refusal(RefusalReason.WITHDRAWN, "withdrawn", 0, Execution.DID_NOT_RUN));
--- a/src/test/java/io/waxwingquay/entry/FakeTable.java
+++ b/src/test/java/io/waxwingquay/entry/FakeTable.java
@@ -10,7 +10,7 @@
 import java.util.Queue;
 import java.util.concurrent.CompletableFuture;
 
-/** A table in memory that loses answers or is out, as told. */
+/** In-memory table that loses answers or is unavailable, as configured. */
 public final class FakeTable implements TableService {
 
     public enum Fault {
--- a/src/test/java/io/waxwingquay/entry/ModelDispatcherTest.java
+++ b/src/test/java/io/waxwingquay/entry/ModelDispatcherTest.java
@@ -41,8 +41,8 @@
 
     @Test
     void lateDuplicatedAndReorderedChunksAreReassembled() {
-        // The caller sees the whole answer once, in order. The side's polls bring each piece twice, the last
-        // first, and the first piece only with a later poll, because pieces may overtake one another.
+        // Chunks may overtake one another: polls return each chunk twice, in reverse order, and the first chunk only
+        // with a later poll. The caller must get the complete answer once and in order.
         List<Integer> polls = new ArrayList<>();
         cluster.firstSide.pollAnswerFilter = answer -> {
             polls.add(1);
@@ -60,8 +60,8 @@
 
     @Test
     void truncatedStreamEndsWithAnErrorAndWithoutDone() {
-        // The caller has seen tokens when the answer ends without its total. Another run's tokens would not
-        // fit to them, so the stream ends with an explicit error and is never passed off as whole.
+        // The answer ends without its total after the caller has received tokens. Tokens of another run would not
+        // continue them, so the stream must end with an explicit error and without [DONE].
         cluster.firstSide.pollAnswerFilter = answer -> {
             answer.unsetTotalUnits();
             return answer;
@@ -75,8 +75,8 @@
 
     @Test
     void silentConnectionIsResumedAtTheSameSideFromTheSameOffset() {
-        // The caller sees one whole answer. The connection falls silent twice in mid-stream; the entry submits
-        // the same attempt again, which attaches to the run that goes on, and no other side is asked.
+        // The connection is lost twice in the middle of a stream. The entry must resubmit the same attempt, which
+        // attaches to the run in progress, and must not use another side.
         List<Integer> polls = new ArrayList<>();
         cluster.firstSide.pollAnswerFilter = answer -> {
             polls.add(1);
@@ -95,8 +95,8 @@
 
     @Test
     void lostSubmissionWithNoOtherSideIsReportedAsUnknown() {
-        // The caller sees an error with execution unknown. The side takes the request and runs it, every answer
-        // is lost on the way, and so neither "ran" nor "did not run" would be certain.
+        // The side runs the request, but every answer is lost, so the entry can conclude neither that the request ran
+        // nor that it did not. The caller must get execution unknown.
         cluster.knownSides = List.of(cluster.firstSide);
         cluster.firstSide.submitFaults.addAll(Collections.nCopies(50, FakeSide.Fault.LOSE_ANSWER));
         CallerClient.Answer answer = complete(node, COMPLETION_BODY);
@@ -107,8 +107,8 @@
 
     @Test
     void refusalByARestartedSideLeavesTheEarlierEpochUnknown() {
-        // The caller sees unknown. The side takes the request, its answer is lost and it restarts; its new
-        // epoch is overloaded and truthfully refuses, but what the epoch before ran it cannot know.
+        // The side accepts the request, its answer is lost, and the side restarts. The new epoch is overloaded and
+        // refuses the request as not run, but does not know what the previous epoch ran. The caller must get unknown.
         cluster.knownSides = List.of(cluster.firstSide);
         cluster.firstSide.submitFaults.add(FakeSide.Fault.LOSE_ANSWER_AND_RESTART);
         cluster.firstSide.refusalsAfterRestart.add(refusal(RefusalReason.OVERLOADED, Execution.DID_NOT_RUN));
@@ -119,8 +119,8 @@
 
     @Test
     void unknownFirstAttemptKeepsTheFinalRefusalUnknown() {
-        // The caller sees unknown, although the last side asked refused truthfully that it ran nothing: the
-        // first side had taken the request before its target went down.
+        // The first side accepted the request before its target crashed, and the second one refuses it as not run. The
+        // caller must get unknown, because the first attempt may have run.
         cluster.firstSide.chunkTexts = new String[0];
         cluster.firstSide.nextFailures.add(refusal(RefusalReason.TARGET_DOWN, Execution.UNKNOWN));
         cluster.secondSide.nextRefusals.add(refusal(RefusalReason.OVERLOADED, Execution.DID_NOT_RUN));
@@ -159,7 +159,9 @@
         cluster.firstSide.nextRefusals.add(refusal(RefusalReason.QUARANTINED, Execution.DID_NOT_RUN));
         CallerClient.Answer answer = complete(node, COMPLETION_BODY);
         assertEquals(422, answer.status());
-        assertTrue(answer.response().headers().firstValue("Retry-After").isEmpty(), "no call to come back");
+        assertTrue(
+                answer.response().headers().firstValue("Retry-After").isEmpty(),
+                "a quarantined request must not get a retry-after delay");
         assertEquals(0, cluster.secondSide.submissions);
     }
 
@@ -185,8 +187,8 @@
 
     @Test
     void runIsCancelledWhenTheCallerDisconnectsMidStream() throws IOException {
-        // The caller closes its connection after the first event while the run goes on. The entry meets the
-        // closed connection at a write and cancels the run, whose tokens nobody would read.
+        // The caller disconnects after the first event while the run continues. The entry detects the closed connection
+        // at a write and must cancel the run, whose tokens are no longer needed.
         cluster.firstSide.keepRunning = true;
         cluster.firstSide.chunkTexts = Collections.nCopies(100_000, "word ").toArray(String[]::new);
         cluster.firstSide.pollAnswerFilter = answer -> {
@@ -208,6 +210,6 @@
     }
 
     private static Refusal refusal(RefusalReason reason, Execution execution) {
-        return new Refusal(reason, "told to", 0, execution);
+        return new Refusal(reason, "injected by the test", 0, execution);
     }
 }
