--- a/src/main/java/io/waxwingquay/engine/HttpStream.java
+++ b/src/main/java/io/waxwingquay/engine/HttpStream.java
@@ -84,8 +84,8 @@
     /**
      * {@inheritDoc}
      *
-     * <p>The calling thread may hold a lock that the listener waits for. To avoid a deadlock, neither this method nor
-     * the {@link #onComplete} that its abort may invoke acquires the monitor of this stream.
+     * <p>The calling thread may hold a lock that the listener waits for. To avoid a deadlock of the two threads,
+     * neither this method nor the {@link #onComplete} that its abort may invoke acquires the monitor of this stream.
      */
     @Override
     public void close() {
--- a/src/main/java/io/waxwingquay/entry/EntryComponents.java
+++ b/src/main/java/io/waxwingquay/entry/EntryComponents.java
@@ -76,7 +76,7 @@
     }
 
     /**
-     * Rejects a request that is suspected of two crashes, which saves a hop. The side processes reject it as well.
+     * Rejects a request that is a suspect in two crashes, which saves a hop. The side processes reject it as well.
      */
     void refuseQuarantined(long fingerprint) {
         boolean quarantined = suspects.filter(book -> book.standing(fingerprint) == SuspectBook.Standing.QUARANTINED)
--- a/src/main/java/io/waxwingquay/entry/FailureCode.java
+++ b/src/main/java/io/waxwingquay/entry/FailureCode.java
@@ -44,7 +44,7 @@
     CALLER_GONE(499),
     /** Internal error of this process. */
     INTERNAL(500),
-    /** The target went down. */
+    /** The target crashed or is unreachable. */
     TARGET_DOWN(502),
     /** The connection to the side process was lost and could not be resumed. */
     CONNECTION_LOST(502),
--- a/src/test/java/io/waxwingquay/engine/HttpModelEngineTest.java
+++ b/src/test/java/io/waxwingquay/engine/HttpModelEngineTest.java
@@ -106,7 +106,7 @@
     @Test
     void truncatedStreamIsReportedAsLost() throws Exception {
         // The HTTP response ends normally after 3 of 10 tokens, without an end event. Without the check of the end, the
-        // caller would take 3 tokens for the complete answer.
+        // caller would take these three tokens for the complete answer.
         standin.faults().set(Faults.Settings.NONE.withStreamTokens(3));
         standin.faults().next(Faults.Kind.TRUNCATE_STREAM, 1);
 
