--- a/src/main/java/io/waxwingquay/entry/ClaimedCall.java
+++ b/src/main/java/io/waxwingquay/entry/ClaimedCall.java
@@ -21,93 +21,101 @@
 import java.util.function.Supplier;
 
 /**
- * Runs one non-idempotent call at most once. The claim names the one side process that may run the one attempt,
- * and that side process refuses an attempt that was withdrawn. So an entry that pauses between claim and
- * submission cannot run the call late, and no claim is taken over while its attempt may still start.
+ * Runs one non-idempotent call at most once. The claim names the one side process that may run the one attempt, and
+ * that side process refuses an attempt that was withdrawn. Therefore an entry that pauses between claim and submission
+ * cannot run the call late, and no claim is taken over while its attempt may still start.
  */
 final class ClaimedCall {
 
-    private static final int MAXIMUM_DOORS = 3;
-    private static final int MAXIMUM_TURNS = 6;
-    private static final int MAXIMUM_QUESTIONS = 3;
-    private static final long MINIMUM_TRY_MILLIS = 5;
-    private static final long IN_PROGRESS_RETRY_MILLIS = 500;
+    private static final int MAXIMUM_ATTEMPTS = 3;
+    private static final int MAXIMUM_CLAIM_ROUNDS = 6;
+    private static final int MAXIMUM_RESOLVE_SENDS = 3;
+    private static final long MINIMUM_ATTEMPT_MILLIS = 5;
+    private static final long IN_PROGRESS_RETRY_AFTER_MILLIS = 500;
 
-    private final EntryParts parts;
-    private final ClaimStore store;
-    private final OutcomeWriter outcomes;
+    private final EntryComponents components;
+    private final ClaimStore claimStore;
+    private final OutcomeWriter outcomeWriter;
     private final ServiceRequest request;
     private final String key;
     private final String rowKey;
     private RouteQuery query;
-    private Execution known = Execution.DID_NOT_RUN;
-    private int doors;
-    private int turns;
-
-    ClaimedCall(EntryParts parts, ClaimStore store, OutcomeWriter outcomes, ServiceRequest request, RouteQuery query) {
-        this.parts = parts;
-        this.store = store;
-        this.outcomes = outcomes;
+    private Execution knownExecution = Execution.DID_NOT_RUN;
+    private int attempts;
+    private int claimRounds;
+
+    ClaimedCall(
+            EntryComponents components,
+            ClaimStore claimStore,
+            OutcomeWriter outcomeWriter,
+            ServiceRequest request,
+            RouteQuery query) {
+        this.components = components;
+        this.claimStore = claimStore;
+        this.outcomeWriter = outcomeWriter;
         this.request = request;
         this.key = request.idempotencyKey().orElseThrow();
         this.rowKey = ClaimStore.rowKey(request.service(), key);
         this.query = query;
     }
 
-    /** Starts; the future fails with {@link CallFailure}. */
+    /** Starts the call. The future fails with {@link CallFailure}. */
     CompletableFuture<ServiceAnswer> run() {
-        parts.retryBudget().recordFirstAttempt();
+        components.retryBudget().recordFirstAttempt();
         return claim();
     }
 
     private CompletableFuture<ServiceAnswer> claim() {
-        return withSide(side -> write(side, record -> store.claim(rowKey, record)), this::withoutSide);
+        return withCandidate(side -> writeClaim(side, record -> claimStore.claim(rowKey, record)), this::onNoCandidate);
     }
 
-    /** Claims anew after the attempt of the claim before was refused or withdrawn for good. */
-    private CompletableFuture<ServiceAnswer> replace(StoredClaim before) {
-        ClaimRecord notRun = before.record().notRun();
-        return withSide(
-                side -> write(side, record -> store.replace(rowKey, before.version(), notRun.reclaimedBy(record))),
+    /** Replaces the previous claim, whose attempt was refused or withdrawn and can no longer run. */
+    private CompletableFuture<ServiceAnswer> reclaim(StoredClaim previous) {
+        ClaimRecord notRun = previous.record().notRun();
+        return withCandidate(
+                side -> writeClaim(
+                        side, record -> claimStore.replace(rowKey, previous.version(), notRun.reclaimedBy(record))),
                 () -> fail(noTarget()));
     }
 
-    private CompletableFuture<ServiceAnswer> withSide(
+    private CompletableFuture<ServiceAnswer> withCandidate(
             Function<Side, CompletableFuture<ServiceAnswer>> step,
-            Supplier<CompletableFuture<ServiceAnswer>> otherwise) {
-        if (++turns > MAXIMUM_TURNS) {
-            return fail(inProgress("other calls with key '" + key + "' keep changing its claim"));
+            Supplier<CompletableFuture<ServiceAnswer>> whenNoCandidate) {
+        if (++claimRounds > MAXIMUM_CLAIM_ROUNDS) {
+            return fail(inProgress("other calls with key '" + key + "' keep replacing its claim"));
         }
-        List<SideView> candidates = parts.candidates(query);
+        List<SideView> candidates = components.candidates(query);
         return candidates.isEmpty()
-                ? otherwise.get()
+                ? whenNoCandidate.get()
                 : step.apply(candidates.get(0).side());
     }
 
-    /** A resend must learn the outcome of the first try even when nothing could run it now. */
-    private CompletableFuture<ServiceAnswer> withoutSide() {
-        return store.find(rowKey)
+    /** Looks up an existing claim: a resend must learn the outcome of the first send even if no side can run it now. */
+    private CompletableFuture<ServiceAnswer> onNoCandidate() {
+        return claimStore
+                .find(rowKey)
                 .handleAsync(
                         (found, failure) -> failure == null
                                 ? found.map(this::onExisting).orElseGet(() -> fail(noTarget()))
-                                : this.<ServiceAnswer>fail(tableOut()),
-                        parts.executor())
+                                : this.<ServiceAnswer>fail(tableUnavailable()),
+                        components.executor())
                 .thenCompose(next -> next);
     }
 
-    private CompletableFuture<ServiceAnswer> write(
-            Side side, Function<ClaimRecord, CompletableFuture<StoredClaim>> writing) {
+    private CompletableFuture<ServiceAnswer> writeClaim(
+            Side side, Function<ClaimRecord, CompletableFuture<StoredClaim>> writer) {
         ClaimRecord record = ClaimRecord.of(
                 UUID.randomUUID().toString(),
                 side.id(),
                 side.epoch(),
                 request.fingerprint(),
-                parts.clock().epochMillis());
-        return writing.apply(record)
+                components.clock().epochMillis());
+        return writer.apply(record)
                 .handleAsync(
-                        (claimed, failure) ->
-                                failure == null ? onClaimed(side, claimed) : this.<ServiceAnswer>fail(tableOut()),
-                        parts.executor())
+                        (claimed, failure) -> failure == null
+                                ? onClaimed(side, claimed)
+                                : this.<ServiceAnswer>fail(tableUnavailable()),
+                        components.executor())
                 .thenCompose(next -> next);
     }
 
@@ -115,17 +123,17 @@
         if (!claimed.ours()) {
             return onExisting(claimed);
         }
-        known = Execution.DID_NOT_RUN;
+        knownExecution = Execution.DID_NOT_RUN;
         return dispatch(side, claimed);
     }
 
     private CompletableFuture<ServiceAnswer> dispatch(Side side, StoredClaim claimed) {
-        doors++;
+        attempts++;
         Submission submission = submission(claimed.record());
-        AnswerSink.Whole sink = new AnswerSink.Whole(() -> false);
-        return new AttemptRunner(parts, side, submission, request.context().deadlineAtMillis(), sink)
+        AnswerSink.Buffered sink = new AnswerSink.Buffered(() -> false);
+        return new AttemptRunner(components, side, submission, request.context().deadlineAtMillis(), sink)
                 .run()
-                .thenComposeAsync(end -> onEnd(side, claimed, end, sink.bytes()), parts.executor());
+                .thenComposeAsync(result -> onEnd(side, claimed, result, sink.bytes()), components.executor());
     }
 
     private Submission submission(ClaimRecord record) {
@@ -135,21 +143,23 @@
                 .setSideEpoch(record.sideEpoch());
     }
 
-    private CompletableFuture<ServiceAnswer> onEnd(Side side, StoredClaim claimed, AttemptEnd end, byte[] body) {
-        if (end.kind() == AttemptEnd.Kind.DONE) {
-            parts.comeBack().recordCompletion(parts.clock().monotonicMillis());
-            return settle(claimed, ServiceAnswer.of(end, body, false));
+    private CompletableFuture<ServiceAnswer> onEnd(Side side, StoredClaim claimed, AttemptResult result, byte[] body) {
+        if (result.kind() == AttemptResult.Kind.DONE) {
+            components.retryAfterEstimator().recordCompletion(components.clock().monotonicMillis());
+            return settle(claimed, ServiceAnswer.of(result, body, false));
         }
-        if (end.reason().filter(reason -> reason == RefusalReason.WITHDRAWN).isPresent()) {
-            parts.metrics().claim("withdrawn");
-            known = Execution.UNKNOWN;
+        if (result.reason().filter(reason -> reason == RefusalReason.WITHDRAWN).isPresent()) {
+            components.metrics().claim("withdrawn");
+            knownExecution = Execution.UNKNOWN;
             return claim();
         }
-        if (end.execution() != Execution.DID_NOT_RUN) {
-            parts.metrics().claim("unknown");
-            return fail(end.toFailure(side.id()));
+        if (result.execution() != Execution.DID_NOT_RUN) {
+            components.metrics().claim("unknown");
+            return fail(result.toFailure(side.id()));
         }
-        return end.certain() ? afterRefusal(side, claimed, end) : withdrawThenRefuse(side, claimed, end);
+        return result.startRuledOut()
+                ? afterRefusal(side, claimed, result)
+                : withdrawAfterRefusal(side, claimed, result);
     }
 
     private CompletableFuture<ServiceAnswer> settle(StoredClaim claimed, ServiceAnswer answer) {
@@ -157,58 +167,65 @@
                 answer.status(),
                 answer.contentType(),
                 answer.body(),
-                parts.settings().outcomeLimitBytes());
-        outcomes.record(rowKey, claimed.version(), claimed.record().settled(outcome));
+                components.configuration().maximumOutcomeBytes());
+        outcomeWriter.record(rowKey, claimed.version(), claimed.record().settled(outcome));
         return CompletableFuture.completedFuture(answer);
     }
 
-    /** A submission whose answer was lost may still be under way; only a withdrawal rules out that it starts. */
-    private CompletableFuture<ServiceAnswer> withdrawThenRefuse(Side side, StoredClaim claimed, AttemptEnd end) {
+    /**
+     * Withdraws the attempt: a submission whose answer was lost may still arrive, and only a withdrawal prevents a late
+     * start.
+     */
+    private CompletableFuture<ServiceAnswer> withdrawAfterRefusal(
+            Side side, StoredClaim claimed, AttemptResult result) {
         return resolve(side, claimed.record(), true)
                 .handleAsync(
                         (answer, failure) -> failure == null && answer.getExecution() == Execution.DID_NOT_RUN
-                                ? afterRefusal(side, claimed, end)
+                                ? afterRefusal(side, claimed, result)
                                 : this.<ServiceAnswer>fail(
-                                        end.toFailure(side.id()).withExecution(Execution.UNKNOWN)),
-                        parts.executor())
+                                        result.toFailure(side.id()).withExecution(Execution.UNKNOWN)),
+                        components.executor())
                 .thenCompose(next -> next);
     }
 
-    private CompletableFuture<ServiceAnswer> afterRefusal(Side side, StoredClaim claimed, AttemptEnd end) {
-        RefusalReason reason = end.reason().orElse(RefusalReason.TARGET_DOWN);
-        long remainingMillis = parts.remainingMillis(request.context().deadlineAtMillis());
-        boolean again = doors < MAXIMUM_DOORS
-                && RetryPolicy.AT_MOST_ONCE.allows(end.execution(), reason, remainingMillis, MINIMUM_TRY_MILLIS)
-                && (RetryPolicy.isCheap(reason) || parts.retryBudget().tryAcquire());
+    private CompletableFuture<ServiceAnswer> afterRefusal(Side side, StoredClaim claimed, AttemptResult result) {
+        RefusalReason reason = result.reason().orElse(RefusalReason.TARGET_DOWN);
+        long remainingMillis = components.remainingMillis(request.context().deadlineAtMillis());
+        boolean mayRetry = attempts < MAXIMUM_ATTEMPTS
+                && RetryPolicy.AT_MOST_ONCE.allows(result.execution(), reason, remainingMillis, MINIMUM_ATTEMPT_MILLIS)
+                && (RetryPolicy.isCheap(reason) || components.retryBudget().tryAcquire());
         query = query.excluding(side.id());
-        if (again && !parts.candidates(query).isEmpty()) {
-            parts.metrics().retried(reason.name());
-            return replace(claimed);
+        if (mayRetry && !components.candidates(query).isEmpty()) {
+            components.metrics().retried(reason.name());
+            return reclaim(claimed);
         }
-        outcomes.record(rowKey, claimed.version(), claimed.record().notRun());
-        parts.metrics().claim("did_not_run");
-        return fail(parts.withComeBack(end.toFailure(side.id())));
+        outcomeWriter.record(rowKey, claimed.version(), claimed.record().notRun());
+        components.metrics().claim("did_not_run");
+        return fail(components.withRetryAfter(result.toFailure(side.id())));
     }
 
-    /** From here on another call with this key may run it, until a new claim of ours is in the row. */
+    /**
+     * Handles an existing claim. Execution is unknown from here on, because another call with this key may run the
+     * operation, until the row holds a new claim of this call.
+     */
     private CompletableFuture<ServiceAnswer> onExisting(StoredClaim existing) {
-        known = Execution.UNKNOWN;
+        knownExecution = Execution.UNKNOWN;
         ClaimRecord record = existing.record();
         if (record.requestFingerprint() != request.fingerprint()) {
-            return fail(CallFailure.refused(
+            return fail(CallFailure.rejected(
                     FailureCode.KEY_REUSED,
                     key,
-                    "key '" + key + "' was used for another request; take a new key for a new request"));
+                    "key '" + key + "' was used for another request; use a new key for a new request"));
         }
         return switch (record.state()) {
             case SETTLED -> replay(record.outcome().orElseThrow());
-            case DID_NOT_RUN -> replace(existing);
+            case DID_NOT_RUN -> reclaim(existing);
             case CLAIMED -> onPending(existing);
         };
     }
 
     private CompletableFuture<ServiceAnswer> replay(ClaimRecord.Outcome outcome) {
-        parts.metrics().claim("replayed");
+        components.metrics().claim("replayed");
         if (outcome.bodyOmitted()) {
             return fail(CallFailure.of(
                     FailureCode.OUTCOME_NOT_KEPT,
@@ -223,17 +240,17 @@
     private CompletableFuture<ServiceAnswer> onPending(StoredClaim existing) {
         ClaimRecord record = existing.record();
         Optional<Side> holder =
-                parts.membership().side(record.sideId()).filter(side -> side.epoch() == record.sideEpoch());
+                components.membership().side(record.sideId()).filter(side -> side.epoch() == record.sideEpoch());
         if (holder.isEmpty()) {
-            return fail(outcomeUnknown("side '" + record.sideId() + "' that held the call is gone"));
+            return fail(outcomeUnknown("side '" + record.sideId() + "', which was to run the call, is gone"));
         }
         return resolve(holder.get(), record, false)
                 .handleAsync(
                         (answer, failure) -> failure == null
                                 ? onResolved(holder.get(), existing, answer)
                                 : this.<ServiceAnswer>fail(outcomeUnknown(
-                                        "side '" + record.sideId() + "' that holds the call does not answer")),
-                        parts.executor())
+                                        "side '" + record.sideId() + "', which was to run the call, does not answer")),
+                        components.executor())
                 .thenCompose(next -> next);
     }
 
@@ -243,7 +260,7 @@
             return attach(side, existing);
         }
         if (state == AttemptState.QUEUED || state == AttemptState.RUNNING) {
-            parts.metrics().claim("in_progress");
+            components.metrics().claim("in_progress");
             return fail(inProgress("the call with key '" + key + "' is still running"));
         }
         if (answer.getExecution() == Execution.RAN) {
@@ -252,89 +269,90 @@
         if (answer.getExecution() == Execution.DID_NOT_RUN || state == AttemptState.ABSENT) {
             return takeOver(side, existing);
         }
-        return fail(cannotTell(side));
+        return fail(executionUnknown(side));
     }
 
     /**
-     * Only a side's word that the attempt did not run and now never will allows a new attempt.
+     * Withdraws the attempt of the existing claim. A new attempt is allowed only if the side confirms that the old one
+     * did not run and never will.
      *
-     * <p>A side that does not know the attempt can give that word too: it was refused at the door, or has not come yet.
-     * The withdrawal then keeps it out for good. Failure without it: the first try is refused, the row still says
-     * claimed, and the resend is told that the outcome is unknown for ever although the call never ran.
+     * <p>A side that does not know the attempt can confirm this too: the attempt was rejected, or has not arrived yet,
+     * and the withdrawal blocks it permanently. Without this case, if the first send is rejected and the row still says
+     * claimed, every resend is answered that the outcome is unknown although the call never ran.
      */
     private CompletableFuture<ServiceAnswer> takeOver(Side side, StoredClaim existing) {
         return resolve(side, existing.record(), true)
                 .handleAsync(
                         (answer, failure) -> failure == null && answer.getExecution() == Execution.DID_NOT_RUN
-                                ? replace(existing)
-                                : this.<ServiceAnswer>fail(notTakenOver(side, answer)),
-                        parts.executor())
+                                ? reclaim(existing)
+                                : this.<ServiceAnswer>fail(takeOverFailure(side, answer)),
+                        components.executor())
                 .thenCompose(next -> next);
     }
 
-    /** The answer is absent when the side did not reply to the withdrawal. */
-    private CallFailure notTakenOver(Side side, ResolveAnswer answer) {
-        boolean starting = answer == null || answer.getState() != AttemptState.ABSENT;
-        return starting ? inProgress("the call with key '" + key + "' may be starting") : cannotTell(side);
+    /** Returns the failure of a takeover; {@code answer} is {@code null} if the side did not answer the withdrawal. */
+    private CallFailure takeOverFailure(Side side, ResolveAnswer answer) {
+        boolean mayBeStarting = answer == null || answer.getState() != AttemptState.ABSENT;
+        return mayBeStarting ? inProgress("the call with key '" + key + "' may be starting") : executionUnknown(side);
     }
 
-    private CallFailure cannotTell(Side side) {
+    private CallFailure executionUnknown(Side side) {
         return outcomeUnknown("side '" + side.id() + "' cannot tell whether the call ran");
     }
 
     private CompletableFuture<ServiceAnswer> attach(Side side, StoredClaim existing) {
-        AnswerSink.Whole sink = new AnswerSink.Whole(() -> false);
+        AnswerSink.Buffered sink = new AnswerSink.Buffered(() -> false);
         Submission submission = submission(existing.record());
-        return new AttemptRunner(parts, side, submission, request.context().deadlineAtMillis(), sink)
+        return new AttemptRunner(components, side, submission, request.context().deadlineAtMillis(), sink)
                 .attach()
                 .thenComposeAsync(
-                        end -> {
-                            if (end.kind() != AttemptEnd.Kind.DONE) {
-                                return fail(end.toFailure(side.id()).withExecution(Execution.RAN));
+                        result -> {
+                            if (result.kind() != AttemptResult.Kind.DONE) {
+                                return fail(result.toFailure(side.id()).withExecution(Execution.RAN));
                             }
-                            parts.metrics().claim("replayed");
-                            return settle(existing, ServiceAnswer.of(end, sink.bytes(), true));
+                            components.metrics().claim("replayed");
+                            return settle(existing, ServiceAnswer.of(result, sink.bytes(), true));
                         },
-                        parts.executor());
+                        components.executor());
     }
 
     /**
-     * Asks again when a connection is lost, as the question can be repeated without harm. Failure without it: a
-     * pooled connection has gone silent, and the resend is told that the outcome is unknown although the side would
-     * have answered over a fresh one.
+     * Resolves an attempt, and resends the request when a connection is lost, since it is idempotent. Without this, a
+     * stale pooled connection makes a resend of the call fail as unknown although the side would answer over a new
+     * connection.
      */
     private CompletableFuture<ResolveAnswer> resolve(Side side, ClaimRecord record, boolean withdraw) {
-        ResolveRequest question = new ResolveRequest(record.attemptId(), withdraw, record.sideEpoch());
-        return resolve(side, question, MAXIMUM_QUESTIONS - 1);
+        ResolveRequest resolveRequest = new ResolveRequest(record.attemptId(), withdraw, record.sideEpoch());
+        return resolve(side, resolveRequest, MAXIMUM_RESOLVE_SENDS - 1);
     }
 
-    private CompletableFuture<ResolveAnswer> resolve(Side side, ResolveRequest question, int questionsLeft) {
+    private CompletableFuture<ResolveAnswer> resolve(Side side, ResolveRequest resolveRequest, int resendsLeft) {
         CompletableFuture<ResolveAnswer> answer =
-                parts.connections().to(side.address()).resolve(question);
-        return questionsLeft == 0
+                components.connections().to(side.address()).resolve(resolveRequest);
+        return resendsLeft == 0
                 ? answer
-                : answer.exceptionallyCompose(failure -> resolve(side, question, questionsLeft - 1));
+                : answer.exceptionallyCompose(failure -> resolve(side, resolveRequest, resendsLeft - 1));
     }
 
     private CallFailure inProgress(String message) {
         return CallFailure.of(FailureCode.IN_PROGRESS, key, message, Execution.UNKNOWN)
-                .withRetryAfterMillis(IN_PROGRESS_RETRY_MILLIS);
+                .withRetryAfterMillis(IN_PROGRESS_RETRY_AFTER_MILLIS);
     }
 
     private CallFailure outcomeUnknown(String reason) {
-        String message = reason + "; whether it ran is unknown and it is not run again under this key";
+        String message = reason + "; whether it ran is unknown, and it is not run again under this key";
         return CallFailure.of(FailureCode.OUTCOME_UNKNOWN, key, message, Execution.UNKNOWN);
     }
 
-    private CallFailure tableOut() {
-        parts.metrics().claim("table_out");
-        String message = "the platform's table service does not answer, so nothing was handed on by this request;"
+    private CallFailure tableUnavailable() {
+        components.metrics().claim("table_out");
+        String message = "the platform's table service does not answer, so this request was not sent to any side;"
                 + " an earlier request with the same key may have run";
-        return parts.withComeBack(CallFailure.of(FailureCode.TABLE_OUT, key, message, known));
+        return components.withRetryAfter(CallFailure.of(FailureCode.TABLE_OUT, key, message, knownExecution));
     }
 
     private CallFailure noTarget() {
-        return parts.noTarget(request.service()).withExecution(known);
+        return components.noTarget(request.service()).withExecution(knownExecution);
     }
 
     private <T> CompletableFuture<T> fail(CallFailure failure) {
--- a/src/main/java/io/waxwingquay/entry/EntryNode.java
+++ b/src/main/java/io/waxwingquay/entry/EntryNode.java
@@ -35,54 +35,56 @@
 import org.eclipse.jetty.util.thread.QueuedThreadPool;
 
 /**
- * An entry process: the callers' HTTP with admission, routing and claims behind it. It does not own the
+ * Runs an entry process: the HTTP server for callers, with admission control, routing and claims. It does not own the
  * collaborators that it was built with and does not close them.
  */
 public final class EntryNode implements AutoCloseable {
 
     private static final System.Logger LOG = System.getLogger("waxwingquay.entry");
-    private static final int FLOW_THREADS = 4;
+    private static final int DISPATCH_THREADS = 4;
     private static final int HTTP_THREADS = 24;
     private static final int RETRY_BURST = 20;
-    private static final long FIRST_BACKOFF_MILLIS = 20;
+    private static final long INITIAL_BACKOFF_MILLIS = 20;
     private static final long MAXIMUM_BACKOFF_MILLIS = 1_000;
-    private static final long MINIMUM_COME_BACK_MILLIS = 250;
-    private static final long MAXIMUM_COME_BACK_MILLIS = 10_000;
-    private static final long IDLE_MARGIN_MILLIS = 30_000;
-    private static final long FORGET_EVERY_MILLIS = 30_000;
+    private static final long MINIMUM_RETRY_AFTER_MILLIS = 250;
+    private static final long MAXIMUM_RETRY_AFTER_MILLIS = 10_000;
+    private static final long IDLE_TIMEOUT_MARGIN_MILLIS = 30_000;
+    private static final long LOAD_BOARD_PRUNE_INTERVAL_MILLIS = 30_000;
 
     private final ScheduledThreadPoolExecutor executor;
     private final DrainGate gate = new DrainGate();
-    private final LoadTracker board = new LoadTracker();
+    private final LoadTracker loadBoard = new LoadTracker();
     private final AtomicBoolean closed = new AtomicBoolean();
-    private final EntryParts parts;
-    private final OutcomeWriter outcomes;
+    private final EntryComponents components;
+    private final OutcomeWriter outcomeWriter;
     private final Server server;
     private final ServerConnector connector;
 
     private EntryNode(Builder builder) {
-        this.executor = new ScheduledThreadPoolExecutor(FLOW_THREADS, EntryNode::daemon);
+        this.executor = new ScheduledThreadPoolExecutor(DISPATCH_THREADS, EntryNode::daemonThread);
         this.executor.setRemoveOnCancelPolicy(true);
-        this.parts = parts(builder);
-        GroupCommitter committer = new GroupCommitter(builder.table, builder.settings.claimBatch(), executor);
-        ClaimStore store = new ClaimStore(committer);
-        this.outcomes = new OutcomeWriter(parts, store, gate);
-        ServiceFlow services = new ServiceFlow(parts, store, outcomes);
+        this.components = components(builder);
+        GroupCommitter committer =
+                new GroupCommitter(builder.table, builder.configuration.maximumClaimBatchSize(), executor);
+        ClaimStore claimStore = new ClaimStore(committer);
+        this.outcomeWriter = new OutcomeWriter(components, claimStore, gate);
+        ServiceDispatcher serviceDispatcher = new ServiceDispatcher(components, claimStore, outcomeWriter);
         this.server = new Server(httpThreads());
-        this.connector = connector(builder.settings);
+        this.connector = connector(builder.configuration);
         server.addConnector(connector);
-        server.setHandler(new CallersHandler(parts, builder.bundles, gate, new ModelFlow(parts), services));
+        server.setHandler(new CallerHandler(
+                components, builder.bundles, gate, new ModelDispatcher(components), serviceDispatcher));
         executor.scheduleWithFixedDelay(
-                () -> forgetGoneSides(builder.membership),
-                FORGET_EVERY_MILLIS,
-                FORGET_EVERY_MILLIS,
+                () -> pruneLoadBoard(builder.membership),
+                LOAD_BOARD_PRUNE_INTERVAL_MILLIS,
+                LOAD_BOARD_PRUNE_INTERVAL_MILLIS,
                 TimeUnit.MILLISECONDS);
     }
 
     /**
-     * Starts to build an entry process.
+     * Returns a builder of an entry process.
      *
-     * @return a builder.
+     * @return a new builder.
      */
     public static Builder builder() {
         return new Builder();
@@ -92,7 +94,7 @@
      * Starts to listen for callers.
      *
      * @return this process.
-     * @throws EntryException if the address cannot be listened on.
+     * @throws EntryException if the address cannot be bound.
      */
     public EntryNode start() {
         try {
@@ -106,25 +108,25 @@
     }
 
     /**
-     * Where callers reach it.
+     * Returns the address on which this process listens for callers.
      *
-     * @return the address, with the port in use.
+     * @return the address, with the actual port.
      */
     public HostPort address() {
         return new HostPort(connector.getHost(), connector.getLocalPort());
     }
 
     /**
-     * Load of the side processes as this process knows it, for dumps.
+     * Returns the load of the side processes as known to this process, for dumps.
      *
-     * @return the board.
+     * @return the load board.
      */
     public LoadTracker loadBoard() {
-        return board;
+        return loadBoard;
     }
 
     /**
-     * How many requests, and outcomes still to be recorded, are in flight.
+     * Returns the number of requests in flight and of outcomes still to be recorded.
      *
      * @return the number.
      */
@@ -133,33 +135,33 @@
     }
 
     /**
-     * What is left of the retry budget, for dumps.
+     * Returns the remaining retry budget, for dumps.
      *
-     * @return retries that may be sent now.
+     * @return the number of retries that may be sent now.
      */
     public double retriesLeft() {
-        return parts.retryBudget().availableRetries();
+        return components.retryBudget().availableRetries();
     }
 
     /**
-     * Outcomes of claimed calls that are still to be recorded in the table, for dumps.
+     * Returns the number of outcomes of claimed calls that are still to be recorded in the table, for dumps.
      *
      * @return the number.
      */
     public int pendingOutcomes() {
-        return outcomes.pending();
+        return outcomeWriter.pending();
     }
 
     /**
-     * Refuses new requests, waits for those in flight, and closes.
+     * Rejects new requests, waits for those in flight, and closes this process.
      *
-     * @param limitMillis the longest wait.
-     * @return whether everything in flight was finished.
+     * @param limitMillis the maximum wait.
+     * @return whether all requests in flight were finished.
      */
     public CompletableFuture<Boolean> drain(long limitMillis) {
         LOG.log(System.Logger.Level.INFO, "entry: draining, {0} in flight.", gate.inside());
         return gate.close()
-                .thenApply(done -> true)
+                .thenApply(drained -> true)
                 .completeOnTimeout(false, limitMillis, TimeUnit.MILLISECONDS)
                 .thenApplyAsync(finished -> {
                     close();
@@ -176,25 +178,25 @@
         try {
             server.stop();
         } catch (Exception failure) {
-            LOG.log(System.Logger.Level.WARNING, "entry: HTTP server did not stop cleanly.", failure);
+            LOG.log(System.Logger.Level.WARNING, "entry: the HTTP server did not stop cleanly.", failure);
         } finally {
             executor.shutdownNow();
         }
     }
 
-    private EntryParts parts(Builder builder) {
-        EntryLimits settings = builder.settings;
-        return new EntryParts(
-                settings,
+    private EntryComponents components(Builder builder) {
+        EntryConfiguration configuration = builder.configuration;
+        return new EntryComponents(
+                configuration,
                 builder.membership,
                 builder.connections,
-                board,
+                loadBoard,
                 new SideIndex.Cache(),
-                new Router(RoutingPolicy.named(settings.policy())),
-                RetryBudget.of(settings.retryShare(), RETRY_BURST),
-                new Backoff(FIRST_BACKOFF_MILLIS, MAXIMUM_BACKOFF_MILLIS),
+                new Router(RoutingPolicy.named(configuration.routingPolicy())),
+                RetryBudget.of(configuration.retryShare(), RETRY_BURST),
+                new Backoff(INITIAL_BACKOFF_MILLIS, MAXIMUM_BACKOFF_MILLIS),
                 new RetryAfterEstimator(
-                        MINIMUM_COME_BACK_MILLIS, MAXIMUM_COME_BACK_MILLIS, builder.clock.monotonicMillis()),
+                        MINIMUM_RETRY_AFTER_MILLIS, MAXIMUM_RETRY_AFTER_MILLIS, builder.clock.monotonicMillis()),
                 builder.clock,
                 builder.random,
                 executor,
@@ -202,18 +204,19 @@
                 builder.suspects);
     }
 
-    private void forgetGoneSides(Membership membership) {
-        board.retain(membership.sides().stream().map(Side::id).collect(Collectors.toSet()));
+    private void pruneLoadBoard(Membership membership) {
+        loadBoard.retain(membership.sides().stream().map(Side::id).collect(Collectors.toSet()));
     }
 
-    private ServerConnector connector(EntryLimits settings) {
-        HttpConfiguration http = new HttpConfiguration();
-        http.setSendServerVersion(false);
-        ServerConnector listening = new ServerConnector(server, 1, 1, new HttpConnectionFactory(http));
-        listening.setHost(settings.host());
-        listening.setPort(settings.port());
-        listening.setIdleTimeout(settings.maximumDeadlineMillis() + IDLE_MARGIN_MILLIS);
-        return listening;
+    private ServerConnector connector(EntryConfiguration configuration) {
+        HttpConfiguration httpConfiguration = new HttpConfiguration();
+        httpConfiguration.setSendServerVersion(false);
+        ServerConnector serverConnector =
+                new ServerConnector(server, 1, 1, new HttpConnectionFactory(httpConfiguration));
+        serverConnector.setHost(configuration.host());
+        serverConnector.setPort(configuration.port());
+        serverConnector.setIdleTimeout(configuration.maximumDeadlineMillis() + IDLE_TIMEOUT_MARGIN_MILLIS);
+        return serverConnector;
     }
 
     private static QueuedThreadPool httpThreads() {
@@ -223,16 +226,16 @@
         return threads;
     }
 
-    private static Thread daemon(Runnable work) {
+    private static Thread daemonThread(Runnable work) {
         Thread thread = new Thread(work, "entry-flow");
         thread.setDaemon(true);
         return thread;
     }
 
-    /** Gathers what an entry process works with. */
+    /** Builds an entry process from its collaborators. */
     public static final class Builder {
 
-        private EntryLimits settings;
+        private EntryConfiguration configuration;
         private BundleSource bundles;
         private Membership membership;
         private Connections connections;
@@ -246,18 +249,18 @@
         private Builder() {}
 
         /**
-         * Sets what the process is told at its start.
+         * Sets the configuration.
          *
-         * @param value the settings.
+         * @param value the configuration.
          * @return this builder.
          */
-        public Builder settings(EntryLimits value) {
-            this.settings = value;
+        public Builder configuration(EntryConfiguration value) {
+            this.configuration = value;
             return this;
         }
 
         /**
-         * Sets where the bundle in force comes from.
+         * Sets the source of the bundle in force.
          *
          * @param value the source.
          * @return this builder.
@@ -268,7 +271,7 @@
         }
 
         /**
-         * Sets what is known of the side processes.
+         * Sets the membership of the side processes.
          *
          * @param value the membership.
          * @return this builder.
@@ -279,7 +282,7 @@
         }
 
         /**
-         * Sets how side processes are reached.
+         * Sets the connections to side processes.
          *
          * @param value the connections.
          * @return this builder.
@@ -301,7 +304,7 @@
         }
 
         /**
-         * Sets where metrics go.
+         * Sets the registry of the metrics.
          *
          * @param value the registry.
          * @return this builder.
@@ -312,7 +315,7 @@
         }
 
         /**
-         * Sets the time; the machine's by default.
+         * Sets the clock; the system clock by default.
          *
          * @param value the clock.
          * @return this builder.
@@ -323,9 +326,9 @@
         }
 
         /**
-         * Sets the source of choices, which must be safe for concurrent use.
+         * Sets the random generator, which must be safe for concurrent use.
          *
-         * @param value the source.
+         * @param value the generator.
          * @return this builder.
          */
         public Builder random(RandomGenerator value) {
@@ -334,7 +337,8 @@
         }
 
         /**
-         * Sets the book by which quarantined completions are refused here; without it only the sides refuse them.
+         * Sets the suspect book by which this process rejects quarantined completions. Without it, only the sides
+         * reject them.
          *
          * @param value the book.
          * @return this builder.
@@ -345,12 +349,12 @@
         }
 
         /**
-         * Builds the process; it listens only once started.
+         * Builds the process, which listens once it is started.
          *
          * @return the process.
          */
         public EntryNode build() {
-            Objects.requireNonNull(settings, "settings");
+            Objects.requireNonNull(configuration, "settings");
             Objects.requireNonNull(bundles, "bundles");
             Objects.requireNonNull(membership, "membership");
             Objects.requireNonNull(connections, "connections");
--- a/src/main/java/io/waxwingquay/entry/RequestReader.java
+++ b/src/main/java/io/waxwingquay/entry/RequestReader.java
@@ -14,53 +14,54 @@
 import org.apache.commons.codec.digest.MurmurHash3;
 
 /**
- * Turns what a caller sent into a valid request, or into a {@link CallFailure} that names the element at fault.
+ * Parses and validates the requests of callers. An invalid one fails with a {@link CallFailure} that names the element.
  *
- * @param settings limits and defaults.
+ * @param configuration the limits and defaults.
  */
-public record RequestReader(EntryLimits settings) {
+public record RequestReader(EntryConfiguration configuration) {
 
-    /** Header with the request's identity. */
-    public static final String REQUEST_ID = "X-Request-Id";
+    /** Name of the header with the request id. */
+    public static final String REQUEST_ID_HEADER = "X-Request-Id";
 
-    /** Header with the budget in milliseconds. */
-    public static final String DEADLINE = "X-Deadline-Millis";
+    /** Name of the header with the time to the deadline in milliseconds. */
+    public static final String DEADLINE_HEADER = "X-Deadline-Millis";
 
-    /** Header with the idempotency key. */
-    public static final String IDEMPOTENCY_KEY = "Idempotency-Key";
+    /** Name of the header with the idempotency key. */
+    public static final String IDEMPOTENCY_KEY_HEADER = "Idempotency-Key";
 
-    private static final int MAXIMUM_ID_LENGTH = 200;
+    private static final int MAXIMUM_ID_CHARACTERS = 200;
     private static final int PREFIX_CHARACTERS = 256;
     private static final int MAXIMUM_TOKENS = 1_000_000;
     private static final char SEPARATOR = '\u0000';
 
     /**
-     * Reads the headers that every request has.
+     * Parses the headers that are common to all requests.
      *
-     * @param requestId the identity the caller gave, or {@code null}.
-     * @param budget the budget the caller gave, or {@code null}.
+     * @param requestId the request id that the caller sent, or {@code null}.
+     * @param deadline the deadline header that the caller sent, or {@code null}.
      * @param nowMillis the monotonic time of arrival.
      * @return the context.
      */
-    public CallContext context(String requestId, String budget, long nowMillis) {
-        long budgetMillis = budget == null ? settings.defaultDeadlineMillis() : budgetMillis(budget.trim());
-        return new CallContext(requestId(requestId), nowMillis, nowMillis + budgetMillis);
+    public CallContext context(String requestId, String deadline, long nowMillis) {
+        long deadlineMillis =
+                deadline == null ? configuration.defaultDeadlineMillis() : parseDeadlineMillis(deadline.trim());
+        return new CallContext(requestId(requestId), nowMillis, nowMillis + deadlineMillis);
     }
 
     /**
-     * The request's identity; made up if the caller gave none.
+     * Returns the request id: the one that the caller sent, truncated to the maximum length, or else a random one.
      *
-     * @param given what the caller gave, or {@code null}.
-     * @return the identity.
+     * @param callerRequestId the request id that the caller sent, or {@code null}.
+     * @return the request id.
      */
-    public static String requestId(String given) {
-        return given == null || given.isBlank()
+    public static String requestId(String callerRequestId) {
+        return callerRequestId == null || callerRequestId.isBlank()
                 ? UUID.randomUUID().toString()
-                : given.substring(0, Math.min(MAXIMUM_ID_LENGTH, given.length()));
+                : callerRequestId.substring(0, Math.min(MAXIMUM_ID_CHARACTERS, callerRequestId.length()));
     }
 
     /**
-     * Reads a completion.
+     * Parses a completion.
      *
      * @param context identity and deadline.
      * @param body the body.
@@ -68,40 +69,40 @@
      * @return the request.
      */
     public ModelRequest completion(CallContext context, byte[] body, Bundle bundle) {
-        CompletionBody sent = parse(body);
-        require(sent.model(), "model");
-        require(sent.prompt(), "prompt");
-        Bundle.Model model = bundle.model(sent.model())
-                .orElseThrow(() -> CallFailure.refused(
+        CompletionBody parsed = parse(body);
+        require(parsed.model(), "model");
+        require(parsed.prompt(), "prompt");
+        Bundle.Model model = bundle.model(parsed.model())
+                .orElseThrow(() -> CallFailure.rejected(
                         FailureCode.UNKNOWN_MODEL,
-                        sent.model(),
-                        "no bundle names model '" + sent.model() + "'; ask for a model of the bundle in force"));
-        int maxTokens = sent.maxTokens().orElseThrow(() -> missing("max_tokens"));
+                        parsed.model(),
+                        "no bundle names model '" + parsed.model() + "'; use a model of the bundle in force"));
+        int maxTokens = parsed.maxTokens().orElseThrow(() -> missing("max_tokens"));
         if (maxTokens < 1 || maxTokens > MAXIMUM_TOKENS) {
-            throw CallFailure.refused(
+            throw CallFailure.rejected(
                     FailureCode.BAD_VALUE, "max_tokens", "max_tokens must be between 1 and " + MAXIMUM_TOKENS);
         }
         List<String> items = new ArrayList<>(List.of(model.item()));
-        sent.adapter().ifPresent(adapter -> items.add(adapterItem(bundle, sent.model(), adapter)));
-        String identity = sent.model() + SEPARATOR + sent.adapter().orElse("") + SEPARATOR;
-        String prefix = sent.prompt()
-                .substring(0, Math.min(PREFIX_CHARACTERS, sent.prompt().length()));
+        parsed.adapter().ifPresent(adapter -> items.add(adapterItem(bundle, parsed.model(), adapter)));
+        String target = parsed.model() + SEPARATOR + parsed.adapter().orElse("") + SEPARATOR;
+        String prefix = parsed.prompt()
+                .substring(0, Math.min(PREFIX_CHARACTERS, parsed.prompt().length()));
         return new ModelRequest(
                 context,
                 model.service(),
-                sent.model(),
-                sent.adapter(),
+                parsed.model(),
+                parsed.adapter(),
                 List.copyOf(items),
-                sent.prompt(),
+                parsed.prompt(),
                 maxTokens,
-                sent.priority().orElse(model.priority()),
-                sent.stream().orElse(false),
-                hash(identity + maxTokens + SEPARATOR + sent.prompt()),
-                hash(identity + prefix));
+                parsed.priority().orElse(model.priority()),
+                parsed.stream().orElse(false),
+                hash(target + maxTokens + SEPARATOR + parsed.prompt()),
+                hash(target + prefix));
     }
 
     /**
-     * Reads a call to a plain service.
+     * Parses a call to a plain service.
      *
      * @param context identity and deadline.
      * @param service the service named by the path.
@@ -115,48 +116,50 @@
             CallContext context, String service, String operation, String key, byte[] body, Bundle bundle) {
         bundle.service(service)
                 .filter(found -> found.kind() == Bundle.Kind.PLAIN)
-                .orElseThrow(() -> CallFailure.refused(
+                .orElseThrow(() -> CallFailure.rejected(
                         FailureCode.UNKNOWN_SERVICE, service, "no bundle names plain service '" + service + "'"));
         Bundle.Operation declared = bundle.operation(service, operation)
-                .orElseThrow(() -> CallFailure.refused(
+                .orElseThrow(() -> CallFailure.rejected(
                         FailureCode.UNKNOWN_OPERATION,
                         operation,
                         "no bundle names operation '" + operation + "' of service '" + service + "'"));
         checkJson(body);
         Optional<String> idempotencyKey = Optional.ofNullable(key).filter(text -> !text.isBlank());
         if (declared.nonIdempotent() && idempotencyKey.isEmpty()) {
-            throw CallFailure.refused(
+            throw CallFailure.rejected(
                     FailureCode.MISSING_IDEMPOTENCY_KEY,
-                    IDEMPOTENCY_KEY,
-                    "operation '" + operation + "' runs at most once; send the header " + IDEMPOTENCY_KEY
-                            + " with a key of your own, the same on a resend");
+                    IDEMPOTENCY_KEY_HEADER,
+                    "operation '" + operation + "' runs at most once; send the header " + IDEMPOTENCY_KEY_HEADER
+                            + " with a unique key, and the same key on a resend");
         }
-        if (idempotencyKey.filter(text -> text.length() > MAXIMUM_ID_LENGTH).isPresent()) {
-            throw CallFailure.refused(
-                    FailureCode.BAD_VALUE, IDEMPOTENCY_KEY, "the key is longer than " + MAXIMUM_ID_LENGTH);
+        if (idempotencyKey.filter(text -> text.length() > MAXIMUM_ID_CHARACTERS).isPresent()) {
+            throw CallFailure.rejected(
+                    FailureCode.BAD_VALUE, IDEMPOTENCY_KEY_HEADER, "the key is longer than " + MAXIMUM_ID_CHARACTERS);
         }
         long fingerprint = hash(service + SEPARATOR + operation + SEPARATOR + new String(body, StandardCharsets.UTF_8));
         return new ServiceRequest(
                 context, service, operation, body, idempotencyKey, declared.nonIdempotent(), fingerprint);
     }
 
-    private long budgetMillis(String text) {
+    private long parseDeadlineMillis(String text) {
         long millis;
         try {
             millis = Long.parseLong(text);
         } catch (NumberFormatException failure) {
-            throw CallFailure.refused(
+            throw CallFailure.rejected(
                     FailureCode.BAD_DEADLINE,
-                    DEADLINE,
+                    DEADLINE_HEADER,
                     "'" + text + "' is not a whole number of milliseconds; write for example 2000");
         }
         if (millis <= 0) {
-            throw CallFailure.refused(
-                    FailureCode.DEADLINE, DEADLINE, "the deadline is already past; send a budget above 0");
+            throw CallFailure.rejected(
+                    FailureCode.DEADLINE, DEADLINE_HEADER, "the deadline has already passed; send a value above 0");
         }
-        if (millis > settings.maximumDeadlineMillis()) {
-            throw CallFailure.refused(
-                    FailureCode.BAD_DEADLINE, DEADLINE, "the largest budget is " + settings.maximumDeadlineMillis());
+        if (millis > configuration.maximumDeadlineMillis()) {
+            throw CallFailure.rejected(
+                    FailureCode.BAD_DEADLINE,
+                    DEADLINE_HEADER,
+                    "the largest value is " + configuration.maximumDeadlineMillis());
         }
         return millis;
     }
@@ -165,42 +168,42 @@
         try {
             CompletionBody parsed = Json.MAPPER.readValue(body, CompletionBody.class);
             if (parsed == null) {
-                throw CallFailure.refused(FailureCode.MALFORMED_BODY, "body", "the body must be a JSON object");
+                throw CallFailure.rejected(FailureCode.MALFORMED_BODY, "body", "the body must be a JSON object");
             }
             return parsed;
         } catch (UnrecognizedPropertyException failure) {
             String field = failure.getPropertyName();
-            throw CallFailure.refused(
+            throw CallFailure.rejected(
                     FailureCode.UNKNOWN_FIELD,
                     field,
                     "field '" + field
-                            + "' is unknown; take it out (known: model, adapter, prompt, max_tokens, stream, priority)");
+                            + "' is unknown; remove it (known: model, adapter, prompt, max_tokens, stream, priority)");
         } catch (MismatchedInputException failure) {
             String element = failure.getPath().isEmpty()
                     ? "body"
                     : failure.getPath().get(0).getFieldName();
-            throw CallFailure.refused(FailureCode.MALFORMED_BODY, element, "'" + element + "' has the wrong type");
+            throw CallFailure.rejected(FailureCode.MALFORMED_BODY, element, "'" + element + "' has the wrong type");
         } catch (JsonProcessingException failure) {
-            throw CallFailure.refused(
+            throw CallFailure.rejected(
                     FailureCode.MALFORMED_BODY, "body", "the body is not JSON: " + failure.getOriginalMessage());
         } catch (IOException failure) {
-            throw CallFailure.refused(FailureCode.MALFORMED_BODY, "body", "the body could not be read");
+            throw CallFailure.rejected(FailureCode.MALFORMED_BODY, "body", "the body cannot be read");
         }
     }
 
     private static void checkJson(byte[] body) {
         try {
             if (Json.MAPPER.readTree(body).isMissingNode()) {
-                throw CallFailure.refused(FailureCode.MALFORMED_BODY, "body", "the body is empty; send JSON");
+                throw CallFailure.rejected(FailureCode.MALFORMED_BODY, "body", "the body is empty; send JSON");
             }
         } catch (IOException failure) {
-            throw CallFailure.refused(FailureCode.MALFORMED_BODY, "body", "the body is not JSON");
+            throw CallFailure.rejected(FailureCode.MALFORMED_BODY, "body", "the body is not JSON");
         }
     }
 
     private static String adapterItem(Bundle bundle, String model, String adapter) {
         return bundle.adapter(model, adapter)
-                .orElseThrow(() -> CallFailure.refused(
+                .orElseThrow(() -> CallFailure.rejected(
                         FailureCode.UNKNOWN_ADAPTER,
                         adapter,
                         "no bundle names adapter '" + adapter + "' of model '" + model + "'"))
@@ -214,7 +217,7 @@
     }
 
     private static CallFailure missing(String field) {
-        return CallFailure.refused(
+        return CallFailure.rejected(
                 FailureCode.MALFORMED_BODY, field, "field '" + field + "' is missing or empty; add it");
     }
 
--- a/src/main/java/io/waxwingquay/entry/ServiceAnswer.java
+++ b/src/main/java/io/waxwingquay/entry/ServiceAnswer.java
@@ -1,10 +1,10 @@
 package io.waxwingquay.entry;
 
 /**
- * The answer of a plain service.
+ * Represents the answer of a plain service.
  *
- * @param status its HTTP status.
- * @param contentType the body's media type.
+ * @param status the HTTP status.
+ * @param contentType the media type of the body.
  * @param body the body.
  * @param replayed whether it is the recorded answer of an earlier run.
  */
@@ -12,9 +12,9 @@
 
     private static final int OK = 200;
 
-    static ServiceAnswer of(AttemptEnd end, byte[] body, boolean replayed) {
-        int status = end.statusCode() == 0 ? OK : end.statusCode();
-        String contentType = end.contentType().isEmpty() ? "application/json" : end.contentType();
+    static ServiceAnswer of(AttemptResult result, byte[] body, boolean replayed) {
+        int status = result.statusCode() == 0 ? OK : result.statusCode();
+        String contentType = result.contentType().isEmpty() ? "application/json" : result.contentType();
         return new ServiceAnswer(status, contentType, body, replayed);
     }
 }
--- a/src/main/java/io/waxwingquay/entry/StreamAssembler.java
+++ b/src/main/java/io/waxwingquay/entry/StreamAssembler.java
@@ -6,48 +6,48 @@
 import java.util.TreeMap;
 
 /**
- * Puts the pieces of one answer in order. Pieces that were seen are dropped, and pieces that came early are
- * held until the gap before them is filled. Not safe for concurrent use.
+ * Reorders the chunks of one answer. Duplicate chunks are dropped, and chunks that arrive early are buffered until the
+ * gap before them is filled. Not safe for concurrent use.
  */
 public final class StreamAssembler {
 
-    private static final int MAXIMUM_HELD = 256;
+    private static final int MAXIMUM_EARLY_CHUNKS = 256;
 
-    private final TreeMap<Long, Chunk> held = new TreeMap<>();
+    private final TreeMap<Long, Chunk> earlyChunks = new TreeMap<>();
     private long nextOffset;
 
     /**
-     * Takes pieces in any order.
+     * Accepts chunks in any order.
      *
-     * @param chunks the pieces.
-     * @return the pieces that are now next in order.
+     * @param chunks the chunks.
+     * @return the chunks that are now next in order.
      */
     public List<Chunk> accept(List<Chunk> chunks) {
-        chunks.forEach(this::hold);
+        chunks.forEach(this::buffer);
         List<Chunk> ready = new ArrayList<>();
-        for (Chunk next = held.remove(nextOffset); next != null; next = held.remove(nextOffset)) {
+        for (Chunk next = earlyChunks.remove(nextOffset); next != null; next = earlyChunks.remove(nextOffset)) {
             ready.add(next);
             nextOffset += next.getUnits();
         }
-        held.headMap(nextOffset, false).clear();
+        earlyChunks.headMap(nextOffset, false).clear();
         return ready;
     }
 
     /**
-     * The offset wanted next.
+     * Returns the next expected offset.
      *
-     * @return the offset after the last piece in order.
+     * @return the offset after the last chunk in order.
      */
     public long nextOffset() {
         return nextOffset;
     }
 
-    private void hold(Chunk chunk) {
+    private void buffer(Chunk chunk) {
         if (chunk.getOffset() >= nextOffset && chunk.getUnits() > 0) {
-            held.putIfAbsent(chunk.getOffset(), chunk);
+            earlyChunks.putIfAbsent(chunk.getOffset(), chunk);
         }
-        if (held.size() > MAXIMUM_HELD) {
-            held.pollLastEntry();
+        if (earlyChunks.size() > MAXIMUM_EARLY_CHUNKS) {
+            earlyChunks.pollLastEntry();
         }
     }
 }
--- a/src/main/java/io/waxwingquay/explain/EndedRequest.java
+++ b/src/main/java/io/waxwingquay/explain/EndedRequest.java
@@ -7,36 +7,36 @@
 import java.util.regex.Pattern;
 
 /**
- * How one request ended, as an entry logged it.
+ * Describes how a request ended, as parsed from a log line of an entry.
  *
- * @param arrivedMillis when it came to its entry, in Unix time.
+ * @param arrivedAtMillis when it arrived at its entry, in Unix time.
  * @param route the name of its route.
- * @param model the model and adapter asked for; empty text for a plain service.
- * @param status the status that its caller got; 0 if it got no whole answer.
- * @param waitedMillis how long it waited in the entry before it was sent to a replica.
- * @param firstMillis how long its caller waited for the first event, or for a plain answer as a whole.
- * @param pauseMillis the longest pause between two events.
- * @param objectiveMillis the time aimed at for the first event; 0 if the route has none.
- * @param pauseObjectiveMillis the pause aimed at; 0 if the route has none.
- * @param why what decided it.
+ * @param model the requested model and adapter; an empty string for a plain service.
+ * @param status the HTTP status of the answer; 0 if the caller got no complete answer.
+ * @param entryWaitMillis how long it was queued in the entry before it was sent to a replica.
+ * @param firstEventMillis the time to the first event, or to the complete answer if it is not a stream.
+ * @param longestPauseMillis the longest pause between two consecutive events.
+ * @param firstEventObjectiveMillis the objective for the time to the first event; 0 if the route has none.
+ * @param pauseObjectiveMillis the objective for the longest pause; 0 if the route has none.
+ * @param reason the reason that the entry logged for the outcome.
  */
 public record EndedRequest(
-        long arrivedMillis,
+        long arrivedAtMillis,
         String route,
         String model,
         int status,
-        long waitedMillis,
-        long firstMillis,
-        long pauseMillis,
-        long objectiveMillis,
+        long entryWaitMillis,
+        long firstEventMillis,
+        long longestPauseMillis,
+        long firstEventObjectiveMillis,
         long pauseObjectiveMillis,
-        String why) {
+        String reason) {
 
-    static final int CALLER_ERROR = 400;
-    static final int SERVER_ERROR = 500;
-    private static final int REFUSED = 503;
-    private static final int SUCCESS = 200;
-    private static final int REDIRECT = 300;
+    static final int FIRST_CLIENT_ERROR = 400;
+    static final int FIRST_SERVER_ERROR = 500;
+    private static final int SERVICE_UNAVAILABLE = 503;
+    private static final int FIRST_SUCCESS = 200;
+    private static final int FIRST_REDIRECTION = 300;
 
     private static final Pattern LINE = Pattern.compile("(?<at>\\d{4}-\\d\\d-\\d\\dT[\\d:.]+Z) .*forward: ended id=\\S*"
             + " route=(?<route>\\S+) service=\\S+ model=(?<model>\\S*) status=(?<status>\\d+) sent=\\d+"
@@ -44,26 +44,26 @@
             + " objective_ms=(?<objective>\\d+) pause_objective_ms=(?<pauseObjective>\\d+) why=(?<why>.*)");
 
     /**
-     * Reads a log line.
+     * Parses a log line.
      *
-     * @param line the line, with anything before its time.
-     * @return the request; empty if the line tells of something else.
+     * @param line the line; any text may precede its timestamp.
+     * @return the request, or empty if the line does not record the end of a request.
      */
     public static Optional<EndedRequest> parse(String line) {
         Matcher matcher = LINE.matcher(line);
         if (!matcher.find()) {
             return Optional.empty();
         }
-        long firstMillis = number(matcher, "first");
+        long firstEventMillis = number(matcher, "first");
         long tookMillis = number(matcher, "took");
-        return instantMillis(matcher.group("at"))
+        return parseEpochMillis(matcher.group("at"))
                 .map(endedMillis -> new EndedRequest(
                         endedMillis - tookMillis,
                         matcher.group("route"),
                         matcher.group("model"),
                         (int) number(matcher, "status"),
                         number(matcher, "waited"),
-                        firstMillis > 0 ? firstMillis : tookMillis,
+                        firstEventMillis > 0 ? firstEventMillis : tookMillis,
                         number(matcher, "pause"),
                         number(matcher, "objective"),
                         number(matcher, "pauseObjective"),
@@ -74,32 +74,32 @@
         return Long.parseLong(matcher.group(group));
     }
 
-    private static Optional<Long> instantMillis(String text) {
+    private static Optional<Long> parseEpochMillis(String text) {
         try {
             return Optional.of(Instant.parse(text).toEpochMilli());
-        } catch (DateTimeParseException notATime) {
-            // A line that was cut or mixed with another one tells nothing.
+        } catch (DateTimeParseException malformed) {
+            // The line is truncated or interleaved with another one, so its values are not usable.
             return Optional.empty();
         }
     }
 
     boolean isSuccess() {
-        return status >= SUCCESS && status < REDIRECT;
+        return status >= FIRST_SUCCESS && status < FIRST_REDIRECTION;
     }
 
-    boolean isRefused() {
-        return status == REFUSED && !why.startsWith("answered by");
+    boolean isRejected() {
+        return status == SERVICE_UNAVAILABLE && !reason.startsWith("answered by");
     }
 
-    boolean isFirstLate() {
-        return isSuccess() && objectiveMillis > 0 && firstMillis > objectiveMillis;
+    boolean isFirstEventLate() {
+        return isSuccess() && firstEventObjectiveMillis > 0 && firstEventMillis > firstEventObjectiveMillis;
     }
 
     boolean isPauseLate() {
-        return isSuccess() && pauseObjectiveMillis > 0 && pauseMillis > pauseObjectiveMillis;
+        return isSuccess() && pauseObjectiveMillis > 0 && longestPauseMillis > pauseObjectiveMillis;
     }
 
-    boolean isWaitedMostlyInEntry() {
-        return 2 * waitedMillis >= firstMillis;
+    boolean isMostlyEntryWait() {
+        return 2 * entryWaitMillis >= firstEventMillis;
     }
 }
--- a/src/test/java/io/waxwingquay/claim/GroupCommitterTest.java
+++ b/src/test/java/io/waxwingquay/claim/GroupCommitterTest.java
@@ -59,18 +59,18 @@
 
     @Test
     void writeThatDidNotTakeEffectIsResent() {
-        table.failCommits(FakeTable.Fault.OUT);
+        table.failCommits(FakeTable.Fault.UNAVAILABLE);
         assertTrue(committer.commit(new Write("k", 0, "attempt-1")).join().isEmpty());
         assertEquals(2, table.commits());
     }
 
     @Test
     void outageFailsPendingWritesButNotLaterOnes() {
-        table.setOut(true);
+        table.setUnavailable(true);
         var lost = committer.commit(new Write("k", 0, "v"));
         CompletionException failure = assertThrows(CompletionException.class, lost::join);
         assertTrue(failure.getCause() instanceof PlatformException.Unavailable);
-        table.setOut(false);
+        table.setUnavailable(false);
         assertTrue(committer.commit(new Write("k", 0, "v")).join().isEmpty());
     }
 
