--- a/src/main/java/io/waxwingquay/bench/LocalDeployment.java
+++ b/src/main/java/io/waxwingquay/bench/LocalDeployment.java
@@ -195,7 +195,7 @@
      */
     public Set<String> unserved(EntryProcess entry) {
         Set<String> resident = entry.membership().sides().stream()
-                .filter(side -> side.takesWork())
+                .filter(side -> side.acceptsWork())
                 .flatMap(side -> side.residentItems().stream())
                 .collect(Collectors.toSet());
         return bundle.models().stream()
@@ -328,7 +328,7 @@
 
     private boolean servesAll(EntryProcess entry) {
         Set<String> services = entry.membership().sides().stream()
-                .filter(side -> side.takesWork())
+                .filter(side -> side.acceptsWork())
                 .map(side -> side.service())
                 .collect(Collectors.toSet());
         return unserved(entry).isEmpty() && bundle.services().stream().allMatch(s -> services.contains(s.name()));
--- a/src/main/java/io/waxwingquay/bench/capacity/GossipField.java
+++ b/src/main/java/io/waxwingquay/bench/capacity/GossipField.java
@@ -204,11 +204,11 @@
             this.lastRoundMillis = nowMillis - random.nextInt(2_000);
             this.direct = new Direct(index);
             this.gossip = Gossip.over(table, peers, direct)
-                    .carrying(new SuspectTable(clock, 600_000, 100))
-                    .announcing(
+                    .withSuspects(new SuspectTable(clock, 600_000, 100))
+                    .withBundleVersion(
                             () -> bundleVersion, (version, from) -> bundleVersion = Math.max(bundleVersion, version))
-                    .deciding(clock, new Random(index))
-                    .countedBy(registry)
+                    .withClockAndRandom(clock, new Random(index))
+                    .withMeterRegistry(registry)
                     .build();
         }
 
--- a/src/main/java/io/waxwingquay/common/DrainGate.java
+++ b/src/main/java/io/waxwingquay/common/DrainGate.java
@@ -62,7 +62,7 @@
      *
      * @return requests and held work.
      */
-    public long inside() {
+    public long inFlight() {
         return state.get() & ~CLOSED;
     }
 }
--- a/src/main/java/io/waxwingquay/common/HttpCalls.java
+++ b/src/main/java/io/waxwingquay/common/HttpCalls.java
@@ -64,7 +64,7 @@
      */
     public static CompletableFuture<Reply> send(Request request, long timeoutMillis) {
         CompletableFuture<Reply> future = new CompletableFuture<>();
-        Sending sending = Sending.of(request);
+        SendTracker sending = SendTracker.of(request);
         request.timeout(timeoutMillis, TimeUnit.MILLISECONDS).send(new BufferingResponseListener(MAX_REPLY_BYTES) {
             /** {@inheritDoc} */
             @Override
@@ -111,11 +111,11 @@
 
         private static final long serialVersionUID = 1L;
 
-        private final boolean sent;
+        private final boolean maybeSent;
 
         Failure(boolean sent, String message, Throwable cause) {
             super(message, cause);
-            this.sent = sent;
+            this.maybeSent = sent;
         }
 
         /**
@@ -123,8 +123,8 @@
          *
          * @return {@code false} only if the peer certainly saw nothing.
          */
-        public boolean sent() {
-            return sent;
+        public boolean mayHaveBeenSent() {
+            return maybeSent;
         }
     }
 
@@ -132,7 +132,7 @@
      * Whether a request was sent, decided once. Without the single decision a request that fails while it waits
      * for a connection could be reported as never sent and leave a moment later all the same.
      */
-    public static final class Sending {
+    public static final class SendTracker {
 
         private enum State {
             WAITING,
@@ -143,7 +143,7 @@
         private final AtomicReference<State> state = new AtomicReference<>(State.WAITING);
         private final String uri;
 
-        private Sending(Request request) {
+        private SendTracker(Request request) {
             this.uri = String.valueOf(request.getURI());
         }
 
@@ -153,8 +153,8 @@
          * @param request the request.
          * @return its sending state.
          */
-        public static Sending of(Request request) {
-            Sending sending = new Sending(request);
+        public static SendTracker of(Request request) {
+            SendTracker sending = new SendTracker(request);
             request.onRequestBegin(sending::begin);
             return sending;
         }
@@ -176,7 +176,7 @@
          *
          * @param request the request.
          */
-        public void giveUpUnsent(Request request) {
+        public void abortIfUnsent(Request request) {
             if (state.compareAndSet(State.WAITING, State.GIVEN_UP)) {
                 request.abort(new TimeoutException("no connection in time"));
             }
--- a/src/main/java/io/waxwingquay/engine/HttpModelEngine.java
+++ b/src/main/java/io/waxwingquay/engine/HttpModelEngine.java
@@ -50,10 +50,10 @@
         Request request =
                 HttpCalls.json(request(HttpMethod.POST, "/generations"), new StreamRequest(generation, fromOffset));
         request.idleTimeout(inactivityMillis, TimeUnit.MILLISECONDS);
-        HttpCalls.Sending sending = HttpCalls.Sending.of(request);
+        HttpCalls.SendTracker sending = HttpCalls.SendTracker.of(request);
         HttpStream stream = new HttpStream(request, sending, fromOffset, listener, target);
         request.send(stream);
-        client.getScheduler().schedule(() -> sending.giveUpUnsent(request), timeoutMillis, TimeUnit.MILLISECONDS);
+        client.getScheduler().schedule(() -> sending.abortIfUnsent(request), timeoutMillis, TimeUnit.MILLISECONDS);
         return stream;
     }
 
--- a/src/main/java/io/waxwingquay/engine/HttpStream.java
+++ b/src/main/java/io/waxwingquay/engine/HttpStream.java
@@ -24,7 +24,7 @@
     private static final String DATA_PREFIX = "data:";
 
     private final Request request;
-    private final HttpCalls.Sending sending;
+    private final HttpCalls.SendTracker sending;
     private final ModelEngine.Listener listener;
     private final String target;
     private final ByteArrayOutputStream line = new ByteArrayOutputStream();
@@ -32,7 +32,11 @@
     private long nextOffset;
 
     HttpStream(
-            Request request, HttpCalls.Sending sending, long fromOffset, ModelEngine.Listener listener, String target) {
+            Request request,
+            HttpCalls.SendTracker sending,
+            long fromOffset,
+            ModelEngine.Listener listener,
+            String target) {
         this.request = request;
         this.sending = sending;
         this.nextOffset = fromOffset;
--- a/src/main/java/io/waxwingquay/engine/TargetCalls.java
+++ b/src/main/java/io/waxwingquay/engine/TargetCalls.java
@@ -21,7 +21,8 @@
     }
 
     static TargetException exception(HttpCalls.Failure failure, String target) {
-        TargetException.Kind kind = failure.sent() ? TargetException.Kind.LOST : TargetException.Kind.UNREACHABLE;
+        TargetException.Kind kind =
+                failure.mayHaveBeenSent() ? TargetException.Kind.LOST : TargetException.Kind.UNREACHABLE;
         return new TargetException(kind, target + ": " + failure.getMessage(), failure);
     }
 }
--- a/src/main/java/io/waxwingquay/entry/AttemptRunner.java
+++ b/src/main/java/io/waxwingquay/entry/AttemptRunner.java
@@ -219,7 +219,7 @@
      * attaches it to the run it has, so nothing runs twice and no piece is lost.
      */
     private void onLost(Throwable failure) {
-        boolean delivered = !(failure instanceof TransportException lost) || lost.mayBeDelivered();
+        boolean delivered = !(failure instanceof TransportException lost) || lost.mayHaveBeenDelivered();
         mayBeDelivered |= delivered;
         if (!mayBeDelivered) {
             parts.membership().noteReached(side.id(), side.epoch(), false);
--- a/src/main/java/io/waxwingquay/entry/EntryNode.java
+++ b/src/main/java/io/waxwingquay/entry/EntryNode.java
@@ -129,7 +129,7 @@
      * @return the number.
      */
     public long inFlight() {
-        return gate.inside();
+        return gate.inFlight();
     }
 
     /**
@@ -157,7 +157,7 @@
      * @return whether everything in flight was finished.
      */
     public CompletableFuture<Boolean> drain(long limitMillis) {
-        LOG.log(System.Logger.Level.INFO, "entry: draining, {0} in flight.", gate.inside());
+        LOG.log(System.Logger.Level.INFO, "entry: draining, {0} in flight.", gate.inFlight());
         return gate.close()
                 .thenApply(done -> true)
                 .completeOnTimeout(false, limitMillis, TimeUnit.MILLISECONDS)
--- a/src/main/java/io/waxwingquay/forward/NewsWriter.java
+++ b/src/main/java/io/waxwingquay/forward/NewsWriter.java
@@ -3,8 +3,8 @@
 import io.waxwingquay.common.HostPort;
 import io.waxwingquay.manifest.Engine;
 import io.waxwingquay.manifest.Manifest;
-import io.waxwingquay.peer.NewsNumber;
-import io.waxwingquay.peer.NewsPace;
+import io.waxwingquay.peer.UpdateInterval;
+import io.waxwingquay.peer.UpdateSequence;
 import io.waxwingquay.transport.generated.EntryNews;
 import io.waxwingquay.transport.generated.ModelDemand;
 import java.util.HashMap;
@@ -24,7 +24,7 @@
 
     private final TargetTable targets;
     private final DemandMeter demand;
-    private final NewsNumber number;
+    private final UpdateSequence number;
     private long toldMillis = Long.MIN_VALUE / 2;
     private boolean isHastened;
 
@@ -38,7 +38,7 @@
     NewsWriter(TargetTable targets, DemandMeter demand, long nowMillis) {
         this.targets = targets;
         this.demand = demand;
-        this.number = new NewsNumber(nowMillis);
+        this.number = new UpdateSequence(nowMillis);
     }
 
     /** Something that can't wait for the next round has changed. */
@@ -52,7 +52,7 @@
                 .filter(service -> service.engine().isPresent())
                 .mapToInt(service -> targets.sizeOf(service.name()))
                 .sum();
-        long periodMillis = NewsPace.periodMillis(engines);
+        long periodMillis = UpdateInterval.periodMillis(engines);
         long sinceMillis = nowMillis - toldMillis;
         if (sinceMillis < periodMillis && !(isHastened && sinceMillis >= periodMillis / SOONER)) {
             return uses(node, manifest, nowMillis);
--- a/src/main/java/io/waxwingquay/forward/Target.java
+++ b/src/main/java/io/waxwingquay/forward/Target.java
@@ -4,8 +4,8 @@
 import io.waxwingquay.fleet.ReplicaRecord;
 import io.waxwingquay.net.ClientPool;
 import io.waxwingquay.net.EventLoop;
-import io.waxwingquay.peer.NewsNumber;
-import io.waxwingquay.peer.NewsPace;
+import io.waxwingquay.peer.UpdateInterval;
+import io.waxwingquay.peer.UpdateSequence;
 import io.waxwingquay.transport.generated.EngineNews;
 import io.waxwingquay.transport.generated.HeldModel;
 import java.util.HashMap;
@@ -139,7 +139,7 @@
                 record.bornMillis() != 0 && newer.getBornMillis() != 0 && newer.getBornMillis() < record.bornMillis();
         boolean older = news != null
                 && newer.getBornMillis() == news.getBornMillis()
-                && NewsNumber.isOvertaken(newer.getNumber(), news.getNumber());
+                && UpdateSequence.isSuperseded(newer.getNumber(), news.getNumber());
         boolean isLoadOnly = !newer.isSetModels();
         boolean isOfUnknown = isLoadOnly && (news == null || newer.getBornMillis() != news.getBornMillis());
         if (otherLife || older || isOfUnknown) {
@@ -215,7 +215,7 @@
 
     /** How many processes the one beside the engine tells; the more, the longer its rounds take. */
     void tellers(int receivers) {
-        long roundMillis = NewsPace.periodMillis(receivers);
+        long roundMillis = UpdateInterval.periodMillis(receivers);
         freshMillis = Math.max(LEAST_FRESH_MILLIS, Math.round(FRESH_ROUNDS * roundMillis));
         silentMillis = Math.max(SILENT_MILLIS, Math.round(SILENT_ROUNDS * roundMillis));
     }
--- a/src/main/java/io/waxwingquay/membership/BundleNews.java
+++ b/src/main/java/io/waxwingquay/membership/BundleVersionListener.java
@@ -4,7 +4,7 @@
 
 /** Told when a peer has a higher bundle version than this process. */
 @FunctionalInterface
-public interface BundleNews {
+public interface BundleVersionListener {
 
     /**
      * A peer has a higher version; called at each contact until this process has it too.
@@ -12,5 +12,5 @@
      * @param version the peer's version.
      * @param from whom to fetch it from.
      */
-    void higherVersion(long version, HostPort from);
+    void onHigherVersion(long version, HostPort from);
 }
--- a/src/main/java/io/waxwingquay/membership/Gossip.java
+++ b/src/main/java/io/waxwingquay/membership/Gossip.java
@@ -41,7 +41,7 @@
     private final Rumours rumours;
     private final Connections connections;
     private final Clock clock;
-    private final Pace pace;
+    private final Timing pace;
     private volatile long urgentUntilMillis = Long.MIN_VALUE;
     private volatile long lastComparedMillis = Long.MIN_VALUE / 2;
     private volatile long lastBundleVersion;
@@ -79,8 +79,8 @@
     }
 
     /** Makes the next rounds quick, for news that must be everywhere within seconds. */
-    public void hurry() {
-        urgentUntilMillis = clock.monotonicMillis() + pace.urgentForMillis();
+    public void expedite() {
+        urgentUntilMillis = clock.monotonicMillis() + pace.urgentDurationMillis();
     }
 
     /**
@@ -91,9 +91,9 @@
     public long nextDelayMillis() {
         hurryOnNews();
         if (isUrgent()) {
-            return pace.urgentMillis();
+            return pace.urgentIntervalMillis();
         }
-        return rumours.isEmpty() ? pace.idleMillis() : pace.newsMillis();
+        return rumours.isEmpty() ? pace.idleIntervalMillis() : pace.changeIntervalMillis();
     }
 
     /**
@@ -104,7 +104,7 @@
     public CompletableFuture<Void> round() {
         hurryOnNews();
         boolean isIdle = rumours.isEmpty() && !isUrgent();
-        int fanOut = isUrgent() ? pace.urgentFanOut() : isIdle ? 1 : pace.newsFanOut();
+        int fanOut = isUrgent() ? pace.urgentFanOut() : isIdle ? 1 : pace.changeFanOut();
         List<Peers.Peer> peers;
         synchronized (parts.random()) {
             peers = parts.peers().pick(fanOut, OTHER_DATA_CENTRE_SHARE, parts.random());
@@ -193,7 +193,7 @@
 
     private boolean mayCompare() {
         long nowMillis = clock.monotonicMillis();
-        boolean isDue = nowMillis - lastComparedMillis >= pace.compareMillis();
+        boolean isDue = nowMillis - lastComparedMillis >= pace.compareIntervalMillis();
         if (isDue) {
             lastComparedMillis = nowMillis;
         }
@@ -203,7 +203,7 @@
     private void noteChange(SideRecord record) {
         rumours.add(record);
         if (Rumours.isUrgent(record)) {
-            hurry();
+            expedite();
         }
     }
 
@@ -213,7 +213,7 @@
         if (version > lastBundleVersion || suspectsHash != lastSuspectsHash) {
             lastBundleVersion = version;
             lastSuspectsHash = suspectsHash;
-            hurry();
+            expedite();
         }
     }
 
@@ -224,25 +224,25 @@
     /**
      * Intervals and fan-outs.
      *
-     * @param urgentMillis between rounds while there is urgent news.
-     * @param urgentForMillis how long news stays urgent.
+     * @param urgentIntervalMillis between rounds while there is urgent news.
+     * @param urgentDurationMillis how long news stays urgent.
      * @param urgentFanOut peers a round while urgent.
-     * @param newsMillis between rounds while there are other changes.
-     * @param newsFanOut peers a round while there are other changes.
-     * @param idleMillis between rounds when nothing is new.
-     * @param compareMillis between comparisons of buckets.
+     * @param changeIntervalMillis between rounds while there are other changes.
+     * @param changeFanOut peers a round while there are other changes.
+     * @param idleIntervalMillis between rounds when nothing is new.
+     * @param compareIntervalMillis between comparisons of buckets.
      */
-    public record Pace(
-            long urgentMillis,
-            long urgentForMillis,
+    public record Timing(
+            long urgentIntervalMillis,
+            long urgentDurationMillis,
             int urgentFanOut,
-            long newsMillis,
-            int newsFanOut,
-            long idleMillis,
-            long compareMillis) {
+            long changeIntervalMillis,
+            int changeFanOut,
+            long idleIntervalMillis,
+            long compareIntervalMillis) {
 
         /** For a few thousand processes and 9 KB/s each. */
-        public static final Pace DEFAULT = new Pace(250, 2_500, 3, 1_000, 2, 2_000, 10_000);
+        public static final Timing DEFAULT = new Timing(250, 2_500, 3, 1_000, 2, 2_000, 10_000);
 
         /**
          * The same with another interval while something urgent is new.
@@ -250,8 +250,15 @@
          * @param millis between rounds.
          * @return the changed pace.
          */
-        public Pace withUrgentMillis(long millis) {
-            return new Pace(millis, urgentForMillis, urgentFanOut, newsMillis, newsFanOut, idleMillis, compareMillis);
+        public Timing withUrgentIntervalMillis(long millis) {
+            return new Timing(
+                    millis,
+                    urgentDurationMillis,
+                    urgentFanOut,
+                    changeIntervalMillis,
+                    changeFanOut,
+                    idleIntervalMillis,
+                    compareIntervalMillis);
         }
     }
 
@@ -267,7 +274,7 @@
         // The wait is cut into urgent intervals, so that urgent news does not sit out an idle wait.
         private void schedule() {
             long dueMillis = clock.monotonicMillis();
-            scheduler.schedule(() -> wake(dueMillis), pace.urgentMillis(), TimeUnit.MILLISECONDS);
+            scheduler.schedule(() -> wake(dueMillis), pace.urgentIntervalMillis(), TimeUnit.MILLISECONDS);
         }
 
         private void wake(long sinceMillis) {
@@ -275,7 +282,7 @@
                 return;
             }
             if (clock.monotonicMillis() - sinceMillis < nextDelayMillis()) {
-                scheduler.schedule(() -> wake(sinceMillis), pace.urgentMillis(), TimeUnit.MILLISECONDS);
+                scheduler.schedule(() -> wake(sinceMillis), pace.urgentIntervalMillis(), TimeUnit.MILLISECONDS);
                 return;
             }
             runRound();
@@ -308,10 +315,10 @@
         private SuspectBook suspects;
         private MeterRegistry registry;
         private LongSupplier bundleVersion = () -> 0;
-        private BundleNews news = (version, from) -> {};
+        private BundleVersionListener news = (version, from) -> {};
         private Clock clock = Clock.SYSTEM;
         private RandomGenerator random = RandomGenerator.getDefault();
-        private Pace pace = Pace.DEFAULT;
+        private Timing pace = Timing.DEFAULT;
         private int maxRecordBytes = DEFAULT_MAX_RECORD_BYTES;
 
         private Builder(MemberTable table, Peers peers, Connections connections) {
@@ -326,7 +333,7 @@
          * @param newSuspects the suspects of this process.
          * @return this builder.
          */
-        public Builder carrying(SuspectBook newSuspects) {
+        public Builder withSuspects(SuspectBook newSuspects) {
             this.suspects = newSuspects;
             return this;
         }
@@ -338,7 +345,7 @@
          * @param newNews told of a higher one.
          * @return this builder.
          */
-        public Builder announcing(LongSupplier newBundleVersion, BundleNews newNews) {
+        public Builder withBundleVersion(LongSupplier newBundleVersion, BundleVersionListener newNews) {
             this.bundleVersion = newBundleVersion;
             this.news = newNews;
             return this;
@@ -351,7 +358,7 @@
          * @param newRandom picks peers.
          * @return this builder.
          */
-        public Builder deciding(Clock newClock, RandomGenerator newRandom) {
+        public Builder withClockAndRandom(Clock newClock, RandomGenerator newRandom) {
             this.clock = newClock;
             this.random = newRandom;
             return this;
@@ -363,7 +370,7 @@
          * @param newPace intervals and fan-outs.
          * @return this builder.
          */
-        public Builder paced(Pace newPace) {
+        public Builder withTiming(Timing newPace) {
             this.pace = newPace;
             return this;
         }
@@ -375,7 +382,7 @@
          * @param newMaxRecordBytes the most bytes of records in a message.
          * @return this builder.
          */
-        public Builder paced(Pace newPace, int newMaxRecordBytes) {
+        public Builder withTiming(Timing newPace, int newMaxRecordBytes) {
             this.pace = newPace;
             this.maxRecordBytes = newMaxRecordBytes;
             return this;
@@ -387,7 +394,7 @@
          * @param newRegistry the registry.
          * @return this builder.
          */
-        public Builder countedBy(MeterRegistry newRegistry) {
+        public Builder withMeterRegistry(MeterRegistry newRegistry) {
             this.registry = newRegistry;
             return this;
         }
--- a/src/main/java/io/waxwingquay/membership/GossipParts.java
+++ b/src/main/java/io/waxwingquay/membership/GossipParts.java
@@ -28,7 +28,7 @@
         Peers peers,
         SuspectBook suspects,
         LongSupplier bundleVersion,
-        BundleNews news,
+        BundleVersionListener news,
         RandomGenerator random,
         GossipTraffic traffic,
         int maxRecordBytes) {
@@ -38,7 +38,7 @@
 
     void noteBundleVersion(long version, HostPort from) {
         if (version > bundleVersion.getAsLong()) {
-            news.higherVersion(version, from);
+            news.onHigherVersion(version, from);
         }
     }
 
--- a/src/main/java/io/waxwingquay/membership/PublishPace.java
+++ b/src/main/java/io/waxwingquay/membership/PublishInterval.java
@@ -8,12 +8,12 @@
  * <p>Each process hears of each change about as often as a rumour is pushed. With thousands of sides that binds: the
  * more sides there are, the rarer each may publish.
  */
-public final class PublishPace {
+public final class PublishInterval {
 
     private static final int COPIES_HEARD = 5;
     private static final double MILLIS_PER_SECOND = 1000.0;
 
-    private PublishPace() {}
+    private PublishInterval() {}
 
     /**
      * The least time between two publications of a side.
@@ -23,7 +23,7 @@
      * @param budgetBytesPerSecond what a process may receive of them.
      * @return milliseconds.
      */
-    public static long millisBetween(int sides, SideRecord record, double budgetBytesPerSecond) {
+    public static long minMillis(int sides, SideRecord record, double budgetBytesPerSecond) {
         return (long)
                 Math.ceil(MILLIS_PER_SECOND * sides * Records.sizeBytes(record) * COPIES_HEARD / budgetBytesPerSecond);
     }
--- a/src/main/java/io/waxwingquay/membership/Side.java
+++ b/src/main/java/io/waxwingquay/membership/Side.java
@@ -43,7 +43,7 @@
      *
      * @return whether it is serving and not known to be unreachable.
      */
-    public boolean takesWork() {
+    public boolean acceptsWork() {
         return state == SideState.SERVING && reachable;
     }
 }
--- a/src/main/java/io/waxwingquay/peer/NewsPace.java
+++ b/src/main/java/io/waxwingquay/peer/UpdateInterval.java
@@ -4,7 +4,7 @@
  * How often a process says again what has not changed. What has changed is told at once; saying it again makes good what
  * was lost. The pause grows with the number of receivers, so that what one process sends for this does not.
  */
-public final class NewsPace {
+public final class UpdateInterval {
 
     /** Of the datagrams that a node may send in a second for control, about half are left for this. */
     private static final long RECEIVER_MILLIS = 40L;
@@ -15,7 +15,7 @@
     /** A process is taken to be gone or cut off when so many tellings in a row did not come. */
     private static final int MISSED = 3;
 
-    private NewsPace() {}
+    private UpdateInterval() {}
 
     /**
      * The pause between two tellings.
@@ -33,7 +33,7 @@
      * @param receivers how many processes the sender tells.
      * @return the time after which silence means that the sender is gone.
      */
-    public static long heardMillis(int receivers) {
+    public static long staleAfterMillis(int receivers) {
         return Math.max(LEAST_HEARD_MILLIS, MISSED * periodMillis(receivers));
     }
 }
--- a/src/main/java/io/waxwingquay/peer/NewsNumber.java
+++ b/src/main/java/io/waxwingquay/peer/UpdateSequence.java
@@ -8,7 +8,7 @@
  * overtaken until it has counted past its earlier life. The upper part of a number is the VM's steady time at the start,
  * which goes on over a process's start; a VM that started again itself is far behind and told by that.
  */
-public final class NewsNumber {
+public final class UpdateSequence {
 
     /** Room for the count, for days of tellings. */
     private static final int COUNT_BITS = 24;
@@ -23,7 +23,7 @@
      *
      * @param startMillis the steady time at the process's start.
      */
-    public NewsNumber(long startMillis) {
+    public UpdateSequence(long startMillis) {
         last = startMillis << COUNT_BITS;
     }
 
@@ -43,7 +43,7 @@
      * @param known the number of the other.
      * @return whether it says nothing new.
      */
-    public static boolean isOvertaken(long number, long known) {
+    public static boolean isSuperseded(long number, long known) {
         return number <= known && start(known) - start(number) < OVERTAKEN_MILLIS;
     }
 
@@ -54,7 +54,7 @@
      * @param other the number of the other.
      * @return whether the process has not started in between.
      */
-    public static boolean isSameLife(long number, long other) {
+    public static boolean isSameIncarnation(long number, long other) {
         return start(number) == start(other);
     }
 
--- a/src/main/java/io/waxwingquay/permit/LentPermits.java
+++ b/src/main/java/io/waxwingquay/permit/LentPermits.java
@@ -112,7 +112,7 @@
         Map<Integer, Side> byReplica = wiring.membership.sides().stream()
                 .filter(side -> side.service().equals(wiring.service))
                 .filter(side -> !side.id().equals(wiring.holderId))
-                .filter(Side::takesWork)
+                .filter(Side::acceptsWork)
                 .filter(side -> side.replica() < wiring.total.apply(limit))
                 .collect(Collectors.toMap(Side::replica, side -> side, LentPermits::newer));
         List<Side> homes = new ArrayList<>(byReplica.values());
--- a/src/main/java/io/waxwingquay/process/Foundation.java
+++ b/src/main/java/io/waxwingquay/process/Foundation.java
@@ -110,7 +110,7 @@
 
     /** Starts to follow the bundle, the peers and the VM list. */
     void start() {
-        bundles.onAdopted(bundle -> gossip.hurry());
+        bundles.onAdopted(bundle -> gossip.expedite());
         feed.start();
         owned.push(gossip.start(scheduler));
         owned.push(watch.start(scheduler));
@@ -242,16 +242,16 @@
     }
 
     private Gossip gossip(PeerBundles fetcher) {
-        Gossip.Pace pace = Gossip.Pace.DEFAULT.withUrgentMillis(settings.gossipIntervalMillis());
+        Gossip.Timing pace = Gossip.Timing.DEFAULT.withUrgentIntervalMillis(settings.gossipIntervalMillis());
         return Gossip.over(members, peers, connections)
-                .carrying(suspects)
-                .announcing(bundles::version, (version, from) -> {
+                .withSuspects(suspects)
+                .withBundleVersion(bundles::version, (version, from) -> {
                     fetcher.noteInformed(from);
                     feed.hint(version);
                 })
-                .deciding(clock, random)
-                .paced(pace)
-                .countedBy(meters)
+                .withClockAndRandom(clock, random)
+                .withTiming(pace)
+                .withMeterRegistry(meters)
                 .build();
     }
 
--- a/src/main/java/io/waxwingquay/residency/EngineManager.java
+++ b/src/main/java/io/waxwingquay/residency/EngineManager.java
@@ -4,7 +4,7 @@
 import io.waxwingquay.fleet.EngineReport;
 import io.waxwingquay.manifest.Engine;
 import io.waxwingquay.net.EventLoop;
-import io.waxwingquay.peer.NewsNumber;
+import io.waxwingquay.peer.UpdateSequence;
 import io.waxwingquay.transport.generated.AdapterCall;
 import io.waxwingquay.transport.generated.AdapterReply;
 import io.waxwingquay.transport.generated.EngineNews;
@@ -53,7 +53,7 @@
     private final EnginePlanner planner;
     private boolean pollInFlight;
     private boolean earlyPollScheduled;
-    private final NewsNumber updateNumber = new NewsNumber(EventLoop.nowMillis());
+    private final UpdateSequence updateNumber = new UpdateSequence(EventLoop.nowMillis());
     private final UpdateSchedule schedule = new UpdateSchedule();
     private Set<HostPort> lastRecipients = Set.of();
 
--- a/src/main/java/io/waxwingquay/residency/PeerUpdates.java
+++ b/src/main/java/io/waxwingquay/residency/PeerUpdates.java
@@ -1,8 +1,8 @@
 package io.waxwingquay.residency;
 
 import io.waxwingquay.common.HostPort;
-import io.waxwingquay.peer.NewsNumber;
-import io.waxwingquay.peer.NewsPace;
+import io.waxwingquay.peer.UpdateInterval;
+import io.waxwingquay.peer.UpdateSequence;
 import io.waxwingquay.transport.generated.EngineNews;
 import io.waxwingquay.transport.generated.EntryNews;
 import io.waxwingquay.transport.generated.HeldModel;
@@ -39,7 +39,7 @@
     boolean onEntryUpdate(HostPort sender, EntryNews update, long nowMillis) {
         expire(nowMillis);
         Optional<EntryNews> known = Optional.ofNullable(entries.get(sender)).map(Received::update);
-        if (known.filter(previous -> NewsNumber.isOvertaken(update.getNumber(), previous.getNumber()))
+        if (known.filter(previous -> UpdateSequence.isSuperseded(update.getNumber(), previous.getNumber()))
                 .isPresent()) {
             return false;
         }
@@ -81,7 +81,7 @@
         expire(nowMillis);
         HostPort address = HostPort.of(update.getEngineAddress());
         Optional<EngineNews> known = Optional.ofNullable(engines.get(address)).map(Received::update);
-        if (known.filter(previous -> NewsNumber.isOvertaken(update.getNumber(), previous.getNumber()))
+        if (known.filter(previous -> UpdateSequence.isSuperseded(update.getNumber(), previous.getNumber()))
                 .isPresent()) {
             return false;
         }
@@ -90,7 +90,8 @@
     }
 
     private static boolean isRestarted(Optional<Long> known, long number) {
-        return known.map(previous -> !NewsNumber.isSameLife(number, previous)).orElse(false);
+        return known.map(previous -> !UpdateSequence.isSameIncarnation(number, previous))
+                .orElse(false);
     }
 
     Set<HostPort> entryAddresses(long nowMillis) {
@@ -126,8 +127,8 @@
      * engines only, sides send to engines and entries.
      */
     private void expire(long nowMillis) {
-        long entryMillis = NewsPace.heardMillis(listedEngines.size());
-        long engineMillis = NewsPace.heardMillis(listedEngines.size() + entries.size());
+        long entryMillis = UpdateInterval.staleAfterMillis(listedEngines.size());
+        long engineMillis = UpdateInterval.staleAfterMillis(listedEngines.size() + entries.size());
         engines.values().removeIf(received -> received.isOlder(engineMillis, nowMillis));
         if (entries.values().removeIf(received -> received.isOlder(entryMillis, nowMillis))) {
             rebuildListedEngines();
--- a/src/main/java/io/waxwingquay/residency/UpdateSchedule.java
+++ b/src/main/java/io/waxwingquay/residency/UpdateSchedule.java
@@ -1,6 +1,6 @@
 package io.waxwingquay.residency;
 
-import io.waxwingquay.peer.NewsPace;
+import io.waxwingquay.peer.UpdateInterval;
 import java.util.Optional;
 import java.util.Set;
 
@@ -43,7 +43,7 @@
                 sentToAll.map(sent -> sent.isSignificantChange(status)).orElse(true);
         if (isChanged
                 || resendDue && elapsedMillis >= RESEND_MILLIS
-                || elapsedMillis >= NewsPace.periodMillis(receivers)) {
+                || elapsedMillis >= UpdateInterval.periodMillis(receivers)) {
             resendDue = isChanged;
             sentToAll = Optional.of(status);
             sentToAllMillis = nowMillis;
--- a/src/main/java/io/waxwingquay/routing/RouteQuery.java
+++ b/src/main/java/io/waxwingquay/routing/RouteQuery.java
@@ -25,7 +25,7 @@
      * @return whether it serves the service, takes work and was not tried yet.
      */
     public boolean admits(Side side) {
-        return side.service().equals(service) && side.takesWork() && !excluded.contains(side.id());
+        return side.service().equals(service) && side.acceptsWork() && !excluded.contains(side.id());
     }
 
     /**
--- a/src/main/java/io/waxwingquay/side/SelfRecord.java
+++ b/src/main/java/io/waxwingquay/side/SelfRecord.java
@@ -2,7 +2,7 @@
 
 import io.waxwingquay.chart.StateChart;
 import io.waxwingquay.ledger.MemoryLedger.Snapshot;
-import io.waxwingquay.membership.PublishPace;
+import io.waxwingquay.membership.PublishInterval;
 import io.waxwingquay.transport.generated.ItemRecord;
 import io.waxwingquay.transport.generated.SideRecord;
 import io.waxwingquay.transport.generated.SideState;
@@ -90,7 +90,7 @@
     // At 2,400 sides, one change each 5 s would send every process some 600 KB/s of others' records.
     private long demandWaitMillis(SideRecord next) {
         int sides = context.membership().sides().size();
-        return Math.max(DEMAND_PUBLISH_MILLIS, PublishPace.millisBetween(sides, next, DEMAND_BYTES_PER_SECOND));
+        return Math.max(DEMAND_PUBLISH_MILLIS, PublishInterval.minMillis(sides, next, DEMAND_BYTES_PER_SECOND));
     }
 
     private SideRecord record() {
--- a/src/main/java/io/waxwingquay/transport/TransportException.java
+++ b/src/main/java/io/waxwingquay/transport/TransportException.java
@@ -7,7 +7,7 @@
 
     private static final long serialVersionUID = 1L;
 
-    private final boolean delivered;
+    private final boolean maybeDelivered;
 
     /**
      * A failure.
@@ -18,7 +18,7 @@
      */
     public TransportException(boolean delivered, String message, Throwable cause) {
         super(message, cause);
-        this.delivered = delivered;
+        this.maybeDelivered = delivered;
     }
 
     /**
@@ -26,7 +26,7 @@
      *
      * @return whether it may have been delivered.
      */
-    public boolean mayBeDelivered() {
-        return delivered;
+    public boolean mayHaveBeenDelivered() {
+        return maybeDelivered;
     }
 }
--- a/src/test/java/io/waxwingquay/common/DrainGateTest.java
+++ b/src/test/java/io/waxwingquay/common/DrainGateTest.java
@@ -59,7 +59,7 @@
 
         @Operation
         public long inside() {
-            return gate.inside();
+            return gate.inFlight();
         }
 
         @Operation
--- a/src/test/java/io/waxwingquay/forward/NewsWriterTest.java
+++ b/src/test/java/io/waxwingquay/forward/NewsWriterTest.java
@@ -10,7 +10,7 @@
 import io.waxwingquay.manifest.Manifest;
 import io.waxwingquay.net.ClientPool;
 import io.waxwingquay.net.ServerLimits;
-import io.waxwingquay.peer.NewsPace;
+import io.waxwingquay.peer.UpdateInterval;
 import io.waxwingquay.transport.generated.EntryNews;
 import java.net.InetSocketAddress;
 import java.util.List;
@@ -85,7 +85,7 @@
     void whatIsMissedIsToldBeforeTheRoundEnds() {
         IntStream.range(0, 100).forEach(each -> list("i" + each, "large", "10.0.1." + each));
         NewsWriter writer = new NewsWriter(targets, new DemandMeter(), 0);
-        long roundMillis = NewsPace.periodMillis(100);
+        long roundMillis = UpdateInterval.periodMillis(100);
         assertEquals(100, writer.write("entry", MANIFEST, 0).size());
         assertEquals(0, writer.write("entry", MANIFEST, roundMillis - 1).size());
         writer.hasten();
--- a/src/test/java/io/waxwingquay/forward/TargetTest.java
+++ b/src/test/java/io/waxwingquay/forward/TargetTest.java
@@ -8,8 +8,8 @@
 import io.waxwingquay.fleet.ReplicaRecord;
 import io.waxwingquay.net.ClientPool;
 import io.waxwingquay.net.EventLoop;
-import io.waxwingquay.peer.NewsNumber;
-import io.waxwingquay.peer.NewsPace;
+import io.waxwingquay.peer.UpdateInterval;
+import io.waxwingquay.peer.UpdateSequence;
 import io.waxwingquay.transport.generated.EngineNews;
 import io.waxwingquay.transport.generated.HeldModel;
 import java.net.InetSocketAddress;
@@ -24,7 +24,7 @@
 
     private static final long BORN_MILLIS = 7;
 
-    private final NewsNumber numbers = new NewsNumber(1_000);
+    private final UpdateSequence numbers = new UpdateSequence(1_000);
     private final Target target = new Target(
             new ReplicaRecord(
                     "id",
@@ -127,7 +127,7 @@
     void newsCountsForSomeRounds() {
         target.tellers(300);
         target.news(whole(3), 0);
-        long roundMillis = NewsPace.periodMillis(300);
+        long roundMillis = UpdateInterval.periodMillis(300);
         assertTrue(target.holds("m", 2 * roundMillis));
         assertFalse(target.holds("m", 3 * roundMillis));
     }
--- a/src/test/java/io/waxwingquay/membership/GossipTest.java
+++ b/src/test/java/io/waxwingquay/membership/GossipTest.java
@@ -103,7 +103,7 @@
         MemberTable table = world.node(0).table;
         table.noteReached(GossipWorld.name(9), 1, false);
         assertEquals(List.of(), table.expire());
-        assertEquals(false, table.side(GossipWorld.name(9)).orElseThrow().takesWork());
+        assertEquals(false, table.side(GossipWorld.name(9)).orElseThrow().acceptsWork());
     }
 
     private void print(String what, long tookMillis) {
--- a/src/test/java/io/waxwingquay/membership/GossipWorld.java
+++ b/src/test/java/io/waxwingquay/membership/GossipWorld.java
@@ -174,11 +174,11 @@
             this.phaseMillis = random.nextLong(WAKE_MILLIS / STEP_MILLIS) * STEP_MILLIS;
             this.lastRoundMillis = nowMillis - random.nextInt(2_000);
             this.gossip = Gossip.over(table, peers, new DirectConnections())
-                    .carrying(suspects)
-                    .announcing(
+                    .withSuspects(suspects)
+                    .withBundleVersion(
                             () -> bundleVersion, (version, from) -> bundleVersion = Math.max(bundleVersion, version))
-                    .deciding(clock, new Random(seed))
-                    .countedBy(registry)
+                    .withClockAndRandom(clock, new Random(seed))
+                    .withMeterRegistry(registry)
                     .build();
         }
 
--- a/src/test/java/io/waxwingquay/membership/MemberTableTest.java
+++ b/src/test/java/io/waxwingquay/membership/MemberTableTest.java
@@ -36,7 +36,7 @@
         table.noteLeaving(NAME, 1);
         table.merge(List.of(record(1, 4, SideState.SERVING), record(1, 6, SideState.SERVING)));
         assertEquals(SideState.LEAVING, state());
-        assertFalse(table.side(NAME).orElseThrow().takesWork());
+        assertFalse(table.side(NAME).orElseThrow().acceptsWork());
     }
 
     @Test
@@ -58,7 +58,7 @@
         table.noteReached(NAME, 1, false);
         nowMillis += 2 * EXPIRY_MILLIS;
         assertEquals(List.of(), table.expire());
-        assertFalse(table.side(NAME).orElseThrow().takesWork());
+        assertFalse(table.side(NAME).orElseThrow().acceptsWork());
     }
 
     @Test
@@ -111,7 +111,7 @@
         assertEquals(1, table.dueForRetry().size());
         assertEquals(0, table.dueForRetry().size());
         table.noteReached(NAME, 1, true);
-        assertTrue(table.side(NAME).orElseThrow().takesWork());
+        assertTrue(table.side(NAME).orElseThrow().acceptsWork());
     }
 
     @Test
--- a/src/test/java/io/waxwingquay/membership/PublishPaceTest.java
+++ b/src/test/java/io/waxwingquay/membership/PublishIntervalTest.java
@@ -7,7 +7,7 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
 
-class PublishPaceTest {
+class PublishIntervalTest {
 
     private static final double BUDGET_BYTES_PER_SECOND = 3_000;
     private static final int COPIES = 5;
@@ -17,7 +17,7 @@
     @Property(tries = 100, seed = "20261202")
     void allSidesTogetherStayWithinTheBudget(@ForAll @IntRange(min = 1, max = 5_000) int sides) {
         SideRecord record = GossipWorld.record(1);
-        long waitMillis = PublishPace.millisBetween(sides, record, BUDGET_BYTES_PER_SECOND);
+        long waitMillis = PublishInterval.minMillis(sides, record, BUDGET_BYTES_PER_SECOND);
         double bytesPerSecond = 1_000.0 * sides * Records.sizeBytes(record) * COPIES / waitMillis;
         assertTrue(bytesPerSecond <= BUDGET_BYTES_PER_SECOND);
     }
--- a/src/test/java/io/waxwingquay/membership/VmWatchTest.java
+++ b/src/test/java/io/waxwingquay/membership/VmWatchTest.java
@@ -90,7 +90,7 @@
             nowMillis += 2_000;
             reader.round().join();
         }
-        assertEquals(SIDES, table.sides().stream().filter(Side::takesWork).count());
+        assertEquals(SIDES, table.sides().stream().filter(Side::acceptsWork).count());
     }
 
     private MemberTable fullTable() {
--- a/src/test/java/io/waxwingquay/peer/NewsNumberTest.java
+++ b/src/test/java/io/waxwingquay/peer/UpdateSequenceTest.java
@@ -5,33 +5,33 @@
 
 import org.junit.jupiter.api.Test;
 
-class NewsNumberTest {
+class UpdateSequenceTest {
 
-    private final NewsNumber numbers = new NewsNumber(500_000);
+    private final UpdateSequence numbers = new UpdateSequence(500_000);
     private final long first = numbers.next();
     private final long second = numbers.next();
 
     @Test
     void whatComesTwiceOrLateSaysNothingNew() {
-        assertTrue(NewsNumber.isOvertaken(first, second));
-        assertTrue(NewsNumber.isOvertaken(second, second));
-        assertFalse(NewsNumber.isOvertaken(second, first));
-        assertTrue(NewsNumber.isSameLife(first, second));
+        assertTrue(UpdateSequence.isSuperseded(first, second));
+        assertTrue(UpdateSequence.isSuperseded(second, second));
+        assertFalse(UpdateSequence.isSuperseded(second, first));
+        assertTrue(UpdateSequence.isSameIncarnation(first, second));
     }
 
     // A process ends after a long life and starts again at its address. If what it says counted as overtaken, others
     // would plan by what it said before for as long as it had lived.
     @Test
     void processThatStartedAgainIsHeardAtOnce() {
-        long again = new NewsNumber(500_700).next();
-        assertFalse(NewsNumber.isOvertaken(again, second));
-        assertTrue(NewsNumber.isOvertaken(second, again));
-        assertFalse(NewsNumber.isSameLife(again, second));
+        long again = new UpdateSequence(500_700).next();
+        assertFalse(UpdateSequence.isSuperseded(again, second));
+        assertTrue(UpdateSequence.isSuperseded(second, again));
+        assertFalse(UpdateSequence.isSameIncarnation(again, second));
     }
 
     // The VM starts again and its steady time with it.
     @Test
     void processOnAVmThatStartedAgainIsHeardAtOnce() {
-        assertFalse(NewsNumber.isOvertaken(new NewsNumber(900).next(), second));
+        assertFalse(UpdateSequence.isSuperseded(new UpdateSequence(900).next(), second));
     }
 }
--- a/src/test/java/io/waxwingquay/residency/PeerUpdatesTest.java
+++ b/src/test/java/io/waxwingquay/residency/PeerUpdatesTest.java
@@ -5,8 +5,8 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import io.waxwingquay.common.HostPort;
-import io.waxwingquay.peer.NewsNumber;
-import io.waxwingquay.peer.NewsPace;
+import io.waxwingquay.peer.UpdateInterval;
+import io.waxwingquay.peer.UpdateSequence;
 import io.waxwingquay.transport.generated.EngineNews;
 import io.waxwingquay.transport.generated.EntryNews;
 import io.waxwingquay.transport.generated.ModelDemand;
@@ -74,9 +74,9 @@
         List<String> addresses = IntStream.range(2, 302)
                 .mapToObj(each -> "10.0.0." + each + ":80")
                 .toList();
-        peers.onEntryUpdate(ENTRY, entryUpdate(new NewsNumber(0).next()).setEngineAddresses(addresses), 0);
+        peers.onEntryUpdate(ENTRY, entryUpdate(new UpdateSequence(0).next()).setEngineAddresses(addresses), 0);
         peers.onEngineUpdate(engineUpdate("models", "10.0.0.2:80"), 0);
-        long periodMillis = NewsPace.periodMillis(300);
+        long periodMillis = UpdateInterval.periodMillis(300);
         assertEquals(
                 1, peers.otherEngines(OWN, Optional.empty(), 2 * periodMillis).size());
     }
@@ -85,8 +85,8 @@
     // its address is known.
     @Test
     void restartIsNoticedOnce() {
-        NewsNumber early = new NewsNumber(1_000);
-        NewsNumber late = new NewsNumber(9_000);
+        UpdateSequence early = new UpdateSequence(1_000);
+        UpdateSequence late = new UpdateSequence(9_000);
         assertFalse(peers.onEntryUpdate(ENTRY, entryUpdate(early.next()), 0));
         assertFalse(peers.onEntryUpdate(ENTRY, entryUpdate(early.next()), 10));
         assertTrue(peers.onEntryUpdate(ENTRY, entryUpdate(late.next()), 20));
@@ -99,7 +99,7 @@
     // others.
     @Test
     void overtakenUpdateIsIgnored() {
-        NewsNumber numbers = new NewsNumber(0);
+        UpdateSequence numbers = new UpdateSequence(0);
         long early = numbers.next();
         peers.onEngineUpdate(engineUpdate("models", "10.0.0.2:80").setNumber(numbers.next()), 0);
         peers.onEngineUpdate(
@@ -112,7 +112,7 @@
     // An entry reports immediately what it uses here, but reports demand only periodically.
     @Test
     void updateOfUseKeepsDemand() {
-        NewsNumber numbers = new NewsNumber(0);
+        UpdateSequence numbers = new UpdateSequence(0);
         peers.onEntryUpdate(ENTRY, entryUpdate(numbers.next()), 0);
         EntryNews use = new EntryNews()
                 .setNumber(numbers.next())
--- a/src/test/java/io/waxwingquay/residency/UpdateScheduleTest.java
+++ b/src/test/java/io/waxwingquay/residency/UpdateScheduleTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import io.waxwingquay.peer.NewsPace;
+import io.waxwingquay.peer.UpdateInterval;
 import io.waxwingquay.residency.UpdateSchedule.EngineStatus;
 import io.waxwingquay.residency.UpdateSchedule.Update;
 import java.util.Optional;
@@ -35,7 +35,7 @@
     void unchangedStatusIsResentPeriodically() {
         nextUpdate(UNCHANGED, 0);
         nextUpdate(UNCHANGED, 200);
-        long periodMillis = NewsPace.periodMillis(RECEIVERS);
+        long periodMillis = UpdateInterval.periodMillis(RECEIVERS);
         assertEquals(Update.NONE, nextUpdate(UNCHANGED, 200 + periodMillis - 1));
         assertEquals(Update.FULL_TO_ALL, nextUpdate(UNCHANGED, 200 + periodMillis));
         assertEquals(Update.NONE, nextUpdate(UNCHANGED, 200 + periodMillis + 250));
--- a/src/test/java/io/waxwingquay/scenario/CallPathWorld.java
+++ b/src/test/java/io/waxwingquay/scenario/CallPathWorld.java
@@ -271,7 +271,7 @@
         return process.bundleVersion() == 1
                 && process.membership().sides().size() == sides.size()
                 && process.membership().sides().stream()
-                        .allMatch(side -> side.takesWork()
+                        .allMatch(side -> side.acceptsWork()
                                 && (side.service().equals("booking")
                                         || side.residentItems().contains("model:throwing@1")));
     }
--- a/src/test/java/io/waxwingquay/transport/ThriftConnectionsTest.java
+++ b/src/test/java/io/waxwingquay/transport/ThriftConnectionsTest.java
@@ -56,7 +56,7 @@
             closed = new HostPort(LOOPBACK, socket.getLocalPort());
         }
         try (ThriftConnections connections = patient().build()) {
-            assertFalse(failureOf(connections.to(closed).ping()).mayBeDelivered());
+            assertFalse(failureOf(connections.to(closed).ping()).mayHaveBeenDelivered());
         }
     }
 
@@ -75,7 +75,7 @@
                     .ping();
             try (Socket accepted = silent.accept()) {
                 assertTrue(accepted.isConnected());
-                assertTrue(failureOf(answer).mayBeDelivered());
+                assertTrue(failureOf(answer).mayHaveBeenDelivered());
             }
         }
     }
