--- a/src/main/java/io/waxwingquay/chart/ChartParser.java
+++ b/src/main/java/io/waxwingquay/chart/ChartParser.java
@@ -25,35 +25,35 @@
     private final Class<E> events;
     private final List<String> faults = new ArrayList<>();
     private final Map<S, Map<E, S>> transitions;
-    private final Map<S, Set<E>> ignored;
-    private final Map<S, Set<E>> illegal;
-    private final Set<S> finals;
-    private S initial;
-    private int line;
+    private final Map<S, Set<E>> ignoredEvents;
+    private final Map<S, Set<E>> illegalEvents;
+    private final Set<S> finalStates;
+    private S initialState;
+    private int lineNumber;
 
     ChartParser(String name, Class<S> states, Class<E> events) {
         this.name = name;
         this.states = states;
         this.events = events;
         this.transitions = new EnumMap<>(states);
-        this.ignored = new EnumMap<>(states);
-        this.illegal = new EnumMap<>(states);
-        this.finals = EnumSet.noneOf(states);
+        this.ignoredEvents = new EnumMap<>(states);
+        this.illegalEvents = new EnumMap<>(states);
+        this.finalStates = EnumSet.noneOf(states);
     }
 
     StateChart<S, E> parse(String text) {
         for (String source : text.split("\n")) {
-            line++;
+            lineNumber++;
             String content = source.replaceFirst("#.*", "").strip();
             if (!content.isEmpty()) {
                 readLine(content);
             }
         }
-        check();
+        checkStates();
         if (!faults.isEmpty()) {
             throw new ChartException.Malformed(name, faults);
         }
-        return new StateChart<>(name, initial, finals, transitions, ignored);
+        return new StateChart<>(name, initialState, finalStates, transitions, ignoredEvents);
     }
 
     private void readLine(String content) {
@@ -67,85 +67,86 @@
         switch (words.get(0)) {
             case "initial" -> setInitial(rest);
             case "final" -> rest.forEach(word -> state(word).ifPresent(this::addFinal));
-            case "ignore" -> declare(rest, ignored);
-            case "illegal" -> declare(rest, illegal);
-            default -> fault("'" + content + "' is not a line of a chart");
+            case "ignore" -> declare(rest, ignoredEvents);
+            case "illegal" -> declare(rest, illegalEvents);
+            default -> addFault("'" + content + "' is not a line of a chart");
         }
     }
 
     private void setInitial(List<String> words) {
-        if (initial != null || words.size() != 1) {
-            fault("exactly one initial state is needed");
+        if (initialState != null || words.size() != 1) {
+            addFault("exactly one initial state is needed");
             return;
         }
-        initial = state(words.get(0)).orElse(null);
+        initialState = state(words.get(0)).orElse(null);
     }
 
     private void addFinal(S state) {
-        if (!finals.add(state)) {
-            fault("final " + state + " stands twice");
+        if (!finalStates.add(state)) {
+            addFault("final " + state + " stands twice");
         }
     }
 
-    private void addTransition(String from, String through, String to) {
-        Optional<S> source = state(from);
-        Optional<E> event = event(through);
-        Optional<S> target = state(to);
+    private void addTransition(String sourceName, String eventName, String targetName) {
+        Optional<S> source = state(sourceName);
+        Optional<E> event = event(eventName);
+        Optional<S> target = state(targetName);
         if (source.isPresent() && event.isPresent() && target.isPresent()) {
-            refuseDuplicate(source.get(), event.get());
+            reportDuplicate(source.get(), event.get());
             transitions
                     .computeIfAbsent(source.get(), key -> new EnumMap<>(events))
                     .put(event.get(), target.get());
         }
     }
 
-    private void declare(List<String> words, Map<S, Set<E>> place) {
+    private void declare(List<String> words, Map<S, Set<E>> declarations) {
         if (words.size() < 2) {
-            fault("a state and at least one event are needed");
+            addFault("a state and at least one event are needed");
             return;
         }
         state(words.get(0)).ifPresent(state -> words.subList(1, words.size())
-                .forEach(word -> event(word).ifPresent(event -> declare(state, event, place))));
+                .forEach(word -> event(word).ifPresent(event -> declare(state, event, declarations))));
     }
 
-    private void declare(S state, E event, Map<S, Set<E>> place) {
-        refuseDuplicate(state, event);
-        place.computeIfAbsent(state, key -> EnumSet.noneOf(events)).add(event);
+    private void declare(S state, E event, Map<S, Set<E>> declarations) {
+        reportDuplicate(state, event);
+        declarations.computeIfAbsent(state, key -> EnumSet.noneOf(events)).add(event);
     }
 
-    private void refuseDuplicate(S state, E event) {
+    private void reportDuplicate(S state, E event) {
         if (isDeclared(state, event)) {
-            fault("event " + event + " in state " + state + " stands twice");
+            addFault("event " + event + " in state " + state + " stands twice");
         }
     }
 
     private boolean isDeclared(S state, E event) {
         return transitions.getOrDefault(state, Map.of()).containsKey(event)
-                || ignored.getOrDefault(state, Set.of()).contains(event)
-                || illegal.getOrDefault(state, Set.of()).contains(event);
+                || ignoredEvents.getOrDefault(state, Set.of()).contains(event)
+                || illegalEvents.getOrDefault(state, Set.of()).contains(event);
     }
 
-    private void check() {
-        if (initial == null) {
+    private void checkStates() {
+        if (initialState == null) {
             faults.add("no initial state");
             return;
         }
-        checkMissing();
-        Set<S> reached = closure(EnumSet.of(initial), false);
-        Set<S> ending = finals.isEmpty() ? EnumSet.noneOf(states) : closure(EnumSet.copyOf(finals), true);
+        checkUndeclaredEvents();
+        Set<S> reached = reachableFrom(EnumSet.of(initialState), false);
+        Set<S> terminating =
+                finalStates.isEmpty() ? EnumSet.noneOf(states) : reachableFrom(EnumSet.copyOf(finalStates), true);
         for (S state : states.getEnumConstants()) {
             if (!reached.contains(state)) {
                 faults.add("state " + state + " is unreachable");
             }
-            if (!ending.contains(state)) {
+            if (!terminating.contains(state)) {
                 faults.add("state " + state + " has no way to a final state");
             }
         }
     }
 
-    private void checkMissing() {
+    private void checkUndeclaredEvents() {
         for (S state : states.getEnumConstants()) {
-            if (finals.contains(state) && !transitions.containsKey(state)) {
+            if (finalStates.contains(state) && !transitions.containsKey(state)) {
                 continue;
             }
             Arrays.stream(events.getEnumConstants())
@@ -154,7 +155,7 @@
         }
     }
 
-    private Set<S> closure(Set<S> start, boolean backwards) {
+    private Set<S> reachableFrom(Set<S> start, boolean backwards) {
         Set<S> found = EnumSet.copyOf(start);
         Deque<S> open = new ArrayDeque<>(start);
         while (!open.isEmpty()) {
@@ -191,12 +192,12 @@
                 .filter(constant -> constant.name().equals(word))
                 .findFirst();
         if (found.isEmpty()) {
-            fault("'" + word + "' is no " + what + " of " + type.getSimpleName());
+            addFault("'" + word + "' is no " + what + " of " + type.getSimpleName());
         }
         return found;
     }
 
-    private void fault(String message) {
-        faults.add("line " + line + ": " + message);
+    private void addFault(String message) {
+        faults.add("line " + lineNumber + ": " + message);
     }
 }
--- a/src/main/java/io/waxwingquay/chart/StateChart.java
+++ b/src/main/java/io/waxwingquay/chart/StateChart.java
@@ -22,17 +22,17 @@
 public final class StateChart<S extends Enum<S>, E extends Enum<E>> {
 
     private final String name;
-    private final S initial;
-    private final Set<S> finals;
+    private final S initialState;
+    private final Set<S> finalStates;
     private final Map<S, Map<E, S>> transitions;
-    private final Map<S, Set<E>> ignored;
+    private final Map<S, Set<E>> ignoredEvents;
 
     StateChart(String name, S initial, Set<S> finals, Map<S, Map<E, S>> transitions, Map<S, Set<E>> ignored) {
         this.name = name;
-        this.initial = initial;
-        this.finals = finals;
+        this.initialState = initial;
+        this.finalStates = finals;
         this.transitions = transitions;
-        this.ignored = ignored;
+        this.ignoredEvents = ignored;
     }
 
     /**
@@ -48,7 +48,7 @@
      */
     public static <S extends Enum<S>, E extends Enum<E>> StateChart<S, E> load(
             String name, Class<S> states, Class<E> events) {
-        return parse(name, text(name), states, events);
+        return parse(name, readResource(name), states, events);
     }
 
     /**
@@ -74,7 +74,7 @@
      * @return the initial state.
      */
     public S initial() {
-        return initial;
+        return initialState;
     }
 
     /**
@@ -84,7 +84,7 @@
      * @return whether it is final.
      */
     public boolean isFinal(S state) {
-        return finals.contains(state);
+        return finalStates.contains(state);
     }
 
     /**
@@ -100,13 +100,13 @@
         if (next != null) {
             return Optional.of(next);
         }
-        if (ignored.getOrDefault(state, Set.of()).contains(event)) {
+        if (ignoredEvents.getOrDefault(state, Set.of()).contains(event)) {
             return Optional.empty();
         }
         throw new ChartException.IllegalEvent(name, state, event);
     }
 
-    private static String text(String name) {
+    private static String readResource(String name) {
         try (InputStream stream = StateChart.class.getResourceAsStream("/charts/" + name + ".chart")) {
             if (stream == null) {
                 throw new ChartException.Malformed(name, List.of("is not on the class path"));
--- a/src/main/java/io/waxwingquay/common/DrainGate.java
+++ b/src/main/java/io/waxwingquay/common/DrainGate.java
@@ -12,7 +12,7 @@
 
     private static final long CLOSED = 1L << 62;
 
-    private final AtomicLong state = new AtomicLong();
+    private final AtomicLong closedAndCount = new AtomicLong();
     private final CompletableFuture<Void> drained = new CompletableFuture<>();
 
     /**
@@ -21,17 +21,17 @@
      * @return whether it got in; it must then {@link #leave}.
      */
     public boolean tryEnter() {
-        return (state.getAndUpdate(held -> (held & CLOSED) == 0 ? held + 1 : held) & CLOSED) == 0;
+        return (closedAndCount.getAndUpdate(current -> (current & CLOSED) == 0 ? current + 1 : current) & CLOSED) == 0;
     }
 
     /** Adds work that a request inside the gate started and that outlives it; must {@link #leave} too. */
     public void hold() {
-        state.incrementAndGet();
+        closedAndCount.incrementAndGet();
     }
 
     /** Ends what got in or was held. */
     public void leave() {
-        if (state.decrementAndGet() == CLOSED) {
+        if (closedAndCount.decrementAndGet() == CLOSED) {
             drained.complete(null);
         }
     }
@@ -42,7 +42,7 @@
      * @return completes when everything inside has left.
      */
     public CompletableFuture<Void> close() {
-        if (state.updateAndGet(held -> held | CLOSED) == CLOSED) {
+        if (closedAndCount.updateAndGet(current -> current | CLOSED) == CLOSED) {
             drained.complete(null);
         }
         return drained.copy();
@@ -54,7 +54,7 @@
      * @return whether nothing more gets in.
      */
     public boolean isClosed() {
-        return (state.get() & CLOSED) != 0;
+        return (closedAndCount.get() & CLOSED) != 0;
     }
 
     /**
@@ -63,6 +63,6 @@
      * @return requests and held work.
      */
     public long inFlight() {
-        return state.get() & ~CLOSED;
+        return closedAndCount.get() & ~CLOSED;
     }
 }
--- a/src/main/java/io/waxwingquay/common/HttpCalls.java
+++ b/src/main/java/io/waxwingquay/common/HttpCalls.java
@@ -22,13 +22,13 @@
     /**
      * Starts a client to share between all callers of a process.
      *
-     * @param maxConnectionsPerTarget open connections to one address; each open stream holds one.
+     * @param maxConnectionsPerDestination open connections to one address; each open stream holds one.
      * @param connectTimeoutMillis how long a connect may take.
      * @return the started client, to be stopped by its owner.
      */
-    public static HttpClient startClient(int maxConnectionsPerTarget, long connectTimeoutMillis) {
+    public static HttpClient startClient(int maxConnectionsPerDestination, long connectTimeoutMillis) {
         HttpClient client = new HttpClient();
-        client.setMaxConnectionsPerDestination(maxConnectionsPerTarget);
+        client.setMaxConnectionsPerDestination(maxConnectionsPerDestination);
         client.setMaxRequestsQueuedPerDestination(Integer.MAX_VALUE);
         client.setConnectTimeout(connectTimeoutMillis);
         client.setFollowRedirects(false);
@@ -64,13 +64,13 @@
      */
     public static CompletableFuture<Reply> send(Request request, long timeoutMillis) {
         CompletableFuture<Reply> future = new CompletableFuture<>();
-        SendTracker sending = SendTracker.of(request);
+        SendTracker tracker = SendTracker.of(request);
         request.timeout(timeoutMillis, TimeUnit.MILLISECONDS).send(new BufferingResponseListener(MAX_REPLY_BYTES) {
             /** {@inheritDoc} */
             @Override
             public void onComplete(Result result) {
                 if (result.isFailed()) {
-                    future.completeExceptionally(sending.failure(result.getFailure()));
+                    future.completeExceptionally(tracker.failure(result.getFailure()));
                     return;
                 }
                 String type = getMediaType() == null ? "application/octet-stream" : getMediaType();
@@ -137,7 +137,7 @@
         private enum State {
             WAITING,
             SENT,
-            GIVEN_UP
+            ABORTED
         }
 
         private final AtomicReference<State> state = new AtomicReference<>(State.WAITING);
@@ -154,9 +154,9 @@
          * @return its sending state.
          */
         public static SendTracker of(Request request) {
-            SendTracker sending = new SendTracker(request);
-            request.onRequestBegin(sending::begin);
-            return sending;
+            SendTracker tracker = new SendTracker(request);
+            request.onRequestBegin(tracker::onBegin);
+            return tracker;
         }
 
         /**
@@ -166,9 +166,9 @@
          * @return the failure with what is known.
          */
         public Failure failure(Throwable cause) {
-            boolean neverSent = state.compareAndSet(State.WAITING, State.GIVEN_UP) || state.get() == State.GIVEN_UP;
-            String outcome = neverSent ? "was not sent" : "got no whole answer";
-            return new Failure(!neverSent, "request to " + uri + " " + outcome + ": " + cause, cause);
+            boolean wasNeverSent = state.compareAndSet(State.WAITING, State.ABORTED) || state.get() == State.ABORTED;
+            String outcome = wasNeverSent ? "was not sent" : "got no whole answer";
+            return new Failure(!wasNeverSent, "request to " + uri + " " + outcome + ": " + cause, cause);
         }
 
         /**
@@ -177,13 +177,13 @@
          * @param request the request.
          */
         public void abortIfUnsent(Request request) {
-            if (state.compareAndSet(State.WAITING, State.GIVEN_UP)) {
+            if (state.compareAndSet(State.WAITING, State.ABORTED)) {
                 request.abort(new TimeoutException("no connection in time"));
             }
         }
 
-        private void begin(Request request) {
-            if (!state.compareAndSet(State.WAITING, State.SENT) && state.get() == State.GIVEN_UP) {
+        private void onBegin(Request request) {
+            if (!state.compareAndSet(State.WAITING, State.SENT) && state.get() == State.ABORTED) {
                 request.abort(new IllegalStateException("given up before it was sent"));
             }
         }
--- a/src/main/java/io/waxwingquay/membership/BucketHashes.java
+++ b/src/main/java/io/waxwingquay/membership/BucketHashes.java
@@ -30,7 +30,7 @@
         }
     }
 
-    List<Long> all() {
+    List<Long> asList() {
         return Arrays.stream(buckets).boxed().toList();
     }
 
--- a/src/main/java/io/waxwingquay/membership/Gossip.java
+++ b/src/main/java/io/waxwingquay/membership/Gossip.java
@@ -33,28 +33,28 @@
 public final class Gossip {
 
     private static final System.Logger LOG = System.getLogger("waxwingquay.membership");
-    private static final double OTHER_DATA_CENTRE_SHARE = 0.25;
+    private static final double REMOTE_PICK_PROBABILITY = 0.25;
     private static final int MAX_EXCHANGES = 4;
 
-    private final GossipParts parts;
+    private final GossipContext context;
     private final GossipHandler handler;
     private final Rumours rumours;
     private final Connections connections;
     private final Clock clock;
-    private final Timing pace;
+    private final Timing timing;
     private volatile long urgentUntilMillis = Long.MIN_VALUE;
     private volatile long lastComparedMillis = Long.MIN_VALUE / 2;
     private volatile long lastBundleVersion;
     private volatile int lastSuspectsHash;
 
     private Gossip(Builder wiring) {
-        this.parts = wiring.parts();
-        this.handler = new GossipHandler(parts);
-        this.rumours = new Rumours(parts.table());
+        this.context = wiring.context();
+        this.handler = new GossipHandler(context);
+        this.rumours = new Rumours(context.table());
         this.connections = wiring.connections;
         this.clock = wiring.clock;
-        this.pace = wiring.pace;
-        parts.table().onChange(this::noteChange);
+        this.timing = wiring.timing;
+        context.table().onChange(this::noteChange);
     }
 
     /**
@@ -80,7 +80,7 @@
 
     /** Makes the next rounds quick, for news that must be everywhere within seconds. */
     public void expedite() {
-        urgentUntilMillis = clock.monotonicMillis() + pace.urgentDurationMillis();
+        urgentUntilMillis = clock.monotonicMillis() + timing.urgentDurationMillis();
     }
 
     /**
@@ -89,11 +89,11 @@
      * @return the delay in milliseconds.
      */
     public long nextDelayMillis() {
-        hurryOnNews();
+        expediteOnUrgentChange();
         if (isUrgent()) {
-            return pace.urgentIntervalMillis();
+            return timing.urgentIntervalMillis();
         }
-        return rumours.isEmpty() ? pace.idleIntervalMillis() : pace.changeIntervalMillis();
+        return rumours.isEmpty() ? timing.idleIntervalMillis() : timing.changeIntervalMillis();
     }
 
     /**
@@ -102,16 +102,16 @@
      * @return completes when every peer asked has answered or failed; does not fail.
      */
     public CompletableFuture<Void> round() {
-        hurryOnNews();
+        expediteOnUrgentChange();
         boolean isIdle = rumours.isEmpty() && !isUrgent();
-        int fanOut = isUrgent() ? pace.urgentFanOut() : isIdle ? 1 : pace.changeFanOut();
+        int fanOut = isUrgent() ? timing.urgentFanOut() : isIdle ? 1 : timing.changeFanOut();
         List<Peers.Peer> peers;
-        synchronized (parts.random()) {
-            peers = parts.peers().pick(fanOut, OTHER_DATA_CENTRE_SHARE, parts.random());
+        synchronized (context.random()) {
+            peers = context.peers().pick(fanOut, REMOTE_PICK_PROBABILITY, context.random());
         }
-        List<SideRecord> news = peers.isEmpty() ? List.of() : rumours.take(parts.maxRecordBytes(), peers.size());
+        List<SideRecord> changes = peers.isEmpty() ? List.of() : rumours.take(context.maxRecordBytes(), peers.size());
         return CompletableFuture.allOf(
-                peers.stream().map(peer -> contact(peer, news)).toArray(CompletableFuture[]::new));
+                peers.stream().map(peer -> pushTo(peer, changes)).toArray(CompletableFuture[]::new));
     }
 
     /**
@@ -126,74 +126,74 @@
         return loop;
     }
 
-    private CompletableFuture<Void> contact(Peers.Peer peer, List<SideRecord> news) {
-        GossipRequest request = request(List.of(parts.table().combinedHash()), news);
+    private CompletableFuture<Void> pushTo(Peers.Peer peer, List<SideRecord> changes) {
+        GossipRequest request = request(List.of(context.table().combinedHash()), changes);
         return ask(peer, request)
-                .thenCompose(answer -> answer.getWantedBucketsSize() > 0 && mayCompare()
+                .thenCompose(answer -> answer.getWantedBucketsSize() > 0 && tryStartComparison()
                         ? compare(peer, MAX_EXCHANGES)
                         : CompletableFuture.<Void>completedFuture(null))
                 .handle((done, failure) -> {
-                    parts.peers().noteOutcome(peer, failure == null);
+                    context.peers().noteOutcome(peer, failure == null);
                     return null;
                 });
     }
 
     private CompletableFuture<Void> compare(Peers.Peer peer, int exchangesLeft) {
-        return ask(peer, request(parts.table().bucketHashes(), List.of()))
+        return ask(peer, request(context.table().bucketHashes(), List.of()))
                 .thenCompose(answer -> answer.getWantedBucketsSize() == 0
                         ? CompletableFuture.<Void>completedFuture(null)
-                        : exchange(peer, answer.getWantedBuckets(), exchangesLeft));
+                        : exchangeDigests(peer, answer.getWantedBuckets(), exchangesLeft));
     }
 
-    private CompletableFuture<Void> exchange(Peers.Peer peer, List<Integer> buckets, int exchangesLeft) {
-        List<Long> all = parts.table().bucketHashes();
+    private CompletableFuture<Void> exchangeDigests(Peers.Peer peer, List<Integer> buckets, int exchangesLeft) {
+        List<Long> all = context.table().bucketHashes();
         List<Long> hashes = new ArrayList<>(Collections.nCopies(all.size(), GossipHandler.NOT_COMPARED));
         buckets.forEach(bucket -> hashes.set(bucket, all.get(bucket)));
-        List<SideRecord> digests = parts.table().recordsIn(buckets).stream()
+        List<SideRecord> digests = context.table().recordsIn(buckets).stream()
                 .map(GossipHandler::digestOf)
                 .toList();
         return ask(peer, request(hashes, digests)).thenCompose(answer -> {
             CompletableFuture<Void> sent = sendWanted(peer, answer);
-            boolean isFull = answer.getSidesSize() > 0 && exchangesLeft > 1;
-            return isFull ? sent.thenCompose(done -> compare(peer, exchangesLeft - 1)) : sent;
+            boolean mayHaveMore = answer.getSidesSize() > 0 && exchangesLeft > 1;
+            return mayHaveMore ? sent.thenCompose(done -> compare(peer, exchangesLeft - 1)) : sent;
         });
     }
 
     private CompletableFuture<Void> sendWanted(Peers.Peer peer, GossipAnswer answer) {
         List<SideRecord> wanted = answer.getSides().stream()
                 .filter(record -> record.getHost() == null)
-                .flatMap(digest -> parts.table().record(digest.getSideId()).stream())
+                .flatMap(digest -> context.table().record(digest.getSideId()).stream())
                 .toList();
         return wanted.isEmpty()
                 ? CompletableFuture.completedFuture(null)
-                : ask(peer, request(List.of(), parts.bounded(wanted))).thenApply(done -> null);
+                : ask(peer, request(List.of(), context.limitSize(wanted))).thenApply(done -> null);
     }
 
     private CompletableFuture<GossipAnswer> ask(Peers.Peer peer, GossipRequest request) {
         return connections.to(peer.address()).gossip(request).thenApply(answer -> {
-            parts.traffic().asked(request, answer);
-            parts.noteBundleVersion(answer.getBundleVersion(), peer.address());
-            parts.suspects().merge(answer.getSuspects());
-            parts.table().merge(answer.getSides());
+            context.traffic().countInitiated(request, answer);
+            context.noteBundleVersion(answer.getBundleVersion(), peer.address());
+            context.suspects().merge(answer.getSuspects());
+            context.table().merge(answer.getSides());
             return answer;
         });
     }
 
     private GossipRequest request(List<Long> hashes, List<SideRecord> sides) {
-        Peers.Peer self = parts.peers().self();
+        Peers.Peer self = context.peers().self();
         return new GossipRequest(
                 self.id(),
                 self.address().host(),
                 self.address().port(),
-                parts.bundleVersion().getAsLong(),
+                context.bundleVersion().getAsLong(),
                 hashes,
                 sides,
-                parts.suspectsToSend());
+                context.suspectsToSend());
     }
 
-    private boolean mayCompare() {
+    private boolean tryStartComparison() {
         long nowMillis = clock.monotonicMillis();
-        boolean isDue = nowMillis - lastComparedMillis >= pace.compareIntervalMillis();
+        boolean isDue = nowMillis - lastComparedMillis >= timing.compareIntervalMillis();
         if (isDue) {
             lastComparedMillis = nowMillis;
         }
@@ -207,9 +207,9 @@
         }
     }
 
-    private void hurryOnNews() {
-        long version = parts.bundleVersion().getAsLong();
-        int suspectsHash = parts.suspectsHash();
+    private void expediteOnUrgentChange() {
+        long version = context.bundleVersion().getAsLong();
+        int suspectsHash = context.suspectsHash();
         if (version > lastBundleVersion || suspectsHash != lastSuspectsHash) {
             lastBundleVersion = version;
             lastSuspectsHash = suspectsHash;
@@ -273,16 +273,17 @@
 
         // The wait is cut into urgent intervals, so that urgent news does not sit out an idle wait.
         private void schedule() {
-            long dueMillis = clock.monotonicMillis();
-            scheduler.schedule(() -> wake(dueMillis), pace.urgentIntervalMillis(), TimeUnit.MILLISECONDS);
+            long lastRoundMillis = clock.monotonicMillis();
+            scheduler.schedule(() -> runIfDue(lastRoundMillis), timing.urgentIntervalMillis(), TimeUnit.MILLISECONDS);
         }
 
-        private void wake(long sinceMillis) {
+        private void runIfDue(long lastRoundMillis) {
             if (isClosed) {
                 return;
             }
-            if (clock.monotonicMillis() - sinceMillis < nextDelayMillis()) {
-                scheduler.schedule(() -> wake(sinceMillis), pace.urgentIntervalMillis(), TimeUnit.MILLISECONDS);
+            if (clock.monotonicMillis() - lastRoundMillis < nextDelayMillis()) {
+                scheduler.schedule(
+                        () -> runIfDue(lastRoundMillis), timing.urgentIntervalMillis(), TimeUnit.MILLISECONDS);
                 return;
             }
             runRound();
@@ -315,10 +316,10 @@
         private SuspectBook suspects;
         private MeterRegistry registry;
         private LongSupplier bundleVersion = () -> 0;
-        private BundleVersionListener news = (version, from) -> {};
+        private BundleVersionListener bundleVersionListener = (version, from) -> {};
         private Clock clock = Clock.SYSTEM;
         private RandomGenerator random = RandomGenerator.getDefault();
-        private Timing pace = Timing.DEFAULT;
+        private Timing timing = Timing.DEFAULT;
         private int maxRecordBytes = DEFAULT_MAX_RECORD_BYTES;
 
         private Builder(MemberTable table, Peers peers, Connections connections) {
@@ -342,12 +343,12 @@
          * Sets where the bundle's version comes from and who hears of a higher one.
          *
          * @param newBundleVersion the version in force here.
-         * @param newNews told of a higher one.
+         * @param newListener told of a higher one.
          * @return this builder.
          */
-        public Builder withBundleVersion(LongSupplier newBundleVersion, BundleVersionListener newNews) {
+        public Builder withBundleVersion(LongSupplier newBundleVersion, BundleVersionListener newListener) {
             this.bundleVersion = newBundleVersion;
-            this.news = newNews;
+            this.bundleVersionListener = newListener;
             return this;
         }
 
@@ -367,23 +368,23 @@
         /**
          * Sets the intervals.
          *
-         * @param newPace intervals and fan-outs.
+         * @param newTiming intervals and fan-outs.
          * @return this builder.
          */
-        public Builder withTiming(Timing newPace) {
-            this.pace = newPace;
+        public Builder withTiming(Timing newTiming) {
+            this.timing = newTiming;
             return this;
         }
 
         /**
          * Sets the intervals and the bound of a message.
          *
-         * @param newPace intervals and fan-outs.
+         * @param newTiming intervals and fan-outs.
          * @param newMaxRecordBytes the most bytes of records in a message.
          * @return this builder.
          */
-        public Builder withTiming(Timing newPace, int newMaxRecordBytes) {
-            this.pace = newPace;
+        public Builder withTiming(Timing newTiming, int newMaxRecordBytes) {
+            this.timing = newTiming;
             this.maxRecordBytes = newMaxRecordBytes;
             return this;
         }
@@ -410,9 +411,16 @@
             return new Gossip(this);
         }
 
-        private GossipParts parts() {
-            return new GossipParts(
-                    table, peers, suspects, bundleVersion, news, random, new GossipTraffic(registry), maxRecordBytes);
+        private GossipContext context() {
+            return new GossipContext(
+                    table,
+                    peers,
+                    suspects,
+                    bundleVersion,
+                    bundleVersionListener,
+                    random,
+                    new GossipTraffic(registry),
+                    maxRecordBytes);
         }
     }
 }
--- a/src/main/java/io/waxwingquay/membership/GossipParts.java
+++ b/src/main/java/io/waxwingquay/membership/GossipContext.java
@@ -18,17 +18,17 @@
  * @param peers whom to ask.
  * @param suspects the suspects.
  * @param bundleVersion the bundle version that this process has.
- * @param news told of higher bundle versions.
+ * @param bundleVersionListener told of higher bundle versions.
  * @param random the randomness.
  * @param traffic counts messages and bytes.
  * @param maxRecordBytes the most bytes of records in a message.
  */
-record GossipParts(
+record GossipContext(
         MemberTable table,
         Peers peers,
         SuspectBook suspects,
         LongSupplier bundleVersion,
-        BundleVersionListener news,
+        BundleVersionListener bundleVersionListener,
         RandomGenerator random,
         GossipTraffic traffic,
         int maxRecordBytes) {
@@ -38,7 +38,7 @@
 
     void noteBundleVersion(long version, HostPort from) {
         if (version > bundleVersion.getAsLong()) {
-            news.onHigherVersion(version, from);
+            bundleVersionListener.onHigherVersion(version, from);
         }
     }
 
@@ -72,7 +72,7 @@
         return rest;
     }
 
-    List<SideRecord> bounded(List<SideRecord> records) {
+    List<SideRecord> limitSize(List<SideRecord> records) {
         List<SideRecord> kept = new ArrayList<>();
         int sizeBytes = 0;
         for (SideRecord record : records) {
--- a/src/main/java/io/waxwingquay/membership/GossipHandler.java
+++ b/src/main/java/io/waxwingquay/membership/GossipHandler.java
@@ -35,10 +35,10 @@
 
     private static final int MAX_RECORDS_COMPARED = 150;
 
-    private final GossipParts parts;
+    private final GossipContext context;
 
-    GossipHandler(GossipParts parts) {
-        this.parts = parts;
+    GossipHandler(GossipContext parts) {
+        this.context = parts;
     }
 
     /**
@@ -48,22 +48,22 @@
      * @return the answer, bounded in size.
      */
     public GossipAnswer answer(GossipRequest request) {
-        if (!isWhole(request)) {
-            return new GossipAnswer(parts.bundleVersion().getAsLong(), List.of(), List.of(), List.of());
+        if (!isComplete(request)) {
+            return new GossipAnswer(context.bundleVersion().getAsLong(), List.of(), List.of(), List.of());
         }
         HostPort from = new HostPort(request.getFromHost(), request.getFromPort());
-        parts.peers().noteRequest(request.getFromId(), from);
-        parts.noteBundleVersion(request.getBundleVersion(), from);
-        parts.suspects().merge(request.getSuspects());
-        parts.table().merge(request.getSides());
+        context.peers().noteRequest(request.getFromId(), from);
+        context.noteBundleVersion(request.getBundleVersion(), from);
+        context.suspects().merge(request.getSuspects());
+        context.table().merge(request.getSides());
         GossipAnswer answer = compare(request)
-                .setBundleVersion(parts.bundleVersion().getAsLong())
-                .setSuspects(parts.suspectsToSend());
-        parts.traffic().answered(request, answer);
+                .setBundleVersion(context.bundleVersion().getAsLong())
+                .setSuspects(context.suspectsToSend());
+        context.traffic().countAnswered(request, answer);
         return answer;
     }
 
-    private static boolean isWhole(GossipRequest request) {
+    private static boolean isComplete(GossipRequest request) {
         return request.isSetFromId()
                 && request.isSetFromHost()
                 && request.isSetBucketHashes()
@@ -75,21 +75,21 @@
         List<Long> hashes = request.getBucketHashes();
         GossipAnswer answer = new GossipAnswer(0, List.of(), List.of(), List.of());
         if (hashes.size() == 1) {
-            boolean isEqual = hashes.get(0) == parts.table().combinedHash();
+            boolean isEqual = hashes.get(0) == context.table().combinedHash();
             return isEqual ? answer : answer.setWantedBuckets(List.of(ALL_BUCKETS));
         }
         if (hashes.size() != BucketHashes.BUCKETS) {
             return answer;
         }
         List<Integer> differing = differing(hashes);
-        boolean isDigested = hashes.contains(NOT_COMPARED);
-        return isDigested
+        boolean hasDigests = hashes.contains(NOT_COMPARED);
+        return hasDigests
                 ? answer.setSides(difference(differing, request.getSides()))
-                : answer.setWantedBuckets(few(differing));
+                : answer.setWantedBuckets(sampleBuckets(differing));
     }
 
     private List<Integer> differing(List<Long> hashes) {
-        List<Long> own = parts.table().bucketHashes();
+        List<Long> own = context.table().bucketHashes();
         return IntStream.range(0, BucketHashes.BUCKETS)
                 .filter(bucket -> hashes.get(bucket) != NOT_COMPARED)
                 .filter(bucket -> !hashes.get(bucket).equals(own.get(bucket)))
@@ -98,28 +98,28 @@
     }
 
     // At least one bucket stays out, so that a request of step three always has NOT_COMPARED in it.
-    private List<Integer> few(List<Integer> differing) {
-        int perBucket = Math.max(1, parts.table().size() / BucketHashes.BUCKETS);
+    private List<Integer> sampleBuckets(List<Integer> differing) {
+        int perBucket = Math.max(1, context.table().size() / BucketHashes.BUCKETS);
         int count = Math.max(1, Math.min(MAX_RECORDS_COMPARED / perBucket, BucketHashes.BUCKETS - 1));
-        return parts.sample(differing, count);
+        return context.sample(differing, count);
     }
 
     private List<SideRecord> difference(List<Integer> buckets, List<SideRecord> sent) {
         Map<String, SideRecord> digests = new HashMap<>();
         sent.forEach(record -> digests.put(record.getSideId(), record));
-        List<SideRecord> newerHere = parts.table().recordsIn(Set.copyOf(buckets)).stream()
-                .filter(record -> isNews(record, digests.get(record.getSideId())))
+        List<SideRecord> newerHere = context.table().recordsIn(Set.copyOf(buckets)).stream()
+                .filter(record -> isNewer(record, digests.get(record.getSideId())))
                 .toList();
-        List<SideRecord> answer = new ArrayList<>(parts.bounded(newerHere));
+        List<SideRecord> answer = new ArrayList<>(context.limitSize(newerHere));
         digests.values().stream()
-                .filter(digest ->
-                        isNews(digest, parts.table().record(digest.getSideId()).orElse(null)))
+                .filter(digest -> isNewer(
+                        digest, context.table().record(digest.getSideId()).orElse(null)))
                 .map(GossipHandler::digestOf)
                 .forEach(answer::add);
         return answer;
     }
 
-    private static boolean isNews(SideRecord record, SideRecord known) {
+    private static boolean isNewer(SideRecord record, SideRecord known) {
         return known == null || Records.join(known, record).isPresent();
     }
 
--- a/src/main/java/io/waxwingquay/membership/GossipTraffic.java
+++ b/src/main/java/io/waxwingquay/membership/GossipTraffic.java
@@ -11,24 +11,24 @@
     private static final String BYTES = "waxwingquay.gossip.bytes";
     private static final String MESSAGES = "waxwingquay.gossip.messages";
 
-    private final Kind news;
+    private final Kind dissemination;
     private final Kind comparison;
 
     GossipTraffic(MeterRegistry registry) {
-        this.news = Kind.of(registry, "news");
+        this.dissemination = Kind.of(registry, "news");
         this.comparison = Kind.of(registry, "comparison");
     }
 
-    void asked(GossipRequest request, GossipAnswer answer) {
+    void countInitiated(GossipRequest request, GossipAnswer answer) {
         kindOf(request).count(Records.sizeBytes(request), Records.sizeBytes(answer));
     }
 
-    void answered(GossipRequest request, GossipAnswer answer) {
+    void countAnswered(GossipRequest request, GossipAnswer answer) {
         kindOf(request).count(Records.sizeBytes(answer), Records.sizeBytes(request));
     }
 
     private Kind kindOf(GossipRequest request) {
-        return request.getBucketHashesSize() == BucketHashes.BUCKETS ? comparison : news;
+        return request.getBucketHashesSize() == BucketHashes.BUCKETS ? comparison : dissemination;
     }
 
     private record Kind(Counter sentBytes, Counter receivedBytes, Counter messages) {
--- a/src/main/java/io/waxwingquay/membership/Member.java
+++ b/src/main/java/io/waxwingquay/membership/Member.java
@@ -15,20 +15,20 @@
  *
  * @param record the record; not changed after it is stored.
  * @param side the record as routing sees it.
- * @param hasLeft whether this epoch was ever seen leaving; GONE hides that in the record.
+ * @param wasLeaving whether this epoch was ever seen leaving; GONE hides that in the record.
  * @param changedMillis when the record last changed here.
- * @param silentSinceMillis since when it has not answered, or {@link #NEVER}.
- * @param absentSinceMillis since when the platform's list lacks it, or {@link #NEVER}.
- * @param lastTriedMillis when it was last tried while silent.
+ * @param unresponsiveSinceMillis since when it has not answered, or {@link #NEVER}.
+ * @param unlistedSinceMillis since when the platform's list lacks it, or {@link #NEVER}.
+ * @param lastProbeMillis when it was last tried while silent.
  */
 record Member(
         SideRecord record,
         Side side,
-        boolean hasLeft,
+        boolean wasLeaving,
         long changedMillis,
-        long silentSinceMillis,
-        long absentSinceMillis,
-        long lastTriedMillis) {
+        long unresponsiveSinceMillis,
+        long unlistedSinceMillis,
+        long lastProbeMillis) {
 
     static final long NEVER = Long.MIN_VALUE;
 
@@ -43,41 +43,41 @@
             return of(next, nowMillis);
         }
         // A higher version was published by a living process, though perhaps not one that this process can reach.
-        if (hasLeft && next.getState().getValue() < SideState.LEAVING.getValue()) {
+        if (wasLeaving && next.getState().getValue() < SideState.LEAVING.getValue()) {
             next.setState(SideState.LEAVING);
         }
         return new Member(
                 next,
                 sideOf(next, isReachable()),
-                hasLeft || isLeaving(next),
+                wasLeaving || isLeaving(next),
                 nowMillis,
-                silentSinceMillis,
-                absentSinceMillis,
-                lastTriedMillis);
+                unresponsiveSinceMillis,
+                unlistedSinceMillis,
+                lastProbeMillis);
     }
 
-    Member answered() {
-        return isReachable() ? this : withSilence(NEVER, NEVER);
+    Member asReachable() {
+        return isReachable() ? this : withUnresponsiveSince(NEVER, NEVER);
     }
 
-    Member silent(long nowMillis) {
-        return withSilence(isReachable() ? nowMillis : silentSinceMillis, nowMillis);
+    Member asUnresponsive(long nowMillis) {
+        return withUnresponsiveSince(isReachable() ? nowMillis : unresponsiveSinceMillis, nowMillis);
     }
 
-    Member tried(long nowMillis) {
-        return withSilence(silentSinceMillis, nowMillis);
+    Member asProbed(long nowMillis) {
+        return withUnresponsiveSince(unresponsiveSinceMillis, nowMillis);
     }
 
-    Member listed() {
-        return absentSinceMillis == NEVER ? this : withAbsence(NEVER);
+    Member asListed() {
+        return unlistedSinceMillis == NEVER ? this : withUnlistedSince(NEVER);
     }
 
-    Member absent(long nowMillis) {
-        return absentSinceMillis == NEVER ? withAbsence(nowMillis) : this;
+    Member asUnlisted(long nowMillis) {
+        return unlistedSinceMillis == NEVER ? withUnlistedSince(nowMillis) : this;
     }
 
     boolean isReachable() {
-        return silentSinceMillis == NEVER;
+        return unresponsiveSinceMillis == NEVER;
     }
 
     boolean isGone() {
@@ -87,8 +87,8 @@
     boolean isExpired(long nowMillis, MemberTable.Timing timing) {
         return !isGone()
                 && !isReachable()
-                && absentSinceMillis != NEVER
-                && nowMillis - Math.max(silentSinceMillis, absentSinceMillis) >= timing.expiryMillis();
+                && unlistedSinceMillis != NEVER
+                && nowMillis - Math.max(unresponsiveSinceMillis, unlistedSinceMillis) >= timing.expiryMillis();
     }
 
     boolean isForgettable(long nowMillis, MemberTable.Timing timing) {
@@ -99,14 +99,15 @@
         return side;
     }
 
-    private Member withSilence(long sinceMillis, long triedMillis) {
+    private Member withUnresponsiveSince(long sinceMillis, long lastProbeMillis) {
         boolean reachable = sinceMillis == NEVER;
         Side next = reachable == side.reachable() ? side : sideOf(record, reachable);
-        return new Member(record, next, hasLeft, changedMillis, sinceMillis, absentSinceMillis, triedMillis);
+        return new Member(record, next, wasLeaving, changedMillis, sinceMillis, unlistedSinceMillis, lastProbeMillis);
     }
 
-    private Member withAbsence(long sinceMillis) {
-        return new Member(record, side, hasLeft, changedMillis, silentSinceMillis, sinceMillis, lastTriedMillis);
+    private Member withUnlistedSince(long sinceMillis) {
+        return new Member(
+                record, side, wasLeaving, changedMillis, unresponsiveSinceMillis, sinceMillis, lastProbeMillis);
     }
 
     private static boolean isLeaving(SideRecord record) {
--- a/src/main/java/io/waxwingquay/membership/MemberTable.java
+++ b/src/main/java/io/waxwingquay/membership/MemberTable.java
@@ -37,7 +37,7 @@
     private final List<Consumer<SideRecord>> listeners = new CopyOnWriteArrayList<>();
     private final BucketHashes hashes = new BucketHashes();
     private volatile List<Side> snapshot = List.of();
-    private volatile boolean isStale;
+    private volatile boolean isSnapshotStale;
 
     /**
      * An empty table.
@@ -62,7 +62,7 @@
     /** {@inheritDoc} */
     @Override
     public List<Side> sides() {
-        refresh();
+        refreshSnapshot();
         return snapshot;
     }
 
@@ -91,7 +91,7 @@
                 store(leaving).ifPresent(changed::add);
             }
         }
-        announce(changed);
+        notifyListeners(changed);
     }
 
     /** {@inheritDoc} */
@@ -101,9 +101,9 @@
         if (known == null || known.record().getEpoch() != epoch) {
             return;
         }
-        Member next = reached ? known.answered() : known.silent(clock.monotonicMillis());
+        Member next = reached ? known.asReachable() : known.asUnresponsive(clock.monotonicMillis());
         members.put(sideId, next);
-        isStale |= known.isReachable() != next.isReachable();
+        isSnapshotStale |= known.isReachable() != next.isReachable();
     }
 
     /**
@@ -115,10 +115,10 @@
     public List<SideRecord> merge(Collection<SideRecord> records) {
         List<SideRecord> changed = new ArrayList<>();
         synchronized (this) {
-            records.stream().filter(MemberTable::isWhole).forEach(record -> store(record)
+            records.stream().filter(MemberTable::isComplete).forEach(record -> store(record)
                     .ifPresent(changed::add));
         }
-        announce(changed);
+        notifyListeners(changed);
         return changed;
     }
 
@@ -129,12 +129,12 @@
      */
     public synchronized void noteListed(Set<String> names) {
         long nowMillis = clock.monotonicMillis();
-        members.replaceAll((id, member) -> names.contains(id) ? member.listed() : member.absent(nowMillis));
+        members.replaceAll((id, member) -> names.contains(id) ? member.asListed() : member.asUnlisted(nowMillis));
     }
 
     /** Notes that the list could not be read, so that time without it never counts as absence. */
-    public synchronized void noteListOut() {
-        members.replaceAll((id, member) -> member.listed());
+    public synchronized void noteListUnavailable() {
+        members.replaceAll((id, member) -> member.asListed());
     }
 
     /**
@@ -154,7 +154,7 @@
                 }
             }
         }
-        announce(changed);
+        notifyListeners(changed);
         return changed.stream().map(SideRecord::getSideId).toList();
     }
 
@@ -163,13 +163,13 @@
      *
      * @return the sides; the caller pings them and notes the outcome.
      */
-    public synchronized List<Side> dueForRetry() {
+    public synchronized List<Side> dueForProbe() {
         long nowMillis = clock.monotonicMillis();
         List<Member> due = members.values().stream()
                 .filter(member -> !member.isReachable() && !member.isGone())
-                .filter(member -> nowMillis - member.lastTriedMillis() >= timing.retryMillis())
+                .filter(member -> nowMillis - member.lastProbeMillis() >= timing.probeIntervalMillis())
                 .toList();
-        due.forEach(member -> members.put(member.record().getSideId(), member.tried(nowMillis)));
+        due.forEach(member -> members.put(member.record().getSideId(), member.asProbed(nowMillis)));
         return due.stream().map(Member::toSide).toList();
     }
 
@@ -205,7 +205,7 @@
      * @return {@link BucketHashes#BUCKETS} hashes.
      */
     synchronized List<Long> bucketHashes() {
-        return hashes.all();
+        return hashes.asList();
     }
 
     /**
@@ -243,20 +243,20 @@
         }
         hashes.toggle(next.record());
         members.put(next.record().getSideId(), next);
-        isStale = true;
+        isSnapshotStale = true;
         return next.record();
     }
 
-    private void announce(List<SideRecord> changed) {
+    private void notifyListeners(List<SideRecord> changed) {
         changed.forEach(record -> listeners.forEach(listener -> listener.accept(record)));
     }
 
-    private void refresh() {
-        if (!isStale) {
+    private void refreshSnapshot() {
+        if (!isSnapshotStale) {
             return;
         }
         synchronized (this) {
-            isStale = false;
+            isSnapshotStale = false;
             List<Side> next = new ArrayList<>(members.size());
             for (Member member : members.values()) {
                 if (!member.isGone()) {
@@ -267,7 +267,7 @@
         }
     }
 
-    private static boolean isWhole(SideRecord record) {
+    private static boolean isComplete(SideRecord record) {
         return record.getSideId() != null
                 && record.getHost() != null
                 && record.getDataCentre() != null
@@ -281,9 +281,9 @@
      *
      * @param expiryMillis absent and silent for this long makes a record GONE.
      * @param goneRetentionMillis how long a GONE record is remembered.
-     * @param retryMillis a silent side is tried again after this.
+     * @param probeIntervalMillis a silent side is tried again after this.
      */
-    public record Timing(long expiryMillis, long goneRetentionMillis, long retryMillis) {
+    public record Timing(long expiryMillis, long goneRetentionMillis, long probeIntervalMillis) {
 
         /** 20 s to GONE, remembered for 10 min, silent sides tried each second. */
         public static final Timing DEFAULT = new Timing(20_000, 600_000, 1_000);
--- a/src/main/java/io/waxwingquay/membership/Peers.java
+++ b/src/main/java/io/waxwingquay/membership/Peers.java
@@ -19,12 +19,12 @@
 public final class Peers {
 
     private static final int FORGET_AFTER_FAILURES = 5;
-    private static final String UNKNOWN = "";
+    private static final String UNKNOWN_DATA_CENTRE = "";
 
     private final Peer self;
     private final MemberTable table;
-    private final Map<HostPort, Peer> others = new ConcurrentHashMap<>();
-    private final Map<HostPort, Integer> failures = new ConcurrentHashMap<>();
+    private final Map<HostPort, Peer> discovered = new ConcurrentHashMap<>();
+    private final Map<HostPort, Integer> consecutiveFailures = new ConcurrentHashMap<>();
     private final Set<HostPort> seeds;
 
     /**
@@ -38,7 +38,7 @@
         this.self = self;
         this.table = table;
         this.seeds = Set.copyOf(seeds);
-        seeds.forEach(seed -> add(new Peer(seed.toString(), seed, UNKNOWN)));
+        seeds.forEach(seed -> add(new Peer(seed.toString(), seed, UNKNOWN_DATA_CENTRE)));
     }
 
     /**
@@ -61,10 +61,10 @@
      * @param address where it listens.
      */
     public void noteRequest(String id, HostPort address) {
-        failures.remove(address);
-        Peer known = others.get(address);
+        consecutiveFailures.remove(address);
+        Peer known = discovered.get(address);
         if (known == null || !known.id().equals(id)) {
-            add(new Peer(id, address, known == null ? UNKNOWN : known.dataCentre()));
+            add(new Peer(id, address, known == null ? UNKNOWN_DATA_CENTRE : known.dataCentre()));
         }
     }
 
@@ -77,7 +77,7 @@
         vms.forEach(vm -> {
             HostPort address = new HostPort(vm.host(), vm.port());
             if (vm.leaving()) {
-                others.remove(address);
+                discovered.remove(address);
             } else {
                 add(new Peer(vm.name(), address, vm.dataCentre()));
             }
@@ -93,11 +93,11 @@
     public void noteOutcome(Peer peer, boolean answered) {
         table.side(peer.id()).ifPresent(side -> table.noteReached(side.id(), side.epoch(), answered));
         if (answered) {
-            failures.remove(peer.address());
-        } else if (failures.merge(peer.address(), 1, Integer::sum) >= FORGET_AFTER_FAILURES
+            consecutiveFailures.remove(peer.address());
+        } else if (consecutiveFailures.merge(peer.address(), 1, Integer::sum) >= FORGET_AFTER_FAILURES
                 && !seeds.contains(peer.address())) {
-            others.remove(peer.address());
-            failures.remove(peer.address());
+            discovered.remove(peer.address());
+            consecutiveFailures.remove(peer.address());
         }
     }
 
@@ -105,18 +105,18 @@
      * Picks different peers at random: mostly of the own data centre, at most one of another.
      *
      * @param count how many.
-     * @param otherShare the share of picks of one peer that go to another data centre.
+     * @param remoteProbability the share of picks of one peer that go to another data centre.
      * @param random the randomness.
      * @return the peers; fewer if fewer are known.
      */
-    public List<Peer> pick(int count, double otherShare, RandomGenerator random) {
-        List<Peer> near = new ArrayList<>();
-        List<Peer> far = new ArrayList<>();
-        all().forEach(peer -> (isNear(peer) ? near : far).add(peer));
-        int farCount = count > 1 || random.nextDouble() < otherShare ? Math.min(1, far.size()) : 0;
-        int nearCount = Math.min(count - farCount, near.size());
-        Set<Peer> picked = new LinkedHashSet<>(sample(near, nearCount, random));
-        picked.addAll(sample(far, Math.min(count - nearCount, far.size()), random));
+    public List<Peer> pick(int count, double remoteProbability, RandomGenerator random) {
+        List<Peer> local = new ArrayList<>();
+        List<Peer> remote = new ArrayList<>();
+        all().forEach(peer -> (isLocal(peer) ? local : remote).add(peer));
+        int remoteCount = count > 1 || random.nextDouble() < remoteProbability ? Math.min(1, remote.size()) : 0;
+        int localCount = Math.min(count - remoteCount, local.size());
+        Set<Peer> picked = new LinkedHashSet<>(sample(local, localCount, random));
+        picked.addAll(sample(remote, Math.min(count - localCount, remote.size()), random));
         return List.copyOf(picked);
     }
 
@@ -133,20 +133,20 @@
         Stream<Peer> fromTable = sides.stream()
                 .filter(Side::reachable)
                 .map(side -> new Peer(side.id(), side.address(), side.dataCentre()));
-        Stream<Peer> rest = others.values().stream().filter(peer -> !sideAddresses.contains(peer.address()));
-        return Stream.concat(fromTable, rest)
+        Stream<Peer> others = discovered.values().stream().filter(peer -> !sideAddresses.contains(peer.address()));
+        return Stream.concat(fromTable, others)
                 .filter(peer -> !peer.address().equals(self.address()))
                 .toList();
     }
 
     private void add(Peer peer) {
         if (!peer.address().equals(self.address())) {
-            others.put(peer.address(), peer);
+            discovered.put(peer.address(), peer);
         }
     }
 
-    private boolean isNear(Peer peer) {
-        return peer.dataCentre().equals(self.dataCentre()) || peer.dataCentre().equals(UNKNOWN);
+    private boolean isLocal(Peer peer) {
+        return peer.dataCentre().equals(self.dataCentre()) || peer.dataCentre().equals(UNKNOWN_DATA_CENTRE);
     }
 
     private static List<Peer> sample(List<Peer> from, int count, RandomGenerator random) {
--- a/src/main/java/io/waxwingquay/membership/PublishInterval.java
+++ b/src/main/java/io/waxwingquay/membership/PublishInterval.java
@@ -10,7 +10,7 @@
  */
 public final class PublishInterval {
 
-    private static final int COPIES_HEARD = 5;
+    private static final int COPIES_RECEIVED = 5;
     private static final double MILLIS_PER_SECOND = 1000.0;
 
     private PublishInterval() {}
@@ -24,7 +24,7 @@
      * @return milliseconds.
      */
     public static long minMillis(int sides, SideRecord record, double budgetBytesPerSecond) {
-        return (long)
-                Math.ceil(MILLIS_PER_SECOND * sides * Records.sizeBytes(record) * COPIES_HEARD / budgetBytesPerSecond);
+        return (long) Math.ceil(
+                MILLIS_PER_SECOND * sides * Records.sizeBytes(record) * COPIES_RECEIVED / budgetBytesPerSecond);
     }
 }
--- a/src/main/java/io/waxwingquay/membership/Rumours.java
+++ b/src/main/java/io/waxwingquay/membership/Rumours.java
@@ -40,12 +40,12 @@
 
     /** The least spread records first, up to a size; each counts as sent to that many peers. */
     synchronized List<SideRecord> take(int maxBytes, int peers) {
-        List<Map.Entry<String, Integer>> freshFirst = new ArrayList<>(sendsLeft.entrySet());
-        freshFirst.sort(Map.Entry.<String, Integer>comparingByValue(Comparator.reverseOrder())
+        List<Map.Entry<String, Integer>> leastSpreadFirst = new ArrayList<>(sendsLeft.entrySet());
+        leastSpreadFirst.sort(Map.Entry.<String, Integer>comparingByValue(Comparator.reverseOrder())
                 .thenComparing(Map.Entry.comparingByKey()));
         List<SideRecord> taken = new ArrayList<>();
         int sizeBytes = 0;
-        for (Map.Entry<String, Integer> rumour : freshFirst) {
+        for (Map.Entry<String, Integer> rumour : leastSpreadFirst) {
             SideRecord record = table.record(rumour.getKey()).orElse(null);
             int recordBytes = record == null ? 0 : Records.sizeBytes(record);
             if (!taken.isEmpty() && sizeBytes + recordBytes > maxBytes) {
--- a/src/main/java/io/waxwingquay/membership/VmWatch.java
+++ b/src/main/java/io/waxwingquay/membership/VmWatch.java
@@ -37,7 +37,7 @@
 
     private static final System.Logger LOG = System.getLogger("waxwingquay.membership");
     private static final int READERS_PER_DATA_CENTRE = 3;
-    private static final int MAX_TRIES = 16;
+    private static final int MAX_PROBES = 16;
     private static final String SIDE_ROLE = "side";
 
     private final VmList list;
@@ -49,7 +49,7 @@
     private final VmList.Vm self;
     private final long intervalMillis;
     private final Map<String, Long> leavingEpochs = new HashMap<>();
-    private volatile long listAgeFromMillis = Long.MIN_VALUE;
+    private volatile long lastReadMillis = Long.MIN_VALUE;
 
     /**
      * A watch that has not started.
@@ -87,12 +87,12 @@
      */
     public CompletableFuture<Void> round() {
         CompletableFuture<Void> announced = list.announce(self).exceptionally(VmWatch::noteAnnounceFailure);
-        CompletableFuture<Void> read = isReader() ? read() : leaveToOthers();
-        CompletableFuture<?>[] tries = Stream.concat(
-                        table.dueForRetry().stream().limit(MAX_TRIES), neighbours().stream())
-                .map(this::tryToReach)
+        CompletableFuture<Void> listed = isReader() ? readList() : skipList();
+        CompletableFuture<?>[] probes = Stream.concat(
+                        table.dueForProbe().stream().limit(MAX_PROBES), servicePeers().stream())
+                .map(this::probe)
                 .toArray(CompletableFuture[]::new);
-        return CompletableFuture.allOf(announced, read, CompletableFuture.allOf(tries))
+        return CompletableFuture.allOf(announced, listed, CompletableFuture.allOf(probes))
                 .thenRun(table::expire);
     }
 
@@ -115,16 +115,16 @@
      * @return whether it is among the first of its data centre by hash.
      */
     public boolean isReader() {
-        List<Peers.Peer> known = peers.all();
+        List<Peers.Peer> knownPeers = peers.all();
         long ownRank = rank(self.name());
-        long before = known.stream()
+        long higherRanked = knownPeers.stream()
                 .filter(peer -> peer.dataCentre().equals(self.dataCentre()))
                 .map(Peers.Peer::id)
                 .distinct()
-                .filter(name -> isBefore(name, ownRank))
+                .filter(name -> ranksBefore(name, ownRank))
                 .limit(READERS_PER_DATA_CENTRE)
                 .count();
-        return before < READERS_PER_DATA_CENTRE;
+        return higherRanked < READERS_PER_DATA_CENTRE;
     }
 
     /**
@@ -133,22 +133,22 @@
      * @return monotonic milliseconds, or {@link Long#MIN_VALUE} if never.
      */
     public long lastReadMillis() {
-        return listAgeFromMillis;
+        return lastReadMillis;
     }
 
-    private CompletableFuture<Void> read() {
+    private CompletableFuture<Void> readList() {
         return list.list().handle((vms, failure) -> {
             if (failure == null) {
-                apply(vms);
+                applyList(vms);
             } else {
-                table.noteListOut();
+                table.noteListUnavailable();
             }
             return null;
         });
     }
 
-    private synchronized void apply(List<VmList.Vm> vms) {
-        listAgeFromMillis = clock.monotonicMillis();
+    private synchronized void applyList(List<VmList.Vm> vms) {
+        lastReadMillis = clock.monotonicMillis();
         peers.noteListed(vms);
         List<VmList.Vm> sides =
                 vms.stream().filter(vm -> SIDE_ROLE.equals(vm.role())).toList();
@@ -167,24 +167,24 @@
     }
 
     // An absence seen as a reader must not grow old once others read: the VM may be listed again unseen.
-    private CompletableFuture<Void> leaveToOthers() {
-        table.noteListOut();
+    private CompletableFuture<Void> skipList() {
+        table.noteListUnavailable();
         return CompletableFuture.completedFuture(null);
     }
 
     // Placement counts on sides that are reachable. With the list out a dead side shows only by its silence, so the
     // sides of a service try each other: all of them in a small service, a random few in a large one.
-    private List<Side> neighbours() {
+    private List<Side> servicePeers() {
         String service = table.side(self.name()).map(Side::service).orElse("");
         List<Side> reachable = new ArrayList<>(table.sides().stream()
                 .filter(side -> side.service().equals(service))
                 .filter(side -> side.reachable() && !side.id().equals(self.name()))
                 .toList());
         Collections.shuffle(reachable, new Random(random.nextLong()));
-        return reachable.stream().limit(MAX_TRIES).toList();
+        return reachable.stream().limit(MAX_PROBES).toList();
     }
 
-    private CompletableFuture<Void> tryToReach(Side side) {
+    private CompletableFuture<Void> probe(Side side) {
         return connections.to(side.address()).ping().handle((answer, failure) -> {
             table.noteReached(side.id(), side.epoch(), failure == null);
             return null;
@@ -205,7 +205,7 @@
     }
 
     // Each name is hashed once: sorting by hash took milliseconds at 2,400 sides, at each round of each process.
-    private boolean isBefore(String name, long ownRank) {
+    private boolean ranksBefore(String name, long ownRank) {
         long rank = rank(name);
         return rank < ownRank || rank == ownRank && name.compareTo(self.name()) < 0;
     }
--- a/src/main/java/io/waxwingquay/peer/PeerChannel.java
+++ b/src/main/java/io/waxwingquay/peer/PeerChannel.java
@@ -46,22 +46,22 @@
     /**
      * Sends a datagram.
      *
-     * @param target where to.
+     * @param destination where to.
      * @param datagram what.
      */
-    public void send(HostPort target, PeerDatagram datagram) {
-        send(target, encode(datagram));
+    public void send(HostPort destination, PeerDatagram datagram) {
+        send(destination, encode(datagram));
     }
 
     /**
      * Sends a datagram that was encoded once for many.
      *
-     * @param target where to.
+     * @param destination where to.
      * @param encoded the bytes.
      */
-    public void send(HostPort target, byte[] encoded) {
+    public void send(HostPort destination, byte[] encoded) {
         InetSocketAddress address =
-                addresses.computeIfAbsent(target, each -> new InetSocketAddress(each.host(), each.port()));
+                addresses.computeIfAbsent(destination, each -> new InetSocketAddress(each.host(), each.port()));
         socket.send(address, encoded);
     }
 
--- a/src/main/java/io/waxwingquay/peer/UpdateInterval.java
+++ b/src/main/java/io/waxwingquay/peer/UpdateInterval.java
@@ -7,13 +7,13 @@
 public final class UpdateInterval {
 
     /** Of the datagrams that a node may send in a second for control, about half are left for this. */
-    private static final long RECEIVER_MILLIS = 40L;
+    private static final long MILLIS_PER_RECEIVER = 40L;
 
-    private static final long LEAST_PERIOD_MILLIS = 200L;
-    private static final long LEAST_HEARD_MILLIS = 3_000L;
+    private static final long MIN_PERIOD_MILLIS = 200L;
+    private static final long MIN_STALE_AFTER_MILLIS = 3_000L;
 
     /** A process is taken to be gone or cut off when so many tellings in a row did not come. */
-    private static final int MISSED = 3;
+    private static final int MAX_MISSED_UPDATES = 3;
 
     private UpdateInterval() {}
 
@@ -24,7 +24,7 @@
      * @return the pause.
      */
     public static long periodMillis(int receivers) {
-        return Math.max(LEAST_PERIOD_MILLIS, receivers * RECEIVER_MILLIS);
+        return Math.max(MIN_PERIOD_MILLIS, receivers * MILLIS_PER_RECEIVER);
     }
 
     /**
@@ -34,6 +34,6 @@
      * @return the time after which silence means that the sender is gone.
      */
     public static long staleAfterMillis(int receivers) {
-        return Math.max(LEAST_HEARD_MILLIS, MISSED * periodMillis(receivers));
+        return Math.max(MIN_STALE_AFTER_MILLIS, MAX_MISSED_UPDATES * periodMillis(receivers));
     }
 }
--- a/src/main/java/io/waxwingquay/peer/UpdateSequence.java
+++ b/src/main/java/io/waxwingquay/peer/UpdateSequence.java
@@ -14,7 +14,7 @@
     private static final int COUNT_BITS = 24;
 
     /** No datagram is on its way for so long, so an earlier start that is further behind is that of a later VM. */
-    private static final long OVERTAKEN_MILLIS = 10_000L;
+    private static final long MAX_IN_FLIGHT_MILLIS = 10_000L;
 
     private long last;
 
@@ -40,11 +40,11 @@
      * Whether one telling was overtaken by another one, or is the same come twice.
      *
      * @param number its number.
-     * @param known the number of the other.
+     * @param newest the number of the other.
      * @return whether it says nothing new.
      */
-    public static boolean isSuperseded(long number, long known) {
-        return number <= known && start(known) - start(number) < OVERTAKEN_MILLIS;
+    public static boolean isSuperseded(long number, long newest) {
+        return number <= newest && startMillis(newest) - startMillis(number) < MAX_IN_FLIGHT_MILLIS;
     }
 
     /**
@@ -55,10 +55,10 @@
      * @return whether the process has not started in between.
      */
     public static boolean isSameIncarnation(long number, long other) {
-        return start(number) == start(other);
+        return startMillis(number) == startMillis(other);
     }
 
-    private static long start(long number) {
+    private static long startMillis(long number) {
         return number >> COUNT_BITS;
     }
 }
--- a/src/main/java/io/waxwingquay/transport/ForwardingPeer.java
+++ b/src/main/java/io/waxwingquay/transport/ForwardingPeer.java
@@ -15,7 +15,7 @@
  */
 public abstract class ForwardingPeer implements PeerProtocol {
 
-    private final PeerProtocol peer;
+    private final PeerProtocol delegate;
 
     /**
      * A handler that adds to another.
@@ -23,42 +23,42 @@
      * @param peer answers what any process may ask.
      */
     protected ForwardingPeer(PeerProtocol peer) {
-        this.peer = peer;
+        this.delegate = peer;
     }
 
     /** {@inheritDoc} */
     @Override
     public CompletableFuture<GossipAnswer> gossip(GossipRequest request) {
-        return peer.gossip(request);
+        return delegate.gossip(request);
     }
 
     /** {@inheritDoc} */
     @Override
     public CompletableFuture<BundleAnswer> fetchBundle(BundleRequest request) {
-        return peer.fetchBundle(request);
+        return delegate.fetchBundle(request);
     }
 
     /** {@inheritDoc} */
     @Override
     public CompletableFuture<Boolean> noteSuspects(SuspectNotice notice) {
-        return peer.noteSuspects(notice);
+        return delegate.noteSuspects(notice);
     }
 
     /** {@inheritDoc} */
     @Override
     public CompletableFuture<PermitAnswer> borrowPermit(PermitRequest request) {
-        return peer.borrowPermit(request);
+        return delegate.borrowPermit(request);
     }
 
     /** {@inheritDoc} */
     @Override
     public CompletableFuture<Boolean> returnPermit(PermitReturn request) {
-        return peer.returnPermit(request);
+        return delegate.returnPermit(request);
     }
 
     /** {@inheritDoc} */
     @Override
     public CompletableFuture<Boolean> ping() {
-        return peer.ping();
+        return delegate.ping();
     }
 }
--- a/src/main/java/io/waxwingquay/transport/PeerAdapter.java
+++ b/src/main/java/io/waxwingquay/transport/PeerAdapter.java
@@ -79,12 +79,12 @@
             if (failure == null) {
                 callback.onComplete(answer);
             } else {
-                callback.onError(converted(failure));
+                callback.onError(toApplicationException(failure));
             }
         });
     }
 
-    private static TApplicationException converted(Throwable failure) {
+    private static TApplicationException toApplicationException(Throwable failure) {
         Throwable cause =
                 failure instanceof CompletionException && failure.getCause() != null ? failure.getCause() : failure;
         LOG.log(System.Logger.Level.WARNING, "transport: A handler failed.", cause);
--- a/src/main/java/io/waxwingquay/transport/ThriftClient.java
+++ b/src/main/java/io/waxwingquay/transport/ThriftClient.java
@@ -35,7 +35,7 @@
     private final HostPort address;
     private final TAsyncClientManager manager;
     private final ThriftConnections.Settings settings;
-    private final Deque<Connection> idle = new ConcurrentLinkedDeque<>();
+    private final Deque<Connection> idleConnections = new ConcurrentLinkedDeque<>();
     private final AtomicLong generation = new AtomicLong();
 
     ThriftClient(HostPort address, TAsyncClientManager manager, ThriftConnections.Settings settings) {
@@ -107,13 +107,13 @@
     /** {@inheritDoc} */
     @Override
     public void close() {
-        abandonIdle();
+        closeIdleConnections();
     }
 
     private <T> CompletableFuture<T> call(String method, long waitMillis, Invocation<T> invocation) {
         CompletableFuture<T> result = new CompletableFuture<>();
         try {
-            Connection connection = take();
+            Connection connection = acquire();
             connection.client.setTimeout(timeoutMillis(waitMillis));
             invocation.start(connection.client, new Callback<>(method, connection, result));
         } catch (IOException | TException failure) {
@@ -127,14 +127,14 @@
         return waitMillis > 0L ? waitMillis + settings.graceMillis() : settings.callTimeoutMillis();
     }
 
-    private Connection take() throws IOException, TException {
-        Connection connection = idle.pollFirst();
+    private Connection acquire() throws IOException, TException {
+        Connection connection = idleConnections.pollFirst();
         return connection != null ? connection : new Connection(generation.get());
     }
 
-    private void giveBack(Connection connection) {
-        if (connection.generation == generation.get() && idle.size() < settings.idleLimit()) {
-            idle.addFirst(connection);
+    private void release(Connection connection) {
+        if (connection.generation == generation.get() && idleConnections.size() < settings.idleLimit()) {
+            idleConnections.addFirst(connection);
         } else {
             connection.socket.close();
         }
@@ -147,12 +147,12 @@
      * call on an old connection waits out its timeout in turn. Once one is silent the others are not trusted: those
      * idle are closed, and those in use are not kept, so the next call uses a fresh connection.
      */
-    private void abandonIdle() {
+    private void closeIdleConnections() {
         generation.incrementAndGet();
-        Connection connection = idle.pollFirst();
+        Connection connection = idleConnections.pollFirst();
         while (connection != null) {
             connection.socket.close();
-            connection = idle.pollFirst();
+            connection = idleConnections.pollFirst();
         }
     }
 
@@ -185,22 +185,22 @@
         private final String method;
         private final Connection connection;
         private final CompletableFuture<T> result;
-        private final long writtenBefore;
-        private final long readBefore;
+        private final long writtenBytesBefore;
+        private final long readBytesBefore;
 
         private Callback(String method, Connection connection, CompletableFuture<T> result) {
             this.method = method;
             this.connection = connection;
             this.result = result;
-            this.writtenBefore = connection.socket.writtenBytes();
-            this.readBefore = connection.socket.readBytes();
+            this.writtenBytesBefore = connection.socket.writtenBytes();
+            this.readBytesBefore = connection.socket.readBytes();
         }
 
         /** {@inheritDoc} */
         @Override
         public void onComplete(T answer) {
             observe();
-            giveBack(connection);
+            release(connection);
             settings.executor().execute(() -> result.complete(answer));
         }
 
@@ -208,13 +208,13 @@
         @Override
         public void onError(Exception failure) {
             observe();
-            boolean delivered = connection.socket.writtenBytes() > writtenBefore;
+            boolean maybeDelivered = connection.socket.writtenBytes() > writtenBytesBefore;
             connection.socket.close();
             if (failure instanceof TimeoutException) {
-                abandonIdle();
+                closeIdleConnections();
             }
             TransportException converted =
-                    new TransportException(delivered, method + " to " + address + " got no answer", failure);
+                    new TransportException(maybeDelivered, method + " to " + address + " got no answer", failure);
             settings.executor().execute(() -> result.completeExceptionally(converted));
         }
 
@@ -222,8 +222,8 @@
             settings.observer()
                     .observe(
                             method,
-                            connection.socket.writtenBytes() - writtenBefore,
-                            connection.socket.readBytes() - readBefore);
+                            connection.socket.writtenBytes() - writtenBytesBefore,
+                            connection.socket.readBytes() - readBytesBefore);
         }
     }
 }
--- a/src/main/java/io/waxwingquay/transport/ThriftServer.java
+++ b/src/main/java/io/waxwingquay/transport/ThriftServer.java
@@ -37,7 +37,7 @@
             throw new TransportException(false, "cannot listen on " + wanted + "; is the port taken?", failure);
         }
         this.address = new HostPort(wanted.host(), socket.getPort());
-        this.workers = Executors.newFixedThreadPool(WORKER_THREADS, daemon("thrift-worker-" + address.port()));
+        this.workers = Executors.newFixedThreadPool(WORKER_THREADS, daemonThreads("thrift-worker-" + address.port()));
     }
 
     /**
@@ -97,11 +97,13 @@
         arguments.maxReadBufferBytes = MAX_FRAME_BYTES;
         TThreadedSelectorServer serving = new TThreadedSelectorServer(arguments);
         server = Optional.of(serving);
-        daemon("thrift-server-" + address.port()).newThread(serving::serve).start();
+        daemonThreads("thrift-server-" + address.port())
+                .newThread(serving::serve)
+                .start();
         return this;
     }
 
-    private static ThreadFactory daemon(String name) {
+    private static ThreadFactory daemonThreads(String name) {
         return task -> {
             Thread thread = new Thread(task, name);
             thread.setDaemon(true);
@@ -127,12 +129,12 @@
         public TNonblockingSocket accept() throws TTransportException {
             TNonblockingSocket socket = super.accept();
             if (socket != null) {
-                keepAlive(socket);
+                configure(socket);
             }
             return socket;
         }
 
-        private static void keepAlive(TNonblockingSocket socket) throws TTransportException {
+        private static void configure(TNonblockingSocket socket) throws TTransportException {
             try {
                 socket.getSocketChannel().socket().setKeepAlive(true);
                 socket.getSocketChannel().socket().setTcpNoDelay(true);
--- a/src/test/java/io/waxwingquay/common/DrainGateTest.java
+++ b/src/test/java/io/waxwingquay/common/DrainGateTest.java
@@ -45,7 +45,7 @@
     /** Operations that run against each other. */
     public static class Concurrent {
 
-        private final DrainGate gate = held();
+        private final DrainGate gate = newHeldGate();
 
         @Operation
         public boolean enter() {
@@ -58,7 +58,7 @@
         }
 
         @Operation
-        public long inside() {
+        public long inFlight() {
             return gate.inFlight();
         }
 
@@ -72,7 +72,7 @@
             return gate.isClosed();
         }
 
-        private static DrainGate held() {
+        private static DrainGate newHeldGate() {
             DrainGate gate = new DrainGate();
             gate.hold();
             return gate;
--- a/src/test/java/io/waxwingquay/membership/GossipWorld.java
+++ b/src/test/java/io/waxwingquay/membership/GossipSimulation.java
@@ -29,7 +29,7 @@
  * Processes that gossip by direct calls, with one clock that the test steps. Each wakes every 250 ms at a phase of its
  * own, as the real loop does, so that news rarely goes more than one hop in a step.
  */
-final class GossipWorld {
+final class GossipSimulation {
 
     static final long STEP_MILLIS = 10;
     private static final long WAKE_MILLIS = 250;
@@ -39,8 +39,8 @@
 
     private final List<Node> nodes = new ArrayList<>();
     private final Set<Integer> down = new HashSet<>();
-    private final Random losses = new Random(9);
-    private double lostShare;
+    private final Random lossRandom = new Random(9);
+    private double lossProbability;
     private long nowMillis = 1_000;
     private final Clock clock = new Clock() {
         @Override
@@ -55,11 +55,11 @@
     };
 
     /** Sides that all know each other. */
-    static GossipWorld ofAcquainted(int count, long seed) {
-        GossipWorld world = new GossipWorld();
+    static GossipSimulation fullyConnected(int count, long seed) {
+        GossipSimulation world = new GossipSimulation();
         IntStream.range(0, count).forEach(index -> world.nodes.add(world.new Node(index, seed + index)));
         List<SideRecord> all =
-                IntStream.range(0, count).mapToObj(GossipWorld::record).toList();
+                IntStream.range(0, count).mapToObj(GossipSimulation::record).toList();
         world.nodes.forEach(node -> node.table.merge(all));
         world.settle();
         return world;
@@ -93,10 +93,10 @@
     }
 
     /** A process that knows only one other. */
-    Node join(int seedOf) {
-        Node node = new Node(nodes.size(), seedOf);
+    Node join(int contactIndex) {
+        Node node = new Node(nodes.size(), contactIndex);
         nodes.add(node);
-        node.peers.noteRequest(name(seedOf), address(seedOf));
+        node.peers.noteRequest(name(contactIndex), address(contactIndex));
         node.table.publish(record(nodes.size() - 1));
         return node;
     }
@@ -106,8 +106,8 @@
     }
 
     /** From now on this share of calls is lost, half of them after they were answered. */
-    void lose(double share) {
-        lostShare = share;
+    void setLossProbability(double probability) {
+        lossProbability = probability;
     }
 
     void step() {
@@ -124,7 +124,7 @@
         return nowMillis - startMillis;
     }
 
-    void pass(long millis) {
+    void advance(long millis) {
         LongStream.range(0, millis / STEP_MILLIS).forEach(ignored -> step());
     }
 
@@ -138,7 +138,7 @@
     }
 
     private void settle() {
-        pass(20_000);
+        advance(20_000);
     }
 
     private List<Node> upNodes() {
@@ -183,8 +183,8 @@
         }
 
         private void step() {
-            boolean isAwake = (nowMillis - phaseMillis) % WAKE_MILLIS == 0;
-            if (isAwake && !down.contains(index) && nowMillis - lastRoundMillis >= gossip.nextDelayMillis()) {
+            boolean isWakeTime = (nowMillis - phaseMillis) % WAKE_MILLIS == 0;
+            if (isWakeTime && !down.contains(index) && nowMillis - lastRoundMillis >= gossip.nextDelayMillis()) {
                 lastRoundMillis = nowMillis;
                 gossip.round().join();
             }
@@ -211,15 +211,15 @@
         }
 
         private CompletableFuture<?> answer(int index, String method, Object[] arguments) {
-            boolean isRequestLost = losses.nextDouble() < lostShare / 2;
-            CompletableFuture<?> answer = isRequestLost ? null : delivered(index, method, arguments);
-            boolean isAnswerLost = losses.nextDouble() < lostShare / 2;
+            boolean isRequestLost = lossRandom.nextDouble() < lossProbability / 2;
+            CompletableFuture<?> answer = isRequestLost ? null : deliver(index, method, arguments);
+            boolean isAnswerLost = lossRandom.nextDouble() < lossProbability / 2;
             return isRequestLost || isAnswerLost
                     ? CompletableFuture.failedFuture(new TransportException(!isRequestLost, "lost", null))
                     : answer;
         }
 
-        private CompletableFuture<?> delivered(int index, String method, Object[] arguments) {
+        private CompletableFuture<?> deliver(int index, String method, Object[] arguments) {
             return "ping".equals(method)
                     ? CompletableFuture.completedFuture(true)
                     : CompletableFuture.completedFuture(
--- a/src/test/java/io/waxwingquay/membership/GossipTest.java
+++ b/src/test/java/io/waxwingquay/membership/GossipTest.java
@@ -11,55 +11,57 @@
 
 class GossipTest {
 
-    private static final int NODES = 200;
-    private static final long LIMIT_MILLIS = 100_000;
-    private static final long EVERYWHERE_MILLIS = 3_000;
-    private static final long IDLE_MILLIS = 20_000;
+    private static final int NODE_COUNT = 200;
+    private static final long TEST_LIMIT_MILLIS = 100_000;
+    private static final long URGENT_SPREAD_MILLIS = 3_000;
+    private static final long IDLE_PERIOD_MILLIS = 20_000;
     private static final double BUDGET_BYTES_PER_SECOND = 9_000;
 
-    private final GossipWorld world = GossipWorld.ofAcquainted(NODES, 20261202);
+    private final GossipSimulation world = GossipSimulation.fullyConnected(NODE_COUNT, 20261202);
 
     @Test
     void aBundleVersionIsEverywhereWithinThreeSecondsOfTheSteppedClock() {
         double beforeBytes = world.sentBytes();
         world.node(0).bundleVersion = 2;
-        long tookMillis = world.millisUntilAll(node -> node.bundleVersion == 2, LIMIT_MILLIS);
+        long tookMillis = world.millisUntilAll(node -> node.bundleVersion == 2, TEST_LIMIT_MILLIS);
         print("bundle version at all", tookMillis);
-        world.pass(20_000 - tookMillis);
+        world.advance(20_000 - tookMillis);
         System.out.printf(
-                "gossip: 20 s with one new bundle sent %.0f bytes a node%n", (world.sentBytes() - beforeBytes) / NODES);
-        assertTrue(tookMillis <= EVERYWHERE_MILLIS, "took ms: " + tookMillis);
+                "gossip: 20 s with one new bundle sent %.0f bytes a node%n",
+                (world.sentBytes() - beforeBytes) / NODE_COUNT);
+        assertTrue(tookMillis <= URGENT_SPREAD_MILLIS, "took ms: " + tookMillis);
     }
 
     @Test
     void aLeavingSideIsKnownEverywhereWithinThreeSecondsOfTheSteppedClock() {
-        world.node(5).table.noteLeaving(GossipWorld.name(7), 1);
-        long tookMillis = world.millisUntilAll(node -> stateOf(node, 7) == SideState.LEAVING, LIMIT_MILLIS);
+        world.node(5).table.noteLeaving(GossipSimulation.name(7), 1);
+        long tookMillis = world.millisUntilAll(node -> stateOf(node, 7) == SideState.LEAVING, TEST_LIMIT_MILLIS);
         print("leaving known at all", tookMillis);
-        assertTrue(tookMillis <= EVERYWHERE_MILLIS, "took ms: " + tookMillis);
+        assertTrue(tookMillis <= URGENT_SPREAD_MILLIS, "took ms: " + tookMillis);
     }
 
     @Test
     void anOrdinaryRecordReachesAll() {
         double beforeBytes = world.sentBytes();
-        world.node(3).table.publish(GossipWorld.record(3).setVersion(2));
-        long tookMillis = world.millisUntilAll(node -> versionAt(node, 3) == 2, LIMIT_MILLIS);
+        world.node(3).table.publish(GossipSimulation.record(3).setVersion(2));
+        long tookMillis = world.millisUntilAll(node -> versionAt(node, 3) == 2, TEST_LIMIT_MILLIS);
         print("record version at all", tookMillis);
-        System.out.printf("gossip: that record cost %.0f bytes a node%n", (world.sentBytes() - beforeBytes) / NODES);
-        assertTrue(tookMillis < LIMIT_MILLIS);
+        System.out.printf(
+                "gossip: that record cost %.0f bytes a node%n", (world.sentBytes() - beforeBytes) / NODE_COUNT);
+        assertTrue(tookMillis < TEST_LIMIT_MILLIS);
     }
 
     @Test
     void whatRumoursMissComparisonsBring() {
         // Two calls in three are lost while a record changes, so its few pushes reach only some processes. The rest
         // would place and route by the old record for good, unless hashes showed the difference later.
-        world.lose(0.67);
-        world.node(3).table.publish(GossipWorld.record(3).setVersion(2));
-        world.pass(5_000);
-        world.lose(0);
-        long tookMillis = world.millisUntilAll(node -> versionAt(node, 3) == 2, LIMIT_MILLIS);
+        world.setLossProbability(0.67);
+        world.node(3).table.publish(GossipSimulation.record(3).setVersion(2));
+        world.advance(5_000);
+        world.setLossProbability(0);
+        long tookMillis = world.millisUntilAll(node -> versionAt(node, 3) == 2, TEST_LIMIT_MILLIS);
         print("record version at all, after 5 s of losing two calls in three, known at all", tookMillis);
-        assertTrue(tookMillis < LIMIT_MILLIS);
+        assertTrue(tookMillis < TEST_LIMIT_MILLIS);
     }
 
     @Test
@@ -72,26 +74,27 @@
     @Test
     void idleRoundsStayFarWithinTheBudget() {
         double beforeBytes = world.sentBytes();
-        world.pass(IDLE_MILLIS);
-        double bytesPerSecond = (world.sentBytes() - beforeBytes) / NODES / (IDLE_MILLIS / 1000.0);
+        world.advance(IDLE_PERIOD_MILLIS);
+        double bytesPerSecond = (world.sentBytes() - beforeBytes) / NODE_COUNT / (IDLE_PERIOD_MILLIS / 1000.0);
         System.out.printf("gossip: idle sends %.1f bytes a second a node%n", bytesPerSecond);
         assertTrue(bytesPerSecond < BUDGET_BYTES_PER_SECOND / 10, "bytes a second: " + bytesPerSecond);
     }
 
     @Test
     void aProcessThatKnowsOnePeerLearnsAll() {
-        GossipWorld.Node joined = world.join(0);
-        long tookMillis = world.millisUntilAll(node -> node.table.size() == NODES + 1, LIMIT_MILLIS);
+        GossipSimulation.Node joined = world.join(0);
+        long tookMillis = world.millisUntilAll(node -> node.table.size() == NODE_COUNT + 1, TEST_LIMIT_MILLIS);
         print("joined process knows all and is known", tookMillis);
-        assertEquals(NODES + 1, joined.table.size());
+        assertEquals(NODE_COUNT + 1, joined.table.size());
     }
 
     @Test
     void suspectsRideAlong() {
         world.node(0).suspects.recordCrash("crash-1", List.of(42L));
-        long tookMillis = world.millisUntilAll(node -> node.suspects.standing(42L) == Standing.SUSPECT, LIMIT_MILLIS);
+        long tookMillis =
+                world.millisUntilAll(node -> node.suspects.standing(42L) == Standing.SUSPECT, TEST_LIMIT_MILLIS);
         print("suspect known at all", tookMillis);
-        assertTrue(tookMillis < LIMIT_MILLIS);
+        assertTrue(tookMillis < TEST_LIMIT_MILLIS);
     }
 
     @Test
@@ -99,22 +102,22 @@
         // A switch fails and a side no longer answers; the platform's list is out as well. Callers must not be sent
         // there, yet nothing says that it is gone: it may serve others, and it comes back when the switch does.
         world.takeDown(9);
-        world.pass(50_000);
+        world.advance(50_000);
         MemberTable table = world.node(0).table;
-        table.noteReached(GossipWorld.name(9), 1, false);
+        table.noteReached(GossipSimulation.name(9), 1, false);
         assertEquals(List.of(), table.expire());
-        assertEquals(false, table.side(GossipWorld.name(9)).orElseThrow().acceptsWork());
+        assertEquals(false, table.side(GossipSimulation.name(9)).orElseThrow().acceptsWork());
     }
 
     private void print(String what, long tookMillis) {
         System.out.printf("gossip: %s of %d after %d ms of the stepped clock%n", what, world.size(), tookMillis);
     }
 
-    private static SideState stateOf(GossipWorld.Node node, int index) {
-        return node.table.side(GossipWorld.name(index)).orElseThrow().state();
+    private static SideState stateOf(GossipSimulation.Node node, int index) {
+        return node.table.side(GossipSimulation.name(index)).orElseThrow().state();
     }
 
-    private static long versionAt(GossipWorld.Node node, int index) {
-        return node.table.side(GossipWorld.name(index)).orElseThrow().version();
+    private static long versionAt(GossipSimulation.Node node, int index) {
+        return node.table.side(GossipSimulation.name(index)).orElseThrow().version();
     }
 }
--- a/src/test/java/io/waxwingquay/membership/MemberTableTest.java
+++ b/src/test/java/io/waxwingquay/membership/MemberTableTest.java
@@ -22,7 +22,7 @@
 
 class MemberTableTest {
 
-    private static final String NAME = GossipWorld.name(1);
+    private static final String NAME = GossipSimulation.name(1);
     private static final long EXPIRY_MILLIS = MemberTable.Timing.DEFAULT.expiryMillis();
 
     private long nowMillis = 1_000;
@@ -97,7 +97,7 @@
         table.publish(record(1, 1, SideState.SERVING));
         table.noteListed(Set.of());
         table.noteReached(NAME, 1, false);
-        table.noteListOut();
+        table.noteListUnavailable();
         nowMillis += 10 * EXPIRY_MILLIS;
         assertEquals(List.of(), table.expire());
     }
@@ -106,10 +106,10 @@
     void aSilentSideIsDueForRetryOnceAnInterval() {
         table.publish(record(1, 1, SideState.SERVING));
         table.noteReached(NAME, 1, false);
-        assertEquals(0, table.dueForRetry().size());
-        nowMillis += MemberTable.Timing.DEFAULT.retryMillis();
-        assertEquals(1, table.dueForRetry().size());
-        assertEquals(0, table.dueForRetry().size());
+        assertEquals(0, table.dueForProbe().size());
+        nowMillis += MemberTable.Timing.DEFAULT.probeIntervalMillis();
+        assertEquals(1, table.dueForProbe().size());
+        assertEquals(0, table.dueForProbe().size());
         table.noteReached(NAME, 1, true);
         assertTrue(table.side(NAME).orElseThrow().acceptsWork());
     }
@@ -149,7 +149,7 @@
     }
 
     private static SideRecord record(long epoch, long version, SideState state) {
-        return GossipWorld.record(1).setEpoch(epoch).setVersion(version).setState(state);
+        return GossipSimulation.record(1).setEpoch(epoch).setVersion(version).setState(state);
     }
 
     private MemberTable newTable() {
--- a/src/test/java/io/waxwingquay/membership/PublishIntervalTest.java
+++ b/src/test/java/io/waxwingquay/membership/PublishIntervalTest.java
@@ -16,7 +16,7 @@
     // published every 5 s would send every process some 600 KB/s, sixty times what a node may use.
     @Property(tries = 100, seed = "20261202")
     void allSidesTogetherStayWithinTheBudget(@ForAll @IntRange(min = 1, max = 5_000) int sides) {
-        SideRecord record = GossipWorld.record(1);
+        SideRecord record = GossipSimulation.record(1);
         long waitMillis = PublishInterval.minMillis(sides, record, BUDGET_BYTES_PER_SECOND);
         double bytesPerSecond = 1_000.0 * sides * Records.sizeBytes(record) * COPIES / waitMillis;
         assertTrue(bytesPerSecond <= BUDGET_BYTES_PER_SECOND);
--- a/src/test/java/io/waxwingquay/membership/VmWatchTest.java
+++ b/src/test/java/io/waxwingquay/membership/VmWatchTest.java
@@ -22,7 +22,7 @@
 class VmWatchTest {
 
     private static final int SIDES = 60;
-    private static final String WATCHED = GossipWorld.name(1);
+    private static final String WATCHED = GossipSimulation.name(1);
 
     private final FakeList list = new FakeList();
     private boolean answersPings = true;
@@ -66,7 +66,7 @@
         VmWatch reader = reader(table);
         list.vms = List.of(vm(1, true));
         reader.round().join();
-        table.publish(GossipWorld.record(1).setEpoch(2));
+        table.publish(GossipSimulation.record(1).setEpoch(2));
         reader.round().join();
         assertEquals(SideState.SERVING, table.side(WATCHED).orElseThrow().state());
     }
@@ -95,7 +95,7 @@
 
     private MemberTable fullTable() {
         MemberTable table = new MemberTable(clock, MemberTable.Timing.DEFAULT);
-        table.merge(IntStream.range(0, SIDES).mapToObj(GossipWorld::record).toList());
+        table.merge(IntStream.range(0, SIDES).mapToObj(GossipSimulation::record).toList());
         return table;
     }
 
@@ -116,7 +116,8 @@
     }
 
     private static VmList.Vm vm(int index, boolean leaving) {
-        return new VmList.Vm(GossipWorld.name(index), "127.0.0.1", 20_000 + index, "dc-" + index % 6, "side", leaving);
+        return new VmList.Vm(
+                GossipSimulation.name(index), "127.0.0.1", 20_000 + index, "dc-" + index % 6, "side", leaving);
     }
 
     private static final class FakeList implements VmList {
--- a/src/test/java/io/waxwingquay/peer/UpdateSequenceTest.java
+++ b/src/test/java/io/waxwingquay/peer/UpdateSequenceTest.java
@@ -7,9 +7,9 @@
 
 class UpdateSequenceTest {
 
-    private final UpdateSequence numbers = new UpdateSequence(500_000);
-    private final long first = numbers.next();
-    private final long second = numbers.next();
+    private final UpdateSequence sequence = new UpdateSequence(500_000);
+    private final long first = sequence.next();
+    private final long second = sequence.next();
 
     @Test
     void whatComesTwiceOrLateSaysNothingNew() {
--- a/src/test/java/io/waxwingquay/transport/ThriftConnectionsTest.java
+++ b/src/test/java/io/waxwingquay/transport/ThriftConnectionsTest.java
@@ -29,14 +29,14 @@
     @Test
     void carriesManyLongPollsAtOnce() {
         CompletableFuture<Void> release = new CompletableFuture<>();
-        SideProtocol handler = new ScriptedSide() {
+        SideProtocol handler = new UnansweringSide() {
             @Override
             public CompletableFuture<PollAnswer> poll(PollRequest request) {
                 return release.thenApply(ignored -> answerFor(request));
             }
         };
         try (ThriftServer server = ThriftServer.bind(ANY_PORT).serveSide(handler);
-                ThriftConnections connections = patient().build()) {
+                ThriftConnections connections = longTimeoutBuilder().build()) {
             SideProtocol client = connections.to(server.address());
             List<CompletableFuture<PollAnswer>> answers = IntStream.range(0, 100)
                     .mapToObj(number -> client.poll(new PollRequest("attempt", number, 20_000L)))
@@ -55,7 +55,7 @@
         try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getByName(LOOPBACK))) {
             closed = new HostPort(LOOPBACK, socket.getLocalPort());
         }
-        try (ThriftConnections connections = patient().build()) {
+        try (ThriftConnections connections = longTimeoutBuilder().build()) {
             assertFalse(failureOf(connections.to(closed).ping()).mayHaveBeenDelivered());
         }
     }
@@ -89,7 +89,7 @@
     void usesAFreshConnectionAfterSilence() {
         CompletableFuture<Boolean> never = new CompletableFuture<>();
         int[] calls = {0};
-        SideProtocol handler = new ScriptedSide() {
+        SideProtocol handler = new UnansweringSide() {
             @Override
             public CompletableFuture<Boolean> ping() {
                 calls[0]++;
@@ -114,14 +114,15 @@
                 seen.add(method);
             }
         };
-        try (ThriftServer server = ThriftServer.bind(ANY_PORT).servePeer(new ScriptedSide());
-                ThriftConnections connections = patient().observer(observer).build()) {
+        try (ThriftServer server = ThriftServer.bind(ANY_PORT).servePeer(new UnansweringSide());
+                ThriftConnections connections =
+                        longTimeoutBuilder().observer(observer).build()) {
             connections.to(server.address()).ping().join();
             assertEquals(List.of("ping"), seen);
         }
     }
 
-    private static ThriftConnections.Builder patient() {
+    private static ThriftConnections.Builder longTimeoutBuilder() {
         return ThriftConnections.builder().callTimeoutMillis(20_000L);
     }
 
--- a/src/test/java/io/waxwingquay/transport/ScriptedSide.java
+++ b/src/test/java/io/waxwingquay/transport/UnansweringSide.java
@@ -17,7 +17,7 @@
 import java.util.concurrent.CompletableFuture;
 
 /** Answers nothing by default; tests override what they need. */
-class ScriptedSide implements SideProtocol {
+class UnansweringSide implements SideProtocol {
 
     @Override
     public CompletableFuture<SubmitAnswer> submit(Submission submission) {
