--- a/src/main/java/io/waxwingquay/membership/BucketHashes.java
+++ b/src/main/java/io/waxwingquay/membership/BucketHashes.java
@@ -9,9 +9,9 @@
 import org.apache.commons.codec.digest.MurmurHash3;
 
 /**
- * A summary of all records: each bucket is the XOR of the hashes of its records' (name, epoch, version, state), so
- * a change costs two XORs. The state is in it since LEAVING may come without a higher version. GONE records are left
- * out, as processes forget them at different times.
+ * A digest of the whole table for anti-entropy. Each bucket is the XOR of the hashes of its records' (name, epoch,
+ * version, state), so that updating one record costs two XORs. The state is part of the hash because a record may turn
+ * LEAVING without a higher version. GONE records are left out because processes forget them at different times.
  */
 final class BucketHashes {
 
@@ -23,7 +23,7 @@
         return MurmurHash3.hash32x86(sideId.getBytes(StandardCharsets.UTF_8)) & (BUCKETS - 1);
     }
 
-    /** Adds a record that is not in, or takes out one that is. */
+    /** Adds the record's hash to its bucket, or removes it if it was added before. */
     void toggle(SideRecord record) {
         if (record.getState() != SideState.GONE) {
             buckets[bucketOf(record.getSideId())] ^= hashOf(record);
@@ -34,7 +34,7 @@
         return Arrays.stream(buckets).boxed().toList();
     }
 
-    // Buckets are mixed with their number, so that equal changes in two buckets do not cancel.
+    // Hashes the buckets in order instead of XORing them, so that equal changes in two buckets do not cancel out.
     long combined() {
         ByteBuffer bytes = ByteBuffer.allocate(BUCKETS * Long.BYTES);
         Arrays.stream(buckets).forEach(bytes::putLong);
--- a/src/main/java/io/waxwingquay/membership/BundleVersionListener.java
+++ b/src/main/java/io/waxwingquay/membership/BundleVersionListener.java
@@ -2,15 +2,15 @@
 
 import io.waxwingquay.common.HostPort;
 
-/** Told when a peer has a higher bundle version than this process. */
+/** Notified when a peer has a higher bundle version than this process. */
 @FunctionalInterface
 public interface BundleVersionListener {
 
     /**
-     * A peer has a higher version; called at each contact until this process has it too.
+     * Handles a peer's higher version. Called at each contact until this process has that version too.
      *
      * @param version the peer's version.
-     * @param from whom to fetch it from.
+     * @param from the address to fetch it from.
      */
     void onHigherVersion(long version, HostPort from);
 }
--- a/src/main/java/io/waxwingquay/membership/DemandStep.java
+++ b/src/main/java/io/waxwingquay/membership/DemandStep.java
@@ -1,8 +1,8 @@
 package io.waxwingquay.membership;
 
 /**
- * Demand as it is published: in steps of a factor of the square root of two, so that a small change of demand is no
- * news to spread.
+ * The quantised form in which demand is published. Steps grow by a factor of the square root of two, so that a small
+ * change in demand does not change the record and is not gossiped.
  */
 public final class DemandStep {
 
@@ -12,10 +12,10 @@
     private DemandStep() {}
 
     /**
-     * The step of a demand.
+     * Quantises a demand.
      *
-     * @param unitsPerSecond requests a second.
-     * @return 0 for none, else 1 + floor(2 log2(units/s)) within 1 to 60.
+     * @param unitsPerSecond the demand in requests per second.
+     * @return 0 for no demand, otherwise 1 + floor(2 log2(units/s)) clamped to 1 to 60.
      */
     public static int of(double unitsPerSecond) {
         if (!(unitsPerSecond > 0)) {
@@ -26,10 +26,10 @@
     }
 
     /**
-     * The middle of a step's range.
+     * Returns the geometric middle of a step's range.
      *
      * @param step the step.
-     * @return requests a second; 0 for step 0.
+     * @return the demand in requests per second; 0 for step 0.
      */
     public static double unitsPerSecond(int step) {
         return step <= 0 ? 0 : Math.pow(2, (step - 1 + 1 / STEPS_PER_DOUBLING) / STEPS_PER_DOUBLING);
--- a/src/main/java/io/waxwingquay/membership/Gossip.java
+++ b/src/main/java/io/waxwingquay/membership/Gossip.java
@@ -18,17 +18,15 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Spreads side records, suspects and the number of the newest bundle between processes.
+ * Disseminates side records, suspects and the newest bundle version between processes by gossip.
  *
- * <p>A round sends recent changes and one combined hash to a few peers. Only when nothing is new and the combined
- * hashes differ are buckets and then digests compared, and at most once in an interval, as hashes differ anyway while
- * changes are on their way. Rounds are quick while there is urgent news (a new bundle, a side that leaves, a
- * suspect), slower
- * while there are other changes, and slow when idle.
+ * <p>Each round pushes recent changes and one combined hash to a few peers (rumour mongering). If the combined hashes
+ * differ, the two sides compare buckets and then digests (anti-entropy). Comparisons are limited to one per interval,
+ * because hashes differ in any case while changes are still spreading. Rounds are frequent while there is an urgent
+ * change (a new bundle, a leaving side, a suspect), less frequent while there are other changes, and rare when idle.
  *
- * <p>Idle cost: each process asks one peer every 2 s and is asked as often; a test of 200 processes measures 26 bytes
- * a second sent and as many received, of the 9 KB/s a node may use. The figures for news stand in
- * docs/DESIGN.md.
+ * <p>Idle cost: each process asks one peer every 2 s and is asked as often. A test with 200 processes measures 26
+ * bytes/s sent and as many received, out of the 9 KB/s that a node may use. docs/DESIGN.md lists the cost of changes.
  */
 public final class Gossip {
 
@@ -47,22 +45,22 @@
     private volatile long lastBundleVersion;
     private volatile int lastSuspectsHash;
 
-    private Gossip(Builder wiring) {
-        this.context = wiring.context();
+    private Gossip(Builder builder) {
+        this.context = builder.context();
         this.handler = new GossipHandler(context);
         this.rumours = new Rumours(context.table());
-        this.connections = wiring.connections;
-        this.clock = wiring.clock;
-        this.timing = wiring.timing;
+        this.connections = builder.connections;
+        this.clock = builder.clock;
+        this.timing = builder.timing;
         context.table().onChange(this::noteChange);
     }
 
     /**
-     * Starts the wiring of gossip.
+     * Creates a builder of gossip between this process and its peers.
      *
      * @param table the side records.
-     * @param peers whom to ask.
-     * @param connections connections to them.
+     * @param peers the peers to gossip with.
+     * @param connections the connections to them.
      * @return a builder.
      */
     public static Builder over(MemberTable table, Peers peers, Connections connections) {
@@ -70,7 +68,7 @@
     }
 
     /**
-     * The end that answers.
+     * Returns the handler that answers the gossip requests of peers.
      *
      * @return the handler of this process.
      */
@@ -78,13 +76,13 @@
         return handler;
     }
 
-    /** Makes the next rounds quick, for news that must be everywhere within seconds. */
+    /** Shortens the interval of the next rounds, for a change that must reach every process within seconds. */
     public void expedite() {
         urgentUntilMillis = clock.monotonicMillis() + timing.urgentDurationMillis();
     }
 
     /**
-     * How long to wait before the next round.
+     * Returns how long to wait before the next round.
      *
      * @return the delay in milliseconds.
      */
@@ -97,9 +95,9 @@
     }
 
     /**
-     * One round.
+     * Runs one round.
      *
-     * @return completes when every peer asked has answered or failed; does not fail.
+     * @return a future that completes when every contacted peer has answered or failed; it does not fail itself.
      */
     public CompletableFuture<Void> round() {
         expediteOnUrgentChange();
@@ -115,10 +113,10 @@
     }
 
     /**
-     * Runs rounds until closed.
+     * Runs rounds periodically until closed.
      *
-     * @param scheduler runs them.
-     * @return stops the rounds when closed.
+     * @param scheduler the scheduler that runs the rounds.
+     * @return a handle that stops the rounds when closed.
      */
     public AutoCloseable start(ScheduledExecutorService scheduler) {
         Loop loop = new Loop(scheduler);
@@ -222,15 +220,15 @@
     }
 
     /**
-     * Intervals and fan-outs.
+     * The intervals and fan-outs of gossip rounds.
      *
-     * @param urgentIntervalMillis between rounds while there is urgent news.
-     * @param urgentDurationMillis how long news stays urgent.
-     * @param urgentFanOut peers a round while urgent.
-     * @param changeIntervalMillis between rounds while there are other changes.
-     * @param changeFanOut peers a round while there are other changes.
-     * @param idleIntervalMillis between rounds when nothing is new.
-     * @param compareIntervalMillis between comparisons of buckets.
+     * @param urgentIntervalMillis the interval between rounds while there is an urgent change.
+     * @param urgentDurationMillis how long a change stays urgent.
+     * @param urgentFanOut the number of peers per round while there is an urgent change.
+     * @param changeIntervalMillis the interval between rounds while there are other changes.
+     * @param changeFanOut the number of peers per round while there are other changes.
+     * @param idleIntervalMillis the interval between rounds while there are no changes.
+     * @param compareIntervalMillis the minimum interval between comparisons of buckets.
      */
     public record Timing(
             long urgentIntervalMillis,
@@ -241,14 +239,14 @@
             long idleIntervalMillis,
             long compareIntervalMillis) {
 
-        /** For a few thousand processes and 9 KB/s each. */
+        /** The default timing, for a few thousand processes and 9 KB/s per process. */
         public static final Timing DEFAULT = new Timing(250, 2_500, 3, 1_000, 2, 2_000, 10_000);
 
         /**
-         * The same with another interval while something urgent is new.
+         * Returns a copy with another interval for urgent changes.
          *
-         * @param millis between rounds.
-         * @return the changed pace.
+         * @param millis the interval between rounds while there is an urgent change.
+         * @return the changed timing.
          */
         public Timing withUrgentIntervalMillis(long millis) {
             return new Timing(
@@ -271,7 +269,8 @@
             this.scheduler = scheduler;
         }
 
-        // The wait is cut into urgent intervals, so that urgent news does not sit out an idle wait.
+        // Checks at every urgent interval whether a round is due, so that an urgent change does not wait for the end
+        // of an idle interval.
         private void schedule() {
             long lastRoundMillis = clock.monotonicMillis();
             scheduler.schedule(() -> runIfDue(lastRoundMillis), timing.urgentIntervalMillis(), TimeUnit.MILLISECONDS);
@@ -305,7 +304,7 @@
         }
     }
 
-    /** Wiring of gossip. */
+    /** A builder of {@link Gossip}. */
     public static final class Builder {
 
         private static final int DEFAULT_MAX_RECORD_BYTES = 8 * 1024;
@@ -329,7 +328,7 @@
         }
 
         /**
-         * Sets the suspects that ride along.
+         * Sets the suspects that are disseminated with the side records.
          *
          * @param newSuspects the suspects of this process.
          * @return this builder.
@@ -340,10 +339,10 @@
         }
 
         /**
-         * Sets where the bundle's version comes from and who hears of a higher one.
+         * Sets the source of the local bundle version and the listener for higher versions.
          *
-         * @param newBundleVersion the version in force here.
-         * @param newListener told of a higher one.
+         * @param newBundleVersion supplies the version in force in this process.
+         * @param newListener notified when a peer has a higher version.
          * @return this builder.
          */
         public Builder withBundleVersion(LongSupplier newBundleVersion, BundleVersionListener newListener) {
@@ -353,10 +352,10 @@
         }
 
         /**
-         * Sets the time and the randomness.
+         * Sets the clock and the source of randomness.
          *
-         * @param newClock the time.
-         * @param newRandom picks peers.
+         * @param newClock the clock.
+         * @param newRandom the source of randomness for the selection of peers and samples.
          * @return this builder.
          */
         public Builder withClockAndRandom(Clock newClock, RandomGenerator newRandom) {
@@ -366,9 +365,9 @@
         }
 
         /**
-         * Sets the intervals.
+         * Sets the intervals and fan-outs.
          *
-         * @param newTiming intervals and fan-outs.
+         * @param newTiming the intervals and fan-outs.
          * @return this builder.
          */
         public Builder withTiming(Timing newTiming) {
@@ -377,10 +376,10 @@
         }
 
         /**
-         * Sets the intervals and the bound of a message.
+         * Sets the intervals, the fan-outs and the size limit of a message.
          *
-         * @param newTiming intervals and fan-outs.
-         * @param newMaxRecordBytes the most bytes of records in a message.
+         * @param newTiming the intervals and fan-outs.
+         * @param newMaxRecordBytes the maximum size of the records in a message.
          * @return this builder.
          */
         public Builder withTiming(Timing newTiming, int newMaxRecordBytes) {
@@ -390,7 +389,7 @@
         }
 
         /**
-         * Sets where traffic is counted.
+         * Sets the registry of the traffic counters.
          *
          * @param newRegistry the registry.
          * @return this builder.
@@ -401,9 +400,9 @@
         }
 
         /**
-         * Builds it.
+         * Builds the gossip.
          *
-         * @return gossip that has not started.
+         * @return gossip that has not been started.
          */
         public Gossip build() {
             Objects.requireNonNull(suspects, "suspects");
--- a/src/main/java/io/waxwingquay/membership/GossipContext.java
+++ b/src/main/java/io/waxwingquay/membership/GossipContext.java
@@ -12,16 +12,16 @@
 import java.util.random.RandomGenerator;
 
 /**
- * What both ends of gossip share.
+ * The collaborators shared by the requesting and the answering end of gossip.
  *
  * @param table the side records.
- * @param peers whom to ask.
+ * @param peers the peers to gossip with.
  * @param suspects the suspects.
- * @param bundleVersion the bundle version that this process has.
- * @param bundleVersionListener told of higher bundle versions.
- * @param random the randomness.
+ * @param bundleVersion supplies the bundle version in force in this process.
+ * @param bundleVersionListener notified of higher bundle versions.
+ * @param random the source of randomness; used under its own lock.
  * @param traffic counts messages and bytes.
- * @param maxRecordBytes the most bytes of records in a message.
+ * @param maxRecordBytes the maximum size of the records in a message.
  */
 record GossipContext(
         MemberTable table,
@@ -42,7 +42,7 @@
         }
     }
 
-    /** The newest, since they matter most, and some others, so that each gets its turn. */
+    /** Selects the newest suspects, which matter most, and a random sample of the others, so that all take turns. */
     List<SuspectRecord> suspectsToSend() {
         List<SuspectRecord> newestFirst = new ArrayList<>(suspects.snapshot());
         newestFirst.sort(Comparator.comparingLong(SuspectRecord::getExpiresAtEpochMillis)
@@ -54,7 +54,7 @@
         return sent;
     }
 
-    /** Changes whenever a suspect comes, goes or changes. */
+    /** Hashes the suspects in any order; the hash changes when a suspect is added, removed or changed. */
     int suspectsHash() {
         return new HashSet<>(suspects.snapshot()).hashCode();
     }
--- a/src/main/java/io/waxwingquay/membership/GossipHandler.java
+++ b/src/main/java/io/waxwingquay/membership/GossipHandler.java
@@ -13,39 +13,41 @@
 import java.util.stream.IntStream;
 
 /**
- * Answers gossip. What a request holds says which step of the comparison it is:
+ * Answers gossip requests. The content of a request determines the step of the comparison:
  *
  * <ol>
- *   <li>one combined hash: the answer wants {@link #ALL_BUCKETS} if it differs;
- *   <li>a hash for each bucket and no digests: the answer wants some of the buckets that differ;
- *   <li>hashes of the wanted buckets, the others {@link #NOT_COMPARED}, and digests of the records in them: the
- *       answer brings the records that the asking process lacks, and digests of those that this one lacks;
- *   <li>no hash: only news.
+ *   <li>one combined hash: the answer asks for {@link #ALL_BUCKETS} if the hashes differ;
+ *   <li>a hash for each bucket and no digests: the answer asks for a sample of the buckets that differ;
+ *   <li>hashes of the wanted buckets, the others {@link #NOT_COMPARED}, and digests of the records in the wanted
+ *       buckets: the answer holds the records that are newer in this process, and digests of those that are newer in
+ *       the requesting process;
+ *   <li>no hash: changes only.
  * </ol>
  *
- * <p>A digest is a side record without a host: name, epoch, version and state.
+ * <p>A digest is a side record without a host. It holds the name, epoch, version and state.
  */
 public final class GossipHandler {
 
-    /** Wanted in place of a bucket: the combined hashes differ. */
+    /** The wanted bucket that stands for all buckets, as an answer to differing combined hashes. */
     static final int ALL_BUCKETS = -1;
 
-    /** The hash of a bucket that is not compared. */
+    /** A placeholder for the hash of a bucket that is not compared. */
     static final long NOT_COMPARED = 1L;
 
     private static final int MAX_RECORDS_COMPARED = 150;
 
     private final GossipContext context;
 
-    GossipHandler(GossipContext parts) {
-        this.context = parts;
+    GossipHandler(GossipContext context) {
+        this.context = context;
     }
 
     /**
-     * Takes in a request's news and answers it; one that lacks a field is answered with the bundle version only.
+     * Merges the changes of a request and answers it. A request that lacks a field is answered with the bundle version
+     * only.
      *
      * @param request the request.
-     * @return the answer, bounded in size.
+     * @return the answer, limited in size.
      */
     public GossipAnswer answer(GossipRequest request) {
         if (!isComplete(request)) {
@@ -97,7 +99,7 @@
                 .collect(Collectors.toCollection(ArrayList::new));
     }
 
-    // At least one bucket stays out, so that a request of step three always has NOT_COMPARED in it.
+    // Leaves out at least one bucket, so that a request of step three always contains NOT_COMPARED.
     private List<Integer> sampleBuckets(List<Integer> differing) {
         int perBucket = Math.max(1, context.table().size() / BucketHashes.BUCKETS);
         int count = Math.max(1, Math.min(MAX_RECORDS_COMPARED / perBucket, BucketHashes.BUCKETS - 1));
--- a/src/main/java/io/waxwingquay/membership/GossipTraffic.java
+++ b/src/main/java/io/waxwingquay/membership/GossipTraffic.java
@@ -5,7 +5,7 @@
 import io.waxwingquay.transport.generated.GossipAnswer;
 import io.waxwingquay.transport.generated.GossipRequest;
 
-/** Counts gossip's messages and bytes as Thrift's compact protocol writes them, without headers of frames and TCP. */
+/** Counts the messages and bytes of gossip in Thrift's compact protocol, without the headers of frames and TCP. */
 final class GossipTraffic {
 
     private static final String BYTES = "waxwingquay.gossip.bytes";
--- a/src/main/java/io/waxwingquay/membership/Member.java
+++ b/src/main/java/io/waxwingquay/membership/Member.java
@@ -11,15 +11,15 @@
 import java.util.Set;
 
 /**
- * A side's record with what this process saw of it itself.
+ * A side's record together with this process's own observations of the side.
  *
  * @param record the record; not changed after it is stored.
- * @param side the record as routing sees it.
- * @param wasLeaving whether this epoch was ever seen leaving; GONE hides that in the record.
- * @param changedMillis when the record last changed here.
- * @param unresponsiveSinceMillis since when it has not answered, or {@link #NEVER}.
- * @param unlistedSinceMillis since when the platform's list lacks it, or {@link #NEVER}.
- * @param lastProbeMillis when it was last tried while silent.
+ * @param side the record in the form that routing uses.
+ * @param wasLeaving whether this epoch was ever LEAVING; a record that became GONE no longer shows it.
+ * @param changedMillis when the record last changed in this process.
+ * @param unresponsiveSinceMillis since when the side has been unresponsive, or {@link #NEVER}.
+ * @param unlistedSinceMillis since when the side has been missing from the platform's list, or {@link #NEVER}.
+ * @param lastProbeMillis when the side was last probed while unresponsive.
  */
 record Member(
         SideRecord record,
@@ -37,12 +37,13 @@
         return new Member(own, sideOf(own, true), isLeaving(own), nowMillis, NEVER, NEVER, NEVER);
     }
 
-    /** A new epoch is another process: what was seen of the old one says nothing about it. */
+    /** Updates the record. A new epoch is another incarnation, so observations of the previous one are discarded. */
     Member updated(SideRecord next, long nowMillis) {
         if (next.getEpoch() != record.getEpoch()) {
             return of(next, nowMillis);
         }
-        // A higher version was published by a living process, though perhaps not one that this process can reach.
+        // A higher version proves that the side is alive, but not that this process can reach it, so the observations
+        // of reachability and listing are kept.
         if (wasLeaving && next.getState().getValue() < SideState.LEAVING.getValue()) {
             next.setState(SideState.LEAVING);
         }
--- a/src/main/java/io/waxwingquay/membership/MemberTable.java
+++ b/src/main/java/io/waxwingquay/membership/MemberTable.java
@@ -17,22 +17,23 @@
 /**
  * The side records that this process knows. Safe for concurrent use; snapshots are immutable.
  *
- * <p><b>Merging.</b> The higher (epoch, version) wins. LEAVING sticks to its epoch, whatever older list or rumour says
- * SERVING; only a higher epoch, which is a restarted process, ends it. GONE sticks to its version: only the side
- * itself can publish a higher one, and that proves that it lives.
+ * <p><b>Merging.</b> The record with the higher (epoch, version) wins. LEAVING is sticky within an epoch, even if a
+ * stale list or rumour says SERVING; only a higher epoch, which belongs to a restarted process, resets it. GONE is
+ * sticky within a version: only the side itself can publish a higher version, which proves that it is alive.
  *
- * <p><b>Expiry.</b> A record becomes GONE when its VM has been absent from the platform's list <em>and</em> could not
- * be reached for the whole expiry. Absence alone is not enough, as the list lags and a new VM may not be on it yet.
- * Silence alone is not enough, as a cut link or a partition of regions looks the same and both ends live on; a silent
- * side is only avoided and tried again. With the list out nothing is absent, so nothing is dropped: an outage of the
- * table service may not empty the membership. GONE is kept for a while so that a peer's older record does not return.
+ * <p><b>Expiry.</b> A record becomes GONE when its VM has been unlisted <em>and</em> unresponsive for the whole expiry
+ * time. Being unlisted is not enough, because the list lags and may not show a new VM yet. Being unresponsive is not
+ * enough, because a broken link or a partition between regions looks the same while both ends are alive; an
+ * unresponsive side is only avoided and probed again. While the list is unavailable no VM counts as unlisted, so no
+ * record expires: an outage of the table service must not empty the membership. A GONE record is kept for a while as a
+ * tombstone, so that a peer's stale record does not revive the side.
  */
 public final class MemberTable implements Membership {
 
     private final Clock clock;
     private final Timing timing;
-    // Sorted, so that a snapshot is a copy in order: sorting 2,400 sides after each change cost more than all of
-    // gossip.
+    // Sorted, so that a snapshot is a copy in order: sorting 2,400 sides after each change cost more than the rest of
+    // gossip together.
     private final Map<String, Member> members = new TreeMap<>();
     private final List<Consumer<SideRecord>> listeners = new CopyOnWriteArrayList<>();
     private final BucketHashes hashes = new BucketHashes();
@@ -40,10 +41,10 @@
     private volatile boolean isSnapshotStale;
 
     /**
-     * An empty table.
+     * Creates an empty table.
      *
-     * @param clock the time; all durations are by its monotonic part.
-     * @param timing expiries.
+     * @param clock the clock; only its monotonic time is used.
+     * @param timing the expiry, retention and probe times.
      */
     public MemberTable(Clock clock, Timing timing) {
         this.clock = clock;
@@ -51,9 +52,9 @@
     }
 
     /**
-     * Adds a listener told of every record that changed here; called without locks held.
+     * Adds a listener that is notified of every record changed in this process, without locks held.
      *
-     * @param listener takes the changed record, which it must not change.
+     * @param listener accepts the changed record, which it must not modify.
      */
     public void onChange(Consumer<SideRecord> listener) {
         listeners.add(listener);
@@ -107,10 +108,10 @@
     }
 
     /**
-     * Takes in records of others.
+     * Merges records received from others.
      *
-     * @param records the records; malformed ones are passed over.
-     * @return the records that changed here, as they now stand.
+     * @param records the records; malformed ones are ignored.
+     * @return the records that changed in this process, in their merged form.
      */
     public List<SideRecord> merge(Collection<SideRecord> records) {
         List<SideRecord> changed = new ArrayList<>();
@@ -123,24 +124,25 @@
     }
 
     /**
-     * Takes in which VMs the platform's list names, if the list could be read.
+     * Notes which VMs the platform's list names, after the list was read.
      *
-     * @param names the names of all side VMs listed.
+     * @param names the names of all listed side VMs.
      */
     public synchronized void noteListed(Set<String> names) {
         long nowMillis = clock.monotonicMillis();
         members.replaceAll((id, member) -> names.contains(id) ? member.asListed() : member.asUnlisted(nowMillis));
     }
 
-    /** Notes that the list could not be read, so that time without it never counts as absence. */
+    /** Notes that the list was not read, so that time without the list never counts as unlisted. */
     public synchronized void noteListUnavailable() {
         members.replaceAll((id, member) -> member.asListed());
     }
 
     /**
-     * Marks expired records GONE, forgets old GONE ones and lets old silence lapse. To be called each second or so.
+     * Marks expired records as GONE and removes GONE records whose retention has ended. To be called about once per
+     * second.
      *
-     * @return the names that became GONE.
+     * @return the names of the sides that became GONE.
      */
     public List<String> expire() {
         List<SideRecord> changed = new ArrayList<>();
@@ -159,7 +161,7 @@
     }
 
     /**
-     * Silent sides that are due for another try. Each is returned once per retry interval.
+     * Returns the unresponsive sides that are due for a probe. Each is returned once per probe interval.
      *
      * @return the sides; the caller pings them and notes the outcome.
      */
@@ -174,20 +176,20 @@
     }
 
     /**
-     * One record as it stands.
+     * Returns the current record of a side.
      *
      * @param sideId the side's name.
-     * @return the record, GONE ones too; not to be changed.
+     * @return the record, also if it is GONE; not to be modified.
      */
     synchronized Optional<SideRecord> record(String sideId) {
         return Optional.ofNullable(members.get(sideId)).map(Member::record);
     }
 
     /**
-     * All records of some buckets, GONE ones too.
+     * Returns all records in some buckets, including GONE ones.
      *
      * @param buckets the buckets.
-     * @return the records; not to be changed.
+     * @return the records; not to be modified.
      */
     synchronized List<SideRecord> recordsIn(Collection<Integer> buckets) {
         List<SideRecord> found = new ArrayList<>();
@@ -200,7 +202,7 @@
     }
 
     /**
-     * The hash of each bucket.
+     * Returns the hash of each bucket.
      *
      * @return {@link BucketHashes#BUCKETS} hashes.
      */
@@ -209,7 +211,7 @@
     }
 
     /**
-     * One hash over all buckets.
+     * Returns one hash over all buckets.
      *
      * @return the hash.
      */
@@ -218,9 +220,9 @@
     }
 
     /**
-     * How many sides are known and not gone.
+     * Counts the sides that are known and not GONE.
      *
-     * @return the number.
+     * @return the number of sides.
      */
     public int size() {
         return sides().size();
@@ -277,15 +279,15 @@
     }
 
     /**
-     * Expiries, all in milliseconds.
+     * The expiry, retention and probe times.
      *
-     * @param expiryMillis absent and silent for this long makes a record GONE.
-     * @param goneRetentionMillis how long a GONE record is remembered.
-     * @param probeIntervalMillis a silent side is tried again after this.
+     * @param expiryMillis how long a side has to be unlisted and unresponsive to become GONE.
+     * @param goneRetentionMillis how long a GONE record is kept as a tombstone.
+     * @param probeIntervalMillis the interval between probes of an unresponsive side.
      */
     public record Timing(long expiryMillis, long goneRetentionMillis, long probeIntervalMillis) {
 
-        /** 20 s to GONE, remembered for 10 min, silent sides tried each second. */
+        /** Sides expire after 20 s, GONE records are kept for 10 min, unresponsive sides are probed every second. */
         public static final Timing DEFAULT = new Timing(20_000, 600_000, 1_000);
     }
 }
--- a/src/main/java/io/waxwingquay/membership/Membership.java
+++ b/src/main/java/io/waxwingquay/membership/Membership.java
@@ -5,12 +5,12 @@
 import java.util.Optional;
 
 /**
- * What this process knows of all side processes.
+ * The view that this process has of all side processes.
  */
 public interface Membership {
 
     /**
-     * All sides known and not gone, in order of name.
+     * Returns all sides that are known and not GONE, ordered by name.
      *
      * @return an immutable snapshot.
      */
@@ -25,14 +25,15 @@
     Optional<Side> side(String sideId);
 
     /**
-     * Publishes this side's own record to the others; for side processes only. The caller raises the version.
+     * Publishes this side's own record to the other processes. Used by side processes only, which raise the version
+     * themselves.
      *
      * @param record the record.
      */
     void publish(SideRecord record);
 
     /**
-     * Notes that a side answered that it is leaving, which no older list or rumour undoes.
+     * Notes that a side is leaving. No stale list or rumour reverts this within the epoch.
      *
      * @param sideId the side's name.
      * @param epoch the epoch that is leaving.
@@ -40,7 +41,7 @@
     void noteLeaving(String sideId, long epoch);
 
     /**
-     * Notes whether a call reached a side, so that routing avoids one that is silent.
+     * Notes whether a call reached a side, so that routing avoids unresponsive sides.
      *
      * @param sideId the side's name.
      * @param epoch the epoch that was called.
--- a/src/main/java/io/waxwingquay/membership/Peers.java
+++ b/src/main/java/io/waxwingquay/membership/Peers.java
@@ -13,8 +13,8 @@
 import java.util.stream.Stream;
 
 /**
- * Whom this process may gossip with: sides from the member table, entries and yet unknown processes from seeds, the
- * platform's list and requests. Safe for concurrent use.
+ * The peers that this process may gossip with. Sides come from the member table; entries and processes that are not in
+ * the table yet come from the seeds, the platform's list and received requests. Safe for concurrent use.
  */
 public final class Peers {
 
@@ -28,11 +28,12 @@
     private final Set<HostPort> seeds;
 
     /**
-     * Peers of one process.
+     * Creates the peers of a process.
      *
      * @param self this process.
-     * @param table the sides known.
-     * @param seeds addresses from the settings; kept for good, as they are the way back after a long cut.
+     * @param table the known sides.
+     * @param seeds the addresses from the settings; never forgotten, so that the process can rejoin after a long
+     *     network partition.
      */
     public Peers(Peer self, MemberTable table, Collection<HostPort> seeds) {
         this.self = self;
@@ -42,9 +43,9 @@
     }
 
     /**
-     * This process.
+     * Returns this process.
      *
-     * @return its name, address and data centre.
+     * @return the name, address and data centre of this process.
      */
     public Peer self() {
         return self;
@@ -57,8 +58,8 @@
     /**
      * Notes a process that sent a request; its data centre may not be known yet.
      *
-     * @param id its name.
-     * @param address where it listens.
+     * @param id the name of the process.
+     * @param address the address on which it listens.
      */
     public void noteRequest(String id, HostPort address) {
         consecutiveFailures.remove(address);
@@ -69,9 +70,9 @@
     }
 
     /**
-     * Notes the VMs of the platform's list.
+     * Notes the VMs on the platform's list.
      *
-     * @param vms the VMs; those leaving are not asked any more.
+     * @param vms the VMs; those that are leaving are removed from the peers.
      */
     public void noteListed(Collection<VmList.Vm> vms) {
         vms.forEach(vm -> {
@@ -85,7 +86,7 @@
     }
 
     /**
-     * Notes whether a peer answered. One that fails several times in a row is forgotten, unless it is a seed.
+     * Notes whether a peer answered. A peer with several consecutive failures is forgotten, unless it is a seed.
      *
      * @param peer the peer.
      * @param answered whether it answered.
@@ -102,12 +103,13 @@
     }
 
     /**
-     * Picks different peers at random: mostly of the own data centre, at most one of another.
+     * Picks distinct peers at random: mostly from the own data centre and, if enough local peers are known, at most
+     * one from another.
      *
-     * @param count how many.
-     * @param remoteProbability the share of picks of one peer that go to another data centre.
-     * @param random the randomness.
-     * @return the peers; fewer if fewer are known.
+     * @param count the number of peers.
+     * @param remoteProbability the probability that a single peer is picked from another data centre.
+     * @param random the source of randomness.
+     * @return the peers; fewer than {@code count} if fewer are known.
      */
     public List<Peer> pick(int count, double remoteProbability, RandomGenerator random) {
         List<Peer> local = new ArrayList<>();
@@ -121,8 +123,8 @@
     }
 
     /**
-     * All peers but this process, without those known to be silent. A side that leaves stays one, as it must hear
-     * that it leaves.
+     * Returns all peers except this process and sides known to be unresponsive. A leaving side is included, because it
+     * has to learn that it is leaving.
      *
      * @return a new list.
      */
@@ -162,11 +164,11 @@
     }
 
     /**
-     * A process.
+     * A process that takes part in gossip.
      *
-     * @param id its name.
-     * @param address where it listens.
-     * @param dataCentre its data centre, empty if unknown.
+     * @param id the name of the process.
+     * @param address the address on which it listens.
+     * @param dataCentre the data centre of the process, empty if unknown.
      */
     public record Peer(String id, HostPort address, String dataCentre) {}
 }
--- a/src/main/java/io/waxwingquay/membership/PublishInterval.java
+++ b/src/main/java/io/waxwingquay/membership/PublishInterval.java
@@ -3,10 +3,11 @@
 import io.waxwingquay.transport.generated.SideRecord;
 
 /**
- * How often a side may publish a change of demand alone, so that gossip of all sides together stays within a budget.
+ * The minimum interval between publications in which only a side's demand changed, so that the gossip traffic of all
+ * sides stays within a budget.
  *
- * <p>Each process hears of each change about as often as a rumour is pushed. With thousands of sides that binds: the
- * more sides there are, the rarer each may publish.
+ * <p>Each process receives each change about as often as a rumour is pushed. With thousands of sides this traffic
+ * dominates, so the interval grows with the number of sides.
  */
 public final class PublishInterval {
 
@@ -16,12 +17,12 @@
     private PublishInterval() {}
 
     /**
-     * The least time between two publications of a side.
+     * Returns the minimum time between two publications of a side.
      *
-     * @param sides how many sides there are.
-     * @param record the record.
-     * @param budgetBytesPerSecond what a process may receive of them.
-     * @return milliseconds.
+     * @param sides the number of sides.
+     * @param record the record that is published.
+     * @param budgetBytesPerSecond how many bytes of such records a process may receive per second.
+     * @return the interval in milliseconds.
      */
     public static long minMillis(int sides, SideRecord record, double budgetBytesPerSecond) {
         return (long) Math.ceil(
--- a/src/main/java/io/waxwingquay/membership/Records.java
+++ b/src/main/java/io/waxwingquay/membership/Records.java
@@ -8,15 +8,15 @@
 import org.apache.thrift.TSerializer;
 import org.apache.thrift.protocol.TCompactProtocol;
 
-/** Joining and measuring of records. */
+/** Merges side records and measures the size of messages. */
 final class Records {
 
     private Records() {}
 
     /**
-     * Joins what is known with what arrived.
+     * Merges a known record with a received one.
      *
-     * @return the new record, or empty if nothing changes.
+     * @return the merged record, or empty if the known record does not change.
      */
     static Optional<SideRecord> join(SideRecord known, SideRecord incoming) {
         if (incoming.getEpoch() != known.getEpoch()) {
@@ -30,8 +30,8 @@
         return isChanged ? Optional.of(newer.deepCopy().setState(state)) : Optional.empty();
     }
 
-    // LEAVING sticks to the epoch: an older list or rumour that says SERVING must not send new work to a side that
-    // drains. GONE sticks to its version: a higher one can only come from the side itself.
+    // LEAVING is sticky within an epoch: a stale list or rumour that says SERVING must not route new work to a draining
+    // side. GONE is sticky within a version: only the side itself can publish a higher one.
     private static SideState stateOf(SideRecord known, SideRecord incoming) {
         if (known.getVersion() == incoming.getVersion()) {
             return later(known.getState(), incoming.getState());
@@ -45,12 +45,12 @@
         return left.getValue() >= right.getValue() ? left : right;
     }
 
-    /** Bytes of a message as Thrift's compact protocol writes it. */
+    /** Returns the size of a message in Thrift's compact protocol. */
     static int sizeBytes(TBase<?, ?> message) {
         try {
             return new TSerializer(new TCompactProtocol.Factory()).serialize(message).length;
         } catch (TException failure) {
-            throw new IllegalStateException("message cannot be written by Thrift", failure);
+            throw new IllegalStateException("cannot serialise a Thrift message", failure);
         }
     }
 }
--- a/src/main/java/io/waxwingquay/membership/Rumours.java
+++ b/src/main/java/io/waxwingquay/membership/Rumours.java
@@ -9,11 +9,11 @@
 import java.util.Map;
 
 /**
- * Records that changed lately and how often each is still to be pushed. Safe for concurrent use.
+ * The recently changed records and how many more times each is to be pushed. Safe for concurrent use.
  *
- * <p>An ordinary record is pushed to a fixed few peers, which reaches nearly all processes; comparing hashes finds the
- * rest. A side that leaves is pushed about log2 N times, which reaches all with high probability, since until
- * a process hears it, it may send work there.
+ * <p>An ordinary record is pushed a small fixed number of times, which reaches nearly all processes; the comparison of
+ * hashes reaches the rest. A leaving or gone side is pushed about log2 N times, which reaches all processes with high
+ * probability, because a process may send work to the side until it learns of the change.
  */
 final class Rumours {
 
@@ -38,7 +38,7 @@
         return sendsLeft.isEmpty();
     }
 
-    /** The least spread records first, up to a size; each counts as sent to that many peers. */
+    /** Takes the least spread records first, up to a size limit; each counts as sent to the given number of peers. */
     synchronized List<SideRecord> take(int maxBytes, int peers) {
         List<Map.Entry<String, Integer>> leastSpreadFirst = new ArrayList<>(sendsLeft.entrySet());
         leastSpreadFirst.sort(Map.Entry.<String, Integer>comparingByValue(Comparator.reverseOrder())
--- a/src/main/java/io/waxwingquay/membership/Side.java
+++ b/src/main/java/io/waxwingquay/membership/Side.java
@@ -7,21 +7,21 @@
 import java.util.Set;
 
 /**
- * One side process as this process knows it; an immutable snapshot.
+ * An immutable snapshot of what this process knows of a side process.
  *
  * @param id the side's name.
- * @param address where it listens for Thrift.
+ * @param address the address of its Thrift server.
  * @param dataCentre its data centre.
- * @param service the service its target belongs to.
- * @param replica its number within the service.
- * @param kind what its target is.
+ * @param service the service that its target belongs to.
+ * @param replica its replica number within the service.
+ * @param kind the kind of its target.
  * @param epoch its boot epoch; a restarted side has a higher one.
- * @param version version of the record within the epoch.
- * @param state its lifecycle.
- * @param capacityBytes accelerator memory of its target.
- * @param residentItems items that it serves from memory now.
- * @param demandUnitsPerSecond requests a second that it saw for each item, served or refused, smoothed.
- * @param reachable whether this process has reached it when it last tried.
+ * @param version the version of the record within the epoch.
+ * @param state its lifecycle state.
+ * @param capacityBytes the accelerator memory of its target.
+ * @param residentItems the items in the memory of its target.
+ * @param demandUnitsPerSecond the smoothed rate of requests per second for each item, served or refused.
+ * @param reachable whether the last call of this process reached it.
  */
 public record Side(
         String id,
@@ -39,9 +39,9 @@
         boolean reachable) {
 
     /**
-     * Whether new work may be sent to it.
+     * Checks whether new work may be sent to this side.
      *
-     * @return whether it is serving and not known to be unreachable.
+     * @return whether the side is serving and not known to be unreachable.
      */
     public boolean acceptsWork() {
         return state == SideState.SERVING && reachable;
--- a/src/main/java/io/waxwingquay/membership/VmWatch.java
+++ b/src/main/java/io/waxwingquay/membership/VmWatch.java
@@ -21,17 +21,17 @@
 import org.apache.commons.codec.digest.MurmurHash3;
 
 /**
- * Announces this process to the platform's list, reads the list where it is this process's turn, and tries silent
- * sides again.
+ * Announces this process to the platform's VM list, reads the list if this process is one of its readers, and probes
+ * unresponsive sides and other sides of its service.
  *
- * <p>Only the first few processes of each data centre by hash read the list, and each process of a small service tries
- * the others; the rest hear by gossip. If all 2,720 read it each second they would exceed the table service's
- * 2,000 reads a second. When views of membership differ, a few more or fewer read, which does no harm. A process that
- * knows no peer reads too, as it has nobody to hear from.
+ * <p>Only the first few processes of each data centre, ranked by hash, read the list; the others learn of changes by
+ * gossip. If all 2,720 processes read it each second, they would exceed the table service's 2,000 reads per second.
+ * While views of the membership differ, there may be a few more or fewer readers, which is harmless. A process that
+ * knows no peer reads the list too, because it has no other source.
  *
- * <p>A list that goes back does not undo LEAVING, which sticks to the epoch in {@link MemberTable}. A list that
- * still says leaving after the side restarted does not touch the new epoch: the flag counts once, for the
- * epoch known when it came up.
+ * <p>A list that goes backwards does not revert LEAVING, which is sticky within an epoch in {@link MemberTable}. A list
+ * that still says leaving after the side restarted does not affect the new epoch: the flag applies only to the epoch
+ * known when it first appeared.
  */
 public final class VmWatch {
 
@@ -52,15 +52,15 @@
     private volatile long lastReadMillis = Long.MIN_VALUE;
 
     /**
-     * A watch that has not started.
+     * Creates a watch that has not been started.
      *
-     * @param list the platform's list.
-     * @param peers the processes known, over the table that is kept up to date.
-     * @param connections to try silent sides.
-     * @param clock the time.
-     * @param random spreads the rounds.
-     * @param self this process, as it is announced.
-     * @param intervalMillis between rounds, on average.
+     * @param list the platform's VM list.
+     * @param peers the known peers; their member table is kept up to date.
+     * @param connections the connections for probes.
+     * @param clock the clock.
+     * @param random the source of randomness for the first delay and the choice of probed sides.
+     * @param self this process as it is announced.
+     * @param intervalMillis the interval between rounds.
      */
     public VmWatch(
             VmList list,
@@ -81,9 +81,10 @@
     }
 
     /**
-     * One round: announces, reads the list if it is this process's turn, tries silent sides, expires records.
+     * Runs one round: announces this process, reads the list if this process is a reader, probes sides and expires
+     * records.
      *
-     * @return completes when done; does not fail.
+     * @return a future that completes when the round is done; it does not fail.
      */
     public CompletableFuture<Void> round() {
         CompletableFuture<Void> announced = list.announce(self).exceptionally(VmWatch::noteAnnounceFailure);
@@ -97,22 +98,22 @@
     }
 
     /**
-     * Runs rounds until closed.
+     * Runs rounds periodically until closed.
      *
-     * @param scheduler runs them.
-     * @return stops the rounds when closed.
+     * @param scheduler the scheduler that runs the rounds.
+     * @return a handle that stops the rounds when closed.
      */
     public AutoCloseable start(ScheduledExecutorService scheduler) {
-        // A random first delay spreads the processes that one restart of a rack brings up together.
+        // The random first delay spreads the rounds of processes that start together, as after the restart of a rack.
         long firstMillis = random.nextLong(intervalMillis) + 1;
         var task = scheduler.scheduleAtFixedRate(this::runRound, firstMillis, intervalMillis, TimeUnit.MILLISECONDS);
         return () -> task.cancel(false);
     }
 
     /**
-     * Whether this process reads the list.
+     * Checks whether this process reads the list.
      *
-     * @return whether it is among the first of its data centre by hash.
+     * @return whether it is among the first processes of its data centre by hash.
      */
     public boolean isReader() {
         List<Peers.Peer> knownPeers = peers.all();
@@ -128,7 +129,7 @@
     }
 
     /**
-     * When the list was last read here, for the state dump.
+     * Returns when this process last read the list, for the state dump.
      *
      * @return monotonic milliseconds, or {@link Long#MIN_VALUE} if never.
      */
@@ -166,14 +167,15 @@
         });
     }
 
-    // An absence seen as a reader must not grow old once others read: the VM may be listed again unseen.
+    // A process that is no longer a reader clears what it saw as unlisted, because the VM may be listed again without
+    // this process noticing.
     private CompletableFuture<Void> skipList() {
         table.noteListUnavailable();
         return CompletableFuture.completedFuture(null);
     }
 
-    // Placement counts on sides that are reachable. With the list out a dead side shows only by its silence, so the
-    // sides of a service try each other: all of them in a small service, a random few in a large one.
+    // Placement relies on reachability. While the list is unavailable, a dead side can only be detected by its missing
+    // answers, so the sides of a service probe each other: all of them in a small service, a random few in a large one.
     private List<Side> servicePeers() {
         String service = table.side(self.name()).map(Side::service).orElse("");
         List<Side> reachable = new ArrayList<>(table.sides().stream()
@@ -195,16 +197,16 @@
         try {
             round();
         } catch (RuntimeException failure) {
-            LOG.log(System.Logger.Level.WARNING, "membership: a round over the VM list failed.", failure);
+            LOG.log(System.Logger.Level.WARNING, "membership: a round of the VM watch failed.", failure);
         }
     }
 
     private static Void noteAnnounceFailure(Throwable failure) {
-        LOG.log(System.Logger.Level.DEBUG, "membership: the VM list took no announcement.", failure);
+        LOG.log(System.Logger.Level.DEBUG, "membership: cannot announce this process to the VM list.", failure);
         return null;
     }
 
-    // Each name is hashed once: sorting by hash took milliseconds at 2,400 sides, at each round of each process.
+    // Hashes each name once: sorting by hash took milliseconds for 2,400 sides in each round of each process.
     private boolean ranksBefore(String name, long ownRank) {
         long rank = rank(name);
         return rank < ownRank || rank == ownRank && name.compareTo(self.name()) < 0;
--- a/src/main/java/io/waxwingquay/membership/package-info.java
+++ b/src/main/java/io/waxwingquay/membership/package-info.java
@@ -1,4 +1,4 @@
 /**
- * What each process knows of the others, spread by gossip and reconciled with the VM list.
+ * The membership view of each process, disseminated by gossip and reconciled with the platform's VM list.
  */
 package io.waxwingquay.membership;
