--- a/src/test/java/io/waxwingquay/membership/GossipSimulation.java
+++ b/src/test/java/io/waxwingquay/membership/GossipSimulation.java
@@ -26,8 +26,9 @@
 import java.util.stream.LongStream;
 
 /**
- * Processes that gossip by direct calls, with one clock that the test steps. Each wakes every 250 ms at a phase of its
- * own, as the real loop does, so that news rarely goes more than one hop in a step.
+ * A simulation of processes that gossip by direct calls, with one clock that the test advances. Each process checks
+ * every 250 ms, at a phase of its own, whether a round is due, as the real loop does. A change therefore rarely travels
+ * more than one hop per step.
  */
 final class GossipSimulation {
 
@@ -54,15 +55,15 @@
         }
     };
 
-    /** Sides that all know each other. */
+    /** Creates sides that all know each other. */
     static GossipSimulation fullyConnected(int count, long seed) {
-        GossipSimulation world = new GossipSimulation();
-        IntStream.range(0, count).forEach(index -> world.nodes.add(world.new Node(index, seed + index)));
+        GossipSimulation simulation = new GossipSimulation();
+        IntStream.range(0, count).forEach(index -> simulation.nodes.add(simulation.new Node(index, seed + index)));
         List<SideRecord> all =
                 IntStream.range(0, count).mapToObj(GossipSimulation::record).toList();
-        world.nodes.forEach(node -> node.table.merge(all));
-        world.settle();
-        return world;
+        simulation.nodes.forEach(node -> node.table.merge(all));
+        simulation.settle();
+        return simulation;
     }
 
     static SideRecord record(int index) {
@@ -92,7 +93,7 @@
         return nodes.get(index);
     }
 
-    /** A process that knows only one other. */
+    /** Adds a process that knows only one other. */
     Node join(int contactIndex) {
         Node node = new Node(nodes.size(), contactIndex);
         nodes.add(node);
@@ -105,7 +106,7 @@
         down.add(index);
     }
 
-    /** From now on this share of calls is lost, half of them after they were answered. */
+    /** Loses calls with the given probability from now on, half of them after they were answered. */
     void setLossProbability(double probability) {
         lossProbability = probability;
     }
@@ -115,7 +116,7 @@
         nodes.forEach(Node::step);
     }
 
-    /** Steps until a condition holds at every node that is up, or the limit is reached. */
+    /** Advances the time until a condition holds at every running node or the limit is reached. */
     long millisUntilAll(Predicate<Node> condition, long limitMillis) {
         long startMillis = nowMillis;
         while (nowMillis - startMillis < limitMillis && !upNodes().stream().allMatch(condition)) {
@@ -128,7 +129,7 @@
         LongStream.range(0, millis / STEP_MILLIS).forEach(ignored -> step());
     }
 
-    /** Bytes sent by all nodes since the world began. */
+    /** Returns the bytes sent by all nodes since the start of the simulation. */
     double sentBytes() {
         return nodes.stream().mapToDouble(Node::sentBytes).sum();
     }
@@ -153,7 +154,7 @@
         return new HostPort("127.0.0.1", PORT + index);
     }
 
-    /** One process. */
+    /** A simulated process. */
     final class Node {
 
         final MemberTable table = new MemberTable(clock, MemberTable.Timing.DEFAULT);
--- a/src/test/java/io/waxwingquay/membership/MemberTableTest.java
+++ b/src/test/java/io/waxwingquay/membership/MemberTableTest.java
@@ -29,9 +29,9 @@
     private final MemberTable table = newTable();
 
     @Test
-    void leavingIsNotUndoneByAnOlderOrNewerRecordOfTheEpoch() {
-        // A side answers that it leaves. A peer that has not heard gossips its last record, and the side itself,
-        // told late, publishes residency once more. Were either to win, it would get new work while it drains.
+    void leavingIsNotRevertedByOlderOrNewerRecordOfSameEpoch() {
+        // A side is leaving. A peer that does not know it yet gossips the side's previous record, and the side, which
+        // learns of it late, publishes its residency once more. If either won, the draining side would get new work.
         table.publish(record(1, 5, SideState.SERVING));
         table.noteLeaving(NAME, 1);
         table.merge(List.of(record(1, 4, SideState.SERVING), record(1, 6, SideState.SERVING)));
@@ -40,7 +40,7 @@
     }
 
     @Test
-    void aHigherEpochReplacesAndAnOlderOneIsPassedOver() {
+    void higherEpochReplacesRecordAndLowerEpochIsIgnored() {
         table.publish(record(1, 5, SideState.LEAVING));
         table.merge(List.of(record(2, 1, SideState.SERVING)));
         table.merge(List.of(record(1, 9, SideState.LEAVING)));
@@ -49,7 +49,7 @@
     }
 
     @Test
-    void absenceAloneAndSilenceAloneDropNothing() {
+    void unlistedAloneOrUnresponsiveAloneDoesNotExpire() {
         table.publish(record(1, 1, SideState.SERVING));
         table.noteListed(Set.of());
         nowMillis += 2 * EXPIRY_MILLIS;
@@ -62,7 +62,7 @@
     }
 
     @Test
-    void absentAndSilentForTheWholeExpiryIsGoneAndOldRumoursDoNotReturnIt() {
+    void unlistedAndUnresponsiveSideExpiresAndStaleRecordDoesNotReviveIt() {
         table.publish(record(1, 1, SideState.SERVING));
         table.noteListed(Set.of());
         nowMillis += EXPIRY_MILLIS;
@@ -77,9 +77,9 @@
     }
 
     @Test
-    void aSideThatLeftAndWasTakenForGoneComesBackAsLeaving() {
-        // A side leaves, is cut off while it drains and expires to GONE. The cut ends and its last publication arrives,
-        // made before it heard that it leaves. It lives, but new work must not go there.
+    void leavingSideThatExpiredReturnsAsLeaving() {
+        // A leaving side is partitioned while it drains, and expires to GONE. After the partition its last publication
+        // arrives, made before it learnt that it is leaving. The side is alive but must not get new work.
         table.publish(record(1, 1, SideState.SERVING));
         table.noteLeaving(NAME, 1);
         table.noteListed(Set.of());
@@ -91,9 +91,10 @@
     }
 
     @Test
-    void theListBeingOutEndsAnAbsence() {
-        // A VM is missing from one stale list, then the table service is out for long and the side is silent behind
-        // a cut link. Time without a list counted as absence would drop a side that still serves others.
+    void unavailableListResetsUnlistedTime() {
+        // A VM is missing from one stale list, then the table service is unavailable for long while the side is
+        // unresponsive behind a broken link. If time without a list counted as unlisted, a side that still serves
+        // others would expire.
         table.publish(record(1, 1, SideState.SERVING));
         table.noteListed(Set.of());
         table.noteReached(NAME, 1, false);
@@ -103,7 +104,7 @@
     }
 
     @Test
-    void aSilentSideIsDueForRetryOnceAnInterval() {
+    void unresponsiveSideIsDueForProbeOncePerInterval() {
         table.publish(record(1, 1, SideState.SERVING));
         table.noteReached(NAME, 1, false);
         assertEquals(0, table.dueForProbe().size());
@@ -115,13 +116,13 @@
     }
 
     @Test
-    void aRecordWithoutANameOrAddressIsPassedOver() {
+    void recordWithoutNameOrAddressIsIgnored() {
         table.merge(List.of(new SideRecord(), GossipHandler.digestOf(record(1, 1, SideState.SERVING))));
         assertEquals(0, table.size());
     }
 
     @Property(tries = 300, seed = "20261202")
-    void recordsOfLivingSidesJoinAlikeInAnyOrder(@ForAll("records") List<SideRecord> records, @ForAll long seed) {
+    void recordsOfLiveSidesMergeEquallyInAnyOrder(@ForAll("records") List<SideRecord> records, @ForAll long seed) {
         MemberTable once = newTable();
         MemberTable other = newTable();
         List<SideRecord> shuffled = new ArrayList<>(records);
--- a/src/test/java/io/waxwingquay/membership/PublishIntervalTest.java
+++ b/src/test/java/io/waxwingquay/membership/PublishIntervalTest.java
@@ -12,8 +12,8 @@
     private static final double BUDGET_BYTES_PER_SECOND = 3_000;
     private static final int COPIES = 5;
 
-    // Each side publishing as often as it may, all processes together stay within the budget: 2,400 sides that each
-    // published every 5 s would send every process some 600 KB/s, sixty times what a node may use.
+    // Guards the gossip budget of a process when every side publishes as often as it may: 2,400 sides that each
+    // published every 5 s would send about 600 KB/s to every process, sixty times what a node may use.
     @Property(tries = 100, seed = "20261202")
     void allSidesTogetherStayWithinTheBudget(@ForAll @IntRange(min = 1, max = 5_000) int sides) {
         SideRecord record = GossipSimulation.record(1);
--- a/src/test/java/io/waxwingquay/membership/VmWatchTest.java
+++ b/src/test/java/io/waxwingquay/membership/VmWatchTest.java
@@ -40,7 +40,7 @@
     };
 
     @Test
-    void threeProcessesOfEachDataCentreRead() {
+    void threeProcessesOfEachDataCentreReadTheList() {
         long readers = IntStream.range(0, SIDES)
                 .filter(index -> watch(index, fullTable()).isReader())
                 .count();
@@ -48,9 +48,9 @@
     }
 
     @Test
-    void aListThatGoesBackDoesNotUndoLeaving() {
-        // The platform says that a VM leaves, then an older copy of its list says live. The side still drains: work
-        // sent there on the word of the older list would be refused or cut off.
+    void listThatGoesBackwardsDoesNotRevertLeaving() {
+        // The platform lists a VM as leaving, then returns an older version of the list that shows it as live. The side
+        // is still draining: work routed to it because of the older list would be refused or cut off.
         MemberTable table = fullTable();
         VmWatch reader = reader(table);
         list.vms = List.of(vm(1, true));
@@ -61,7 +61,7 @@
     }
 
     @Test
-    void aStaleLeavingFlagDoesNotTouchARestartedSide() {
+    void staleLeavingFlagDoesNotAffectRestartedSide() {
         MemberTable table = fullTable();
         VmWatch reader = reader(table);
         list.vms = List.of(vm(1, true));
@@ -72,12 +72,12 @@
     }
 
     @Test
-    void withTheListOutDeadSidesAreAvoidedAndNoneIsDropped() {
-        // The table service is out and every other side falls silent. Dropping them would empty the membership, and
-        // nothing would bring them back when the cut ends.
+    void deadSidesAreAvoidedButNotExpiredWhileListIsUnavailable() {
+        // The table service is unavailable and every other side becomes unresponsive. Expiring them would empty the
+        // membership, and nothing would restore it after the partition.
         MemberTable table = fullTable();
         VmWatch reader = reader(table);
-        list.isOut = true;
+        list.isUnavailable = true;
         answersPings = false;
         for (int round = 0; round < 60; round++) {
             nowMillis += 2_000;
@@ -123,12 +123,12 @@
     private static final class FakeList implements VmList {
 
         private List<Vm> vms = new ArrayList<>();
-        private boolean isOut;
+        private boolean isUnavailable;
 
         @Override
         public CompletableFuture<List<Vm>> list() {
-            return isOut
-                    ? CompletableFuture.failedFuture(new PlatformException.Unavailable("list is out", null))
+            return isUnavailable
+                    ? CompletableFuture.failedFuture(new PlatformException.Unavailable("list is unavailable", null))
                     : CompletableFuture.completedFuture(vms);
         }
 
@@ -147,7 +147,7 @@
                     new Class<?>[] {SideProtocol.class},
                     (proxy, method, arguments) -> answersPings
                             ? CompletableFuture.completedFuture(true)
-                            : CompletableFuture.failedFuture(new TransportException(false, "silent", null)));
+                            : CompletableFuture.failedFuture(new TransportException(false, "unresponsive", null)));
         }
 
         @Override
