--- a/src/main/java/io/waxwingquay/peer/PeerChannel.java
+++ b/src/main/java/io/waxwingquay/peer/PeerChannel.java
@@ -14,7 +14,7 @@
 import org.apache.thrift.protocol.TCompactProtocol;
 import org.apache.thrift.transport.TTransportException;
 
-/** Sends and receives datagrams of our own processes; all on the loop. */
+/** Sends and receives datagrams between processes of the system. All methods run on the event loop. */
 public final class PeerChannel implements AutoCloseable {
 
     private static final System.Logger LOG = System.getLogger("waxwingquay.peer");
@@ -28,9 +28,9 @@
     /**
      * Opens the channel.
      *
-     * @param loop where everything runs.
-     * @param address where datagrams are taken.
-     * @param listener told of each datagram.
+     * @param loop the event loop that runs the channel.
+     * @param address the address to receive datagrams on.
+     * @param listener notified of each datagram.
      */
     public PeerChannel(EventLoop loop, HostPort address, Listener listener) {
         this.listener = listener;
@@ -38,7 +38,7 @@
             this.serializer = new TSerializer(new TCompactProtocol.Factory());
             this.deserializer = new TDeserializer(new TCompactProtocol.Factory());
         } catch (TTransportException failure) {
-            throw new IllegalStateException("the codec of datagrams can't be made", failure);
+            throw new IllegalStateException("cannot create the datagram codec", failure);
         }
         this.socket = loop.datagrams(new InetSocketAddress(address.host(), address.port()), this::receive);
     }
@@ -46,18 +46,18 @@
     /**
      * Sends a datagram.
      *
-     * @param destination where to.
-     * @param datagram what.
+     * @param destination the address to send it to.
+     * @param datagram the datagram.
      */
     public void send(HostPort destination, PeerDatagram datagram) {
         send(destination, encode(datagram));
     }
 
     /**
-     * Sends a datagram that was encoded once for many.
+     * Sends a datagram that was encoded once for many destinations.
      *
-     * @param destination where to.
-     * @param encoded the bytes.
+     * @param destination the address to send it to.
+     * @param encoded the encoded datagram.
      */
     public void send(HostPort destination, byte[] encoded) {
         InetSocketAddress address =
@@ -68,14 +68,14 @@
     /**
      * Encodes a datagram.
      *
-     * @param datagram what.
-     * @return its bytes.
+     * @param datagram the datagram.
+     * @return the encoded bytes.
      */
     public byte[] encode(PeerDatagram datagram) {
         try {
             return serializer.serialize(datagram);
         } catch (TException failure) {
-            throw new IllegalArgumentException("a datagram can't be encoded", failure);
+            throw new IllegalArgumentException("cannot encode the datagram", failure);
         }
     }
 
@@ -92,7 +92,11 @@
         try {
             deserializer.deserialize(datagram, payload);
         } catch (TException failure) {
-            LOG.log(System.Logger.Level.WARNING, "peer: datagram passed over sender={0} cause={1}", sender, failure);
+            LOG.log(
+                    System.Logger.Level.WARNING,
+                    "peer: malformed datagram discarded sender={0} cause={1}",
+                    sender,
+                    failure);
             return;
         }
         if (datagram.isSet()) {
@@ -100,15 +104,15 @@
         }
     }
 
-    /** Takes datagrams. */
+    /** Receives datagrams. */
     @FunctionalInterface
     public interface Listener {
 
         /**
-         * A datagram has come.
+         * Handles a received datagram.
          *
-         * @param sender who sent it.
-         * @param datagram what it says.
+         * @param sender the address of the sender.
+         * @param datagram the datagram.
          */
         void received(HostPort sender, PeerDatagram datagram);
     }
--- a/src/main/java/io/waxwingquay/peer/UpdateInterval.java
+++ b/src/main/java/io/waxwingquay/peer/UpdateInterval.java
@@ -1,37 +1,37 @@
 package io.waxwingquay.peer;
 
 /**
- * How often a process says again what has not changed. What has changed is told at once; saying it again makes good what
- * was lost. The pause grows with the number of receivers, so that what one process sends for this does not.
+ * The interval at which a process resends its unchanged state. Changes are sent at once; resending repairs the loss of
+ * datagrams. The interval grows with the number of receivers, so that the traffic of one process does not.
  */
 public final class UpdateInterval {
 
-    /** Of the datagrams that a node may send in a second for control, about half are left for this. */
+    /** Leaves about half of the control datagrams that a node may send per second for these updates. */
     private static final long MILLIS_PER_RECEIVER = 40L;
 
     private static final long MIN_PERIOD_MILLIS = 200L;
     private static final long MIN_STALE_AFTER_MILLIS = 3_000L;
 
-    /** A process is taken to be gone or cut off when so many tellings in a row did not come. */
+    /** The number of consecutive missing updates after which a process counts as gone or cut off. */
     private static final int MAX_MISSED_UPDATES = 3;
 
     private UpdateInterval() {}
 
     /**
-     * The pause between two tellings.
+     * Returns the interval between two updates of unchanged state.
      *
-     * @param receivers how many processes are told.
-     * @return the pause.
+     * @param receivers the number of processes that receive the updates.
+     * @return the interval in milliseconds.
      */
     public static long periodMillis(int receivers) {
         return Math.max(MIN_PERIOD_MILLIS, receivers * MILLIS_PER_RECEIVER);
     }
 
     /**
-     * How long what was told counts.
+     * Returns how long an update is valid.
      *
-     * @param receivers how many processes the sender tells.
-     * @return the time after which silence means that the sender is gone.
+     * @param receivers the number of processes that receive the sender's updates.
+     * @return the time in milliseconds without an update after which the sender counts as gone.
      */
     public static long staleAfterMillis(int receivers) {
         return Math.max(MIN_STALE_AFTER_MILLIS, MAX_MISSED_UPDATES * periodMillis(receivers));
--- a/src/main/java/io/waxwingquay/peer/UpdateSequence.java
+++ b/src/main/java/io/waxwingquay/peer/UpdateSequence.java
@@ -1,58 +1,59 @@
 package io.waxwingquay.peer;
 
 /**
- * Numbers what one life of a process tells, so that receivers pass over what was overtaken on the way and know a process
- * that has started again.
+ * Numbers the status updates of one incarnation of a process, so that receivers discard updates that arrive late or
+ * twice and recognise a restarted process.
  *
- * <p>Failure: a process starts again at its address and counts from one. Symptom: receivers take all it says for
- * overtaken until it has counted past its earlier life. The upper part of a number is the VM's steady time at the start,
- * which goes on over a process's start; a VM that started again itself is far behind and told by that.
+ * <p>Failure: a process restarts at the same address and counts from one. Symptom: receivers discard all its updates
+ * until it has counted past its previous incarnation. Therefore the upper bits of a number hold the VM's monotonic time
+ * at the start of the process, which continues over a restart of the process. After a restart of the VM itself that
+ * time is far behind, which identifies the new incarnation.
  */
 public final class UpdateSequence {
 
-    /** Room for the count, for days of tellings. */
+    /** The low bits that hold the count, enough for days of updates. */
     private static final int COUNT_BITS = 24;
 
-    /** No datagram is on its way for so long, so an earlier start that is further behind is that of a later VM. */
+    /** No datagram is in flight for so long, so a start that is further behind belongs to a restarted VM. */
     private static final long MAX_IN_FLIGHT_MILLIS = 10_000L;
 
     private long last;
 
     /**
-     * Numbers of a life.
+     * Creates the sequence of one incarnation.
      *
-     * @param startMillis the steady time at the process's start.
+     * @param startMillis the VM's monotonic time at the start of the process.
      */
     public UpdateSequence(long startMillis) {
         last = startMillis << COUNT_BITS;
     }
 
     /**
-     * The next number.
+     * Returns the next number.
      *
-     * @return a number above all before.
+     * @return a number higher than all previous ones.
      */
     public long next() {
         return ++last;
     }
 
     /**
-     * Whether one telling was overtaken by another one, or is the same come twice.
+     * Checks whether an update is older than another one or a duplicate of it.
      *
-     * @param number its number.
-     * @param newest the number of the other.
-     * @return whether it says nothing new.
+     * @param number the number of the update.
+     * @param newest the number of the other update.
+     * @return whether the update holds nothing new.
      */
     public static boolean isSuperseded(long number, long newest) {
         return number <= newest && startMillis(newest) - startMillis(number) < MAX_IN_FLIGHT_MILLIS;
     }
 
     /**
-     * Whether two tellings are of the same life of a process.
+     * Checks whether two updates come from the same incarnation of a process.
      *
-     * @param number the number of one.
-     * @param other the number of the other.
-     * @return whether the process has not started in between.
+     * @param number the number of one update.
+     * @param other the number of the other update.
+     * @return whether the process did not restart between the updates.
      */
     public static boolean isSameIncarnation(long number, long other) {
         return startMillis(number) == startMillis(other);
--- a/src/main/java/io/waxwingquay/peer/package-info.java
+++ b/src/main/java/io/waxwingquay/peer/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Datagrams between entries and the processes beside engines: what engines hold and how busy they are, what callers ask
- * for, and adapters that are needed at once. A lost datagram is made good by the next; no call waits for one.
+ * Datagrams between entries and the processes beside engines. They carry the models and load of engines, the demand of
+ * callers, and the adapters that are needed at once. The next datagram makes up for a lost one; no call waits for one.
  */
 package io.waxwingquay.peer;
--- a/src/test/java/io/waxwingquay/peer/UpdateSequenceTest.java
+++ b/src/test/java/io/waxwingquay/peer/UpdateSequenceTest.java
@@ -12,26 +12,26 @@
     private final long second = sequence.next();
 
     @Test
-    void whatComesTwiceOrLateSaysNothingNew() {
+    void duplicateOrLateUpdateIsSuperseded() {
         assertTrue(UpdateSequence.isSuperseded(first, second));
         assertTrue(UpdateSequence.isSuperseded(second, second));
         assertFalse(UpdateSequence.isSuperseded(second, first));
         assertTrue(UpdateSequence.isSameIncarnation(first, second));
     }
 
-    // A process ends after a long life and starts again at its address. If what it says counted as overtaken, others
-    // would plan by what it said before for as long as it had lived.
+    // A process restarts at the same address after a long incarnation. If its updates counted as superseded, others
+    // would use its previous state for as long as that incarnation had lasted.
     @Test
-    void processThatStartedAgainIsHeardAtOnce() {
+    void updatesOfRestartedProcessAreAcceptedAtOnce() {
         long again = new UpdateSequence(500_700).next();
         assertFalse(UpdateSequence.isSuperseded(again, second));
         assertTrue(UpdateSequence.isSuperseded(second, again));
         assertFalse(UpdateSequence.isSameIncarnation(again, second));
     }
 
-    // The VM starts again and its steady time with it.
+    // A restart of the VM resets its monotonic time, so the new numbers are far below those known.
     @Test
-    void processOnAVmThatStartedAgainIsHeardAtOnce() {
+    void updatesOfProcessOnRestartedVmAreAcceptedAtOnce() {
         assertFalse(UpdateSequence.isSuperseded(new UpdateSequence(900).next(), second));
     }
 }
