--- a/src/main/java/io/waxwingquay/transport/CallObserver.java
+++ b/src/main/java/io/waxwingquay/transport/CallObserver.java
@@ -1,20 +1,20 @@
 package io.waxwingquay.transport;
 
 /**
- * Learns of each finished call between processes, so that control traffic can be counted by kind.
+ * Observes each finished call between processes, so that control traffic can be counted by kind.
  */
 @FunctionalInterface
 public interface CallObserver {
 
-    /** Observes nothing. */
+    /** An observer that does nothing. */
     CallObserver DISABLED = (method, writtenBytes, readBytes) -> {};
 
     /**
-     * A call has ended, well or badly.
+     * Observes the end of a successful or failed call.
      *
-     * @param method name of the called method.
-     * @param writtenBytes bytes written to the connection for it.
-     * @param readBytes bytes read from the connection for it.
+     * @param method the name of the called method.
+     * @param writtenBytes the number of bytes written to the connection for the call.
+     * @param readBytes the number of bytes read from the connection for the call.
      */
     void observe(String method, long writtenBytes, long readBytes);
 }
--- a/src/main/java/io/waxwingquay/transport/Connections.java
+++ b/src/main/java/io/waxwingquay/transport/Connections.java
@@ -3,15 +3,15 @@
 import io.waxwingquay.common.HostPort;
 
 /**
- * Connections to other processes. A call on a connection that has gone silent fails after the call's own
- * wait plus a fixed grace, and later calls use a fresh connection.
+ * Connections to other processes. A call on an unresponsive connection fails after the call's own wait plus a fixed
+ * grace period, and later calls use a new connection.
  */
 public interface Connections extends AutoCloseable {
 
     /**
-     * A client for one process; cheap to ask for again.
+     * Returns a client for one process. Repeated calls are cheap.
      *
-     * @param address where the process listens.
+     * @param address the address on which the process listens.
      * @return the client.
      */
     SideProtocol to(HostPort address);
--- a/src/main/java/io/waxwingquay/transport/CountingSocket.java
+++ b/src/main/java/io/waxwingquay/transport/CountingSocket.java
@@ -6,10 +6,10 @@
 import org.apache.thrift.transport.TTransportException;
 
 /**
- * A socket that knows whether any byte was handed to the network, and how many went each way.
+ * A socket that counts the bytes written to and read from the network.
  *
- * <p>Whether a failed call may have been delivered decides whether a caller may be told that a request did not run. A
- * call whose connection never took a byte was certainly not delivered; any other may have been.
+ * <p>A caller may be told that a request did not run only if the failed call was certainly not delivered. That is
+ * certain if the connection accepted no byte of the call; otherwise the call may have been delivered.
  */
 final class CountingSocket extends TNonblockingSocket {
 
--- a/src/main/java/io/waxwingquay/transport/ForwardingPeer.java
+++ b/src/main/java/io/waxwingquay/transport/ForwardingPeer.java
@@ -11,19 +11,19 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * Hands what any process may ask to another handler, for handlers that add to it.
+ * A handler that delegates the calls of {@link PeerProtocol} to another handler, as a base for handlers that extend it.
  */
 public abstract class ForwardingPeer implements PeerProtocol {
 
     private final PeerProtocol delegate;
 
     /**
-     * A handler that adds to another.
+     * Creates a handler that delegates to another.
      *
-     * @param peer answers what any process may ask.
+     * @param delegate the handler that answers the calls.
      */
-    protected ForwardingPeer(PeerProtocol peer) {
-        this.delegate = peer;
+    protected ForwardingPeer(PeerProtocol delegate) {
+        this.delegate = delegate;
     }
 
     /** {@inheritDoc} */
--- a/src/main/java/io/waxwingquay/transport/PeerAdapter.java
+++ b/src/main/java/io/waxwingquay/transport/PeerAdapter.java
@@ -16,7 +16,7 @@
 import org.apache.thrift.async.AsyncMethodCallback;
 
 /**
- * Turns Thrift's callbacks into the futures of a {@link PeerProtocol} handler.
+ * Adapts the futures of a {@link PeerProtocol} handler to Thrift's callbacks.
  */
 class PeerAdapter implements PeerService.AsyncIface {
 
@@ -65,8 +65,8 @@
     }
 
     /**
-     * Runs a handler and passes on its answer. A failure becomes Thrift's own, whose text says nothing of whether the
-     * work ran: handlers put that into their typed answers.
+     * Runs a handler and passes its answer to the callback. A failure is converted to Thrift's own exception, which
+     * does not say whether the work ran: handlers state that in their typed answers.
      */
     static <T> void answer(Supplier<CompletableFuture<T>> call, AsyncMethodCallback<T> callback) {
         CompletableFuture<T> future;
@@ -87,7 +87,7 @@
     private static TApplicationException toApplicationException(Throwable failure) {
         Throwable cause =
                 failure instanceof CompletionException && failure.getCause() != null ? failure.getCause() : failure;
-        LOG.log(System.Logger.Level.WARNING, "transport: A handler failed.", cause);
+        LOG.log(System.Logger.Level.WARNING, "transport: a handler failed.", cause);
         return new TApplicationException(TApplicationException.INTERNAL_ERROR, String.valueOf(cause));
     }
 }
--- a/src/main/java/io/waxwingquay/transport/PeerProtocol.java
+++ b/src/main/java/io/waxwingquay/transport/PeerProtocol.java
@@ -11,48 +11,48 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * What any two processes say to each other. It is implemented by the handler behind a server and by the
- * client of a connection; a client's futures fail with {@link TransportException}.
+ * The calls between any two processes. Implemented by the handler behind a server and by the client of a connection; a
+ * client's futures fail with {@link TransportException}.
  */
 public interface PeerProtocol {
 
     /**
      * Exchanges membership and suspects.
      *
-     * @param request digests and news of the asking process.
-     * @return news for the asking process.
+     * @param request the digests and changes of the requesting process.
+     * @return the changes for the requesting process.
      */
     CompletableFuture<GossipAnswer> gossip(GossipRequest request);
 
     /**
-     * Fetches the signed bundle in force, if newer.
+     * Fetches the signed bundle in force if it is newer.
      *
-     * @param request the version the asking process has.
+     * @param request the version that the requesting process has.
      * @return the bundle document and signature, or only the version.
      */
     CompletableFuture<BundleAnswer> fetchBundle(BundleRequest request);
 
     /**
-     * Pushes suspects ahead of gossip.
+     * Pushes suspects without waiting for gossip.
      *
      * @param notice the suspects.
-     * @return whether they were taken in.
+     * @return whether the suspects were accepted.
      */
     CompletableFuture<Boolean> noteSuspects(SuspectNotice notice);
 
     /**
-     * Asks the home of a limit for a permit.
+     * Requests a permit from the process that manages a limit.
      *
-     * @param request what is asked.
-     * @return whether it was granted.
+     * @param request the limit and the holder.
+     * @return whether the permit was granted.
      */
     CompletableFuture<PermitAnswer> borrowPermit(PermitRequest request);
 
     /**
-     * Gives a permit back.
+     * Returns a permit.
      *
-     * @param request which permit.
-     * @return whether it was known.
+     * @param request the permit.
+     * @return whether the permit was known.
      */
     CompletableFuture<Boolean> returnPermit(PermitReturn request);
 
--- a/src/main/java/io/waxwingquay/transport/SideAdapter.java
+++ b/src/main/java/io/waxwingquay/transport/SideAdapter.java
@@ -10,7 +10,7 @@
 import org.apache.thrift.async.AsyncMethodCallback;
 
 /**
- * Turns Thrift's callbacks into the futures of a {@link SideProtocol} handler.
+ * Adapts the futures of a {@link SideProtocol} handler to Thrift's callbacks.
  */
 final class SideAdapter extends PeerAdapter implements SideService.AsyncIface {
 
--- a/src/main/java/io/waxwingquay/transport/SideProtocol.java
+++ b/src/main/java/io/waxwingquay/transport/SideProtocol.java
@@ -9,39 +9,40 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * What an entry says to a side process. A repeated submission of the same attempt attaches to the first.
+ * The calls from an entry to a side process. A repeated submission of the same attempt attaches to the first one.
  */
 public interface SideProtocol extends PeerProtocol {
 
     /**
-     * Hands over one attempt.
+     * Submits an attempt.
      *
      * @param submission the attempt.
-     * @return whether the side process took it.
+     * @return whether the side process accepted it.
      */
     CompletableFuture<SubmitAnswer> submit(Submission submission);
 
     /**
-     * Waits for more of an attempt's answer; answers within the wait even when nothing is new.
+     * Waits for the next chunks of an attempt's answer (long poll). Answers within the maximum wait even without new
+     * chunks.
      *
-     * @param request the attempt, the offset wanted and the longest wait.
-     * @return chunks from that offset on and the attempt's state.
+     * @param request the attempt, the start offset and the maximum wait.
+     * @return the chunks from that offset on and the state of the attempt.
      */
     CompletableFuture<PollAnswer> poll(PollRequest request);
 
     /**
-     * Cancels an attempt whose answer nobody wants any more.
+     * Cancels an attempt whose answer is no longer needed.
      *
      * @param attemptId the attempt.
-     * @return whether it was known.
+     * @return whether the attempt was known.
      */
     CompletableFuture<Boolean> cancel(String attemptId);
 
     /**
-     * Tells whether an attempt ran, and on request forbids that it ever starts.
+     * Reports whether an attempt ran and, if requested, prevents it from ever starting.
      *
      * @param request the attempt.
-     * @return what is known.
+     * @return what the side process knows of the attempt.
      */
     CompletableFuture<ResolveAnswer> resolve(ResolveRequest request);
 }
--- a/src/main/java/io/waxwingquay/transport/ThriftClient.java
+++ b/src/main/java/io/waxwingquay/transport/ThriftClient.java
@@ -28,7 +28,7 @@
 import org.apache.thrift.protocol.TCompactProtocol;
 
 /**
- * The client of one process. A Thrift connection carries one call at a time, so idle ones are kept for reuse.
+ * The client of one process. A Thrift connection carries one call at a time, so idle connections are pooled.
  */
 final class ThriftClient implements SideProtocol, AutoCloseable {
 
@@ -141,11 +141,12 @@
     }
 
     /**
-     * Closes every idle connection after one has gone silent.
+     * Closes every idle connection, after a call on one connection timed out.
      *
-     * <p>Failure: something between the two ends loses track of open connections while new ones work. Symptom: each
-     * call on an old connection waits out its timeout in turn. Once one is silent the others are not trusted: those
-     * idle are closed, and those in use are not kept, so the next call uses a fresh connection.
+     * <p>Failure: a device between the two ends loses its state of open connections while new connections work.
+     * Symptom: one call after another on the old connections runs into its timeout. Once one connection is
+     * unresponsive, idle connections are closed and those in use are not returned to the pool, so the next call opens a
+     * new one.
      */
     private void closeIdleConnections() {
         generation.incrementAndGet();
@@ -159,7 +160,7 @@
     /**
      * Starts one call on a client.
      *
-     * @param <T> the answer.
+     * @param <T> the type of the answer.
      */
     @FunctionalInterface
     private interface Invocation<T> {
--- a/src/main/java/io/waxwingquay/transport/ThriftConnections.java
+++ b/src/main/java/io/waxwingquay/transport/ThriftConnections.java
@@ -9,7 +9,7 @@
 import org.apache.thrift.async.TAsyncClientManager;
 
 /**
- * {@link Connections} over Thrift's non-blocking client: no thread waits for an answer.
+ * {@link Connections} over Thrift's non-blocking client, so that no thread blocks for an answer.
  */
 public final class ThriftConnections implements Connections {
 
@@ -23,7 +23,7 @@
     }
 
     /**
-     * Starts building connections.
+     * Creates a builder of connections.
      *
      * @return a builder with the defaults.
      */
@@ -45,18 +45,18 @@
     }
 
     /**
-     * What all clients share.
+     * The settings shared by all clients.
      *
-     * @param callTimeoutMillis the longest wait for an answer that is due at once.
+     * @param callTimeoutMillis the timeout of calls that are answered at once.
      * @param graceMillis how much longer than a poll's own wait its answer may take.
-     * @param idleLimit connections kept idle for each process.
-     * @param executor runs what follows on an answer, away from the selector thread.
-     * @param observer learns of each finished call.
+     * @param idleLimit the maximum number of idle connections to each process.
+     * @param executor runs the stages that depend on an answer, outside of the selector thread.
+     * @param observer observes each finished call.
      */
     record Settings(
             long callTimeoutMillis, long graceMillis, int idleLimit, Executor executor, CallObserver observer) {}
 
-    /** Builds connections. */
+    /** A builder of {@link ThriftConnections}. */
     public static final class Builder {
 
         private static final long DEFAULT_CALL_TIMEOUT_MILLIS = 1_000L;
@@ -71,7 +71,7 @@
         private Builder() {}
 
         /**
-         * Sets the longest wait for an answer that is due at once.
+         * Sets the timeout of calls that are answered at once.
          *
          * @param value milliseconds, 1 or above.
          * @return this builder.
@@ -82,7 +82,7 @@
         }
 
         /**
-         * Sets how much longer than its own wait a poll's answer may take.
+         * Sets how much longer than the poll's own wait its answer may take.
          *
          * @param value milliseconds, 1 or above.
          * @return this builder.
@@ -93,7 +93,7 @@
         }
 
         /**
-         * Sets what runs the stages that follow on an answer.
+         * Sets the executor of the stages that depend on an answer.
          *
          * @param value the executor.
          * @return this builder.
--- a/src/main/java/io/waxwingquay/transport/ThriftServer.java
+++ b/src/main/java/io/waxwingquay/transport/ThriftServer.java
@@ -17,7 +17,7 @@
 import org.apache.thrift.transport.TTransportException;
 
 /**
- * Serves a {@link PeerProtocol} or {@link SideProtocol} handler over Thrift. No thread waits inside a handler.
+ * Serves a {@link PeerProtocol} or {@link SideProtocol} handler over Thrift. No thread blocks in a handler.
  */
 public final class ThriftServer implements AutoCloseable {
 
@@ -30,31 +30,31 @@
     private final ExecutorService workers;
     private Optional<TThreadedSelectorServer> server = Optional.empty();
 
-    private ThriftServer(HostPort wanted) {
+    private ThriftServer(HostPort requested) {
         try {
-            this.socket = new KeepAliveServerSocket(wanted);
+            this.socket = new KeepAliveServerSocket(requested);
         } catch (TTransportException failure) {
-            throw new TransportException(false, "cannot listen on " + wanted + "; is the port taken?", failure);
+            throw new TransportException(false, "cannot listen on " + requested + "; is the port in use?", failure);
         }
-        this.address = new HostPort(wanted.host(), socket.getPort());
+        this.address = new HostPort(requested.host(), socket.getPort());
         this.workers = Executors.newFixedThreadPool(WORKER_THREADS, daemonThreads("thrift-worker-" + address.port()));
     }
 
     /**
-     * Takes a port. Connections wait until one of the serve methods is called.
+     * Binds to a port. Connections wait until one of the serve methods is called.
      *
-     * @param address where to listen; port 0 takes a free one.
+     * @param address the address to listen on; port 0 selects a free port.
      * @return the server, not serving yet.
-     * @throws TransportException if the port cannot be taken.
+     * @throws TransportException if the server cannot bind to the port.
      */
     public static ThriftServer bind(HostPort address) {
         return new ThriftServer(address);
     }
 
     /**
-     * Serves what any two processes say to each other.
+     * Serves the calls between any two processes.
      *
-     * @param handler answers the calls.
+     * @param handler the handler that answers the calls.
      * @return this server.
      */
     public ThriftServer servePeer(PeerProtocol handler) {
@@ -62,9 +62,9 @@
     }
 
     /**
-     * Serves what an entry says to a side process, and what any two processes say to each other.
+     * Serves the calls from an entry to a side process and the calls between any two processes.
      *
-     * @param handler answers the calls.
+     * @param handler the handler that answers the calls.
      * @return this server.
      */
     public ThriftServer serveSide(SideProtocol handler) {
@@ -72,9 +72,9 @@
     }
 
     /**
-     * Where this server listens.
+     * Returns the address on which this server listens.
      *
-     * @return the address with the port that was taken.
+     * @return the address with the actual port.
      */
     public HostPort address() {
         return address;
@@ -112,11 +112,11 @@
     }
 
     /**
-     * Turns on TCP keep-alive for accepted connections.
+     * Enables TCP keep-alive for accepted connections.
      *
-     * <p>Failure: a connection goes silent for good and its client has long opened another. Symptom: the server keeps
-     * its socket for ever and runs out of them. Keep-alive makes the kernel close such sockets; no answer depends on
-     * it, so its slowness does not matter.
+     * <p>Failure: a connection is dead, and its client has already opened another one. Symptom: the server never closes
+     * the dead socket and runs out of sockets. Keep-alive lets the kernel close such sockets. It is slow, which does
+     * not matter because no answer depends on it.
      */
     private static final class KeepAliveServerSocket extends TNonblockingServerSocket {
 
--- a/src/main/java/io/waxwingquay/transport/TransportException.java
+++ b/src/main/java/io/waxwingquay/transport/TransportException.java
@@ -1,7 +1,7 @@
 package io.waxwingquay.transport;
 
 /**
- * A failure between two of the system's processes.
+ * A failed call between two processes of the system.
  */
 public final class TransportException extends RuntimeException {
 
@@ -10,21 +10,21 @@
     private final boolean maybeDelivered;
 
     /**
-     * A failure.
+     * Creates an exception.
      *
-     * @param delivered whether the call may have reached the other process.
+     * @param maybeDelivered whether the call may have reached the other process.
      * @param message what failed, naming the address.
-     * @param cause the failure below, or {@code null}.
+     * @param cause the underlying failure, or {@code null}.
      */
-    public TransportException(boolean delivered, String message, Throwable cause) {
+    public TransportException(boolean maybeDelivered, String message, Throwable cause) {
         super(message, cause);
-        this.maybeDelivered = delivered;
+        this.maybeDelivered = maybeDelivered;
     }
 
     /**
-     * Whether the call may have reached the other process. False is certain: it did not.
+     * Checks whether the call may have reached the other process.
      *
-     * @return whether it may have been delivered.
+     * @return {@code false} only if the call certainly did not reach it.
      */
     public boolean mayHaveBeenDelivered() {
         return maybeDelivered;
--- a/src/main/java/io/waxwingquay/transport/package-info.java
+++ b/src/main/java/io/waxwingquay/transport/package-info.java
@@ -1,4 +1,5 @@
 /**
- * Thrift between the system's own processes: client pool with silence detection and server.
+ * Thrift calls between the processes of the system: a server, and a pooling client that detects unresponsive
+ * connections.
  */
 package io.waxwingquay.transport;
--- a/src/test/java/io/waxwingquay/transport/ThriftConnectionsTest.java
+++ b/src/test/java/io/waxwingquay/transport/ThriftConnectionsTest.java
@@ -27,7 +27,7 @@
     private static final HostPort ANY_PORT = new HostPort(LOOPBACK, 0);
 
     @Test
-    void carriesManyLongPollsAtOnce() {
+    void carriesManyConcurrentLongPolls() {
         CompletableFuture<Void> release = new CompletableFuture<>();
         SideProtocol handler = new UnansweringSide() {
             @Override
@@ -50,7 +50,7 @@
     }
 
     @Test
-    void saysForCertainThatARefusedConnectionDeliveredNothing() throws IOException {
+    void callOnRefusedConnectionWasNotDelivered() throws IOException {
         HostPort closed;
         try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getByName(LOOPBACK))) {
             closed = new HostPort(LOOPBACK, socket.getLocalPort());
@@ -61,12 +61,11 @@
     }
 
     /*
-     * The caller sees a call fail within its time-out rather than hang.
      * The other end accepts the connection and the request and never answers.
-     * The call may have been delivered, and no one may say otherwise.
+     * The call must fail within its timeout rather than hang, and must count as possibly delivered.
      */
     @Test
-    void saysThatASilentCallMayHaveBeenDelivered() throws IOException {
+    void callThatTimedOutMayHaveBeenDelivered() throws IOException {
         try (ServerSocket silent = new ServerSocket(0, 1, InetAddress.getByName(LOOPBACK));
                 ThriftConnections connections =
                         ThriftConnections.builder().callTimeoutMillis(50L).build()) {
@@ -81,12 +80,11 @@
     }
 
     /*
-     * The caller sees its second poll answered although the first connection is dead for good.
-     * The first connection goes silent; its call fails; the connection is dropped and another opened.
-     * Without dropping it, the next call would be sent into the same silence.
+     * A connection becomes unresponsive and its call fails. The connection must be closed and the next call answered
+     * over a new one; if it were reused, the next call would time out as well.
      */
     @Test
-    void usesAFreshConnectionAfterSilence() {
+    void usesNewConnectionAfterTimeout() {
         CompletableFuture<Boolean> never = new CompletableFuture<>();
         int[] calls = {0};
         SideProtocol handler = new UnansweringSide() {
--- a/src/test/java/io/waxwingquay/transport/UnansweringSide.java
+++ b/src/test/java/io/waxwingquay/transport/UnansweringSide.java
@@ -16,7 +16,7 @@
 import io.waxwingquay.transport.generated.SuspectNotice;
 import java.util.concurrent.CompletableFuture;
 
-/** Answers nothing by default; tests override what they need. */
+/** A handler that answers only pings; tests override the other calls as needed. */
 class UnansweringSide implements SideProtocol {
 
     @Override
