--- a/src/main/java/io/waxwingquay/store/HttpObjectStore.java
+++ b/src/main/java/io/waxwingquay/store/HttpObjectStore.java
@@ -9,7 +9,7 @@
 import org.eclipse.jetty.http.HttpMethod;
 
 /**
- * The object store over HTTP.
+ * An {@link ObjectStore} over HTTP.
  */
 public final class HttpObjectStore implements ObjectStore {
 
@@ -18,11 +18,11 @@
     private final HttpPlatformCalls calls;
 
     /**
-     * A client.
+     * Creates a client.
      *
-     * @param client the shared, started HTTP client.
+     * @param client the shared HTTP client, already started.
      * @param address the platform's address.
-     * @param timeoutMillis the most time a call may take.
+     * @param timeoutMillis the timeout of a call.
      */
     public HttpObjectStore(HttpClient client, HostPort address, long timeoutMillis) {
         this.calls = new HttpPlatformCalls(client, "object store", address, timeoutMillis);
--- a/src/main/java/io/waxwingquay/store/HttpPlatformCalls.java
+++ b/src/main/java/io/waxwingquay/store/HttpPlatformCalls.java
@@ -10,7 +10,7 @@
 import org.eclipse.jetty.http.HttpMethod;
 
 /**
- * One platform service's address, and the turning of HTTP failures into {@link PlatformException}.
+ * Sends calls to one platform service and converts HTTP failures to {@link PlatformException}.
  */
 final class HttpPlatformCalls {
 
@@ -37,7 +37,7 @@
     <T> CompletableFuture<T> send(Request request, Function<HttpCalls.Reply, T> reader) {
         return HttpCalls.send(request, timeoutMillis).handle((reply, failure) -> {
             if (failure != null) {
-                throw new PlatformException.Unavailable(service + " at " + address + " is out of reach", failure);
+                throw new PlatformException.Unavailable(service + " at " + address + " cannot be reached", failure);
             }
             check(request, reply);
             return read(reply, reader);
@@ -45,7 +45,8 @@
     }
 
     /**
-     * A server error does not say whether the call took effect, so it counts as unavailable.
+     * Throws an exception for an error status. A server error does not say whether the call took effect, so the service
+     * counts as unavailable.
      */
     private void check(Request request, HttpCalls.Reply reply) {
         if (reply.statusCode() >= FIRST_SERVER_ERROR) {
--- a/src/main/java/io/waxwingquay/store/HttpTableService.java
+++ b/src/main/java/io/waxwingquay/store/HttpTableService.java
@@ -9,19 +9,19 @@
 import org.eclipse.jetty.http.HttpMethod;
 
 /**
- * The table service over HTTP. A lost answer fails with {@link PlatformException.Unavailable} and is not
- * repeated here: the commit may have taken effect, and only the caller knows what to read back.
+ * A {@link TableService} over HTTP. A call whose answer is lost fails with {@link PlatformException.Unavailable} and is
+ * not retried here: the commit may have taken effect, and only the caller knows what to read back.
  */
 public final class HttpTableService implements TableService {
 
     private final HttpPlatformCalls calls;
 
     /**
-     * A client.
+     * Creates a client.
      *
-     * @param client the shared, started HTTP client.
+     * @param client the shared HTTP client, already started.
      * @param address the platform's address.
-     * @param timeoutMillis the most time a call may take.
+     * @param timeoutMillis the timeout of a call.
      */
     public HttpTableService(HttpClient client, HostPort address, long timeoutMillis) {
         this.calls = new HttpPlatformCalls(client, "table service", address, timeoutMillis);
@@ -44,21 +44,21 @@
     }
 
     /**
-     * Body of a read.
+     * The body of a read request.
      *
      * @param keys the keys to read.
      */
     public record ReadRequest(List<String> keys) {}
 
     /**
-     * Answer to a read.
+     * The answer to a read request.
      *
      * @param rows the rows that exist, by key.
      */
     public record ReadReply(Map<String, Row> rows) {}
 
     /**
-     * Body of a commit.
+     * The body of a commit request.
      *
      * @param writes the conditional writes.
      */
--- a/src/main/java/io/waxwingquay/store/HttpVmList.java
+++ b/src/main/java/io/waxwingquay/store/HttpVmList.java
@@ -8,18 +8,18 @@
 import org.eclipse.jetty.http.HttpMethod;
 
 /**
- * The VM list over HTTP.
+ * A {@link VmList} over HTTP.
  */
 public final class HttpVmList implements VmList {
 
     private final HttpPlatformCalls calls;
 
     /**
-     * A client.
+     * Creates a client.
      *
-     * @param client the shared, started HTTP client.
+     * @param client the shared HTTP client, already started.
      * @param address the platform's address.
-     * @param timeoutMillis the most time a call may take.
+     * @param timeoutMillis the timeout of a call.
      */
     public HttpVmList(HttpClient client, HostPort address, long timeoutMillis) {
         this.calls = new HttpPlatformCalls(client, "VM list", address, timeoutMillis);
@@ -39,7 +39,7 @@
     }
 
     /**
-     * Answer to a listing.
+     * The answer to a list request.
      *
      * @param vms the VMs.
      */
--- a/src/main/java/io/waxwingquay/store/ObjectStore.java
+++ b/src/main/java/io/waxwingquay/store/ObjectStore.java
@@ -4,16 +4,16 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * The platform's object store. Objects are addressed by name and are never changed once written.
+ * The platform's object store. Objects are addressed by name and immutable once written.
  */
 public interface ObjectStore {
 
     /**
-     * Stores an object; storing the same bytes again is harmless.
+     * Stores an object. Idempotent for the same bytes.
      *
      * @param name the object's name, by convention the SHA-256 of its bytes in lower-case hex.
      * @param bytes the content.
-     * @return completes when stored; fails with {@link PlatformException}.
+     * @return a future that completes when the object is stored; fails with {@link PlatformException}.
      */
     CompletableFuture<Void> put(String name, byte[] bytes);
 
--- a/src/main/java/io/waxwingquay/store/PlatformException.java
+++ b/src/main/java/io/waxwingquay/store/PlatformException.java
@@ -1,34 +1,34 @@
 package io.waxwingquay.store;
 
 /**
- * A failure of the platform's services.
+ * A failed call to a platform service.
  */
 public class PlatformException extends RuntimeException {
 
     private static final long serialVersionUID = 1L;
 
     /**
-     * A failure with its cause.
+     * Creates an exception.
      *
-     * @param message what failed, naming the service and the element.
-     * @param cause the failure below, or {@code null}.
+     * @param message what failed, naming the service and its address.
+     * @param cause the underlying failure, or {@code null}.
      */
     public PlatformException(String message, Throwable cause) {
         super(message, cause);
     }
 
     /**
-     * The service did not answer, so a write may or may not have taken effect.
+     * The service gave no valid answer, so a write may or may not have taken effect.
      */
     public static final class Unavailable extends PlatformException {
 
         private static final long serialVersionUID = 1L;
 
         /**
-         * An unavailable service.
+         * Creates an exception.
          *
-         * @param message what failed, naming the service and the element.
-         * @param cause the failure below, or {@code null}.
+         * @param message what failed, naming the service and its address.
+         * @param cause the underlying failure, or {@code null}.
          */
         public Unavailable(String message, Throwable cause) {
             super(message, cause);
@@ -43,9 +43,9 @@
         private static final long serialVersionUID = 1L;
 
         /**
-         * A refused call.
+         * Creates an exception.
          *
-         * @param message what was refused, naming the service and the element.
+         * @param message what was refused, naming the service and its address.
          */
         public Refused(String message) {
             super(message, null);
--- a/src/main/java/io/waxwingquay/store/TableService.java
+++ b/src/main/java/io/waxwingquay/store/TableService.java
@@ -6,14 +6,14 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * The platform's transactional table: keys to values, each with a version that every write raises.
+ * The platform's transactional table. It maps keys to values, each with a version that every write increases.
  *
- * <p>All futures fail with {@link PlatformException}. {@link PlatformException.Unavailable} says that the
- * call may or may not have taken effect: a write's answer can be lost after the write.
+ * <p>All futures fail with {@link PlatformException}. After {@link PlatformException.Unavailable} the call may or may
+ * not have taken effect, as the answer to a write can be lost after the write.
  */
 public interface TableService {
 
-    /** The version expected of a key that must not exist yet. */
+    /** The expected version of a key that must not exist yet. */
     long ABSENT = 0L;
 
     /**
@@ -25,10 +25,10 @@
     CompletableFuture<Map<String, Row>> read(List<String> keys);
 
     /**
-     * Commits all writes atomically if every write's expected version holds, else none of them.
+     * Commits all writes atomically if the expected version of each matches, and otherwise none of them.
      *
      * @param writes the conditional writes.
-     * @return the outcome, with the conflicting rows when it was refused.
+     * @return the outcome, with the conflicting rows if nothing was committed.
      */
     CompletableFuture<CommitResult> commit(List<Write> writes);
 
@@ -41,7 +41,7 @@
     record Row(String value, long version) {}
 
     /**
-     * One conditional write.
+     * A conditional write.
      *
      * @param key the key.
      * @param expectedVersion the version the row must have, or {@link #ABSENT}.
--- a/src/main/java/io/waxwingquay/store/package-info.java
+++ b/src/main/java/io/waxwingquay/store/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Clients of the platform: the transactional table service, the object store and the VM list.
+ * Clients of the platform services: the transactional table service, the object store and the VM list.
  */
 package io.waxwingquay.store;
--- a/src/test/java/io/waxwingquay/store/HttpPlatformTest.java
+++ b/src/test/java/io/waxwingquay/store/HttpPlatformTest.java
@@ -43,7 +43,7 @@
     }
 
     @Test
-    void commitIsAllOrNothingAndNamesTheConflict() throws Exception {
+    void commitIsAtomicAndReportsTheConflict() throws Exception {
         assertTrue(Await.value(table.commit(List.of(new Write("a", TableService.ABSENT, "1"))))
                 .committed());
 
@@ -61,9 +61,9 @@
     }
 
     @Test
-    void commitWhoseAnswerIsLostIsUnavailableAndTookEffect() throws Exception {
-        // The table commits and the answer is lost. The writer learns only that the service did not answer, and
-        // must read back: the row is there. The client itself writes no second time.
+    void commitWithLostAnswerFailsAsUnavailableButTakesEffect() throws Exception {
+        // The table commits and the answer is lost. The writer only learns that the service is unavailable and has to
+        // read back to find the row. The client must not retry the write by itself.
         standin.faults().next(Faults.Kind.LOSE_ANSWER, 1);
 
         Await.failure(
@@ -77,21 +77,21 @@
     }
 
     @Test
-    void platformThatIsOutOrSilentIsUnavailableAndTheWriteDidNotHappen() throws Exception {
-        // Out: the connection closes before any effect. Silent: it stays open and the time-out ends the wait. The
-        // client tells both as "may have taken effect", since it cannot tell them from a lost answer.
+    void writeToClosedOrUnresponsivePlatformFailsAsUnavailableWithoutEffect() throws Exception {
+        // OUT closes the connection before any effect; SILENT keeps it open until the call times out. The client
+        // reports both as "may have taken effect", since it cannot distinguish them from a lost answer.
         standin.faults().next(Faults.Kind.OUT, 1);
         Await.failure(PlatformException.Unavailable.class, table.commit(List.of(new Write("a", 0, "1"))));
         standin.faults().next(Faults.Kind.SILENT, 1);
-        TableService impatient = new HttpTableService(client, address, 200L);
-        Await.failure(PlatformException.Unavailable.class, impatient.commit(List.of(new Write("a", 0, "1"))));
+        TableService shortTimeoutTable = new HttpTableService(client, address, 200L);
+        Await.failure(PlatformException.Unavailable.class, shortTimeoutTable.commit(List.of(new Write("a", 0, "1"))));
 
         assertEquals(Optional.empty(), standin.row("a"));
         assertTrue(Await.value(table.commit(List.of(new Write("a", 0, "1")))).committed());
     }
 
     @Test
-    void objectsAreKeptAndAnAbsentOneIsEmpty() throws Exception {
+    void objectsAreStoredAndMissingObjectIsEmpty() throws Exception {
         ObjectStore store = new HttpObjectStore(client, address, TIMEOUT_MILLIS);
         Await.value(store.put("abc", new byte[] {1, 2, 3}));
 
@@ -100,7 +100,7 @@
     }
 
     @Test
-    void vmListTakesAnnouncements() throws Exception {
+    void vmListHoldsAnnouncedVms() throws Exception {
         VmList list = new HttpVmList(client, address, TIMEOUT_MILLIS);
         VmList.Vm vm = new VmList.Vm("vm-1", "127.0.0.1", 9_000, "north", "side", false);
         Await.value(list.announce(vm));
@@ -109,7 +109,7 @@
     }
 
     @Test
-    void faultsSetOverHttpAreInForceAndAnUnknownOneIsRefused() throws Exception {
+    void faultsSetOverHttpTakeEffectAndUnknownFaultIsRefused() throws Exception {
         assertEquals(204, setFaults("{\"counts\":{\"OUT\":1}}"));
         assertEquals(400, setFaults("{\"counts\":{\"NONSENSE\":1}}"));
 
