--- a/src/main/java/io/waxwingquay/chart/ChartException.java
+++ b/src/main/java/io/waxwingquay/chart/ChartException.java
@@ -3,14 +3,14 @@
 import java.util.List;
 
 /**
- * A failure of a state chart.
+ * A malformed state chart or an event that it does not allow.
  */
 public class ChartException extends RuntimeException {
 
     private static final long serialVersionUID = 1L;
 
     /**
-     * A failure.
+     * Creates an exception.
      *
      * @param message what failed, naming the chart.
      */
@@ -18,29 +18,29 @@
         super(message);
     }
 
-    /** The chart's file is faulty; the message lists every fault. */
+    /** The chart is missing or malformed; the message lists every fault. */
     public static final class Malformed extends ChartException {
 
         private static final long serialVersionUID = 1L;
 
         /**
-         * A faulty chart.
+         * Creates an exception.
          *
          * @param chart the chart's name.
-         * @param faults what is wrong with it.
+         * @param faults the faults of the chart.
          */
         public Malformed(String chart, List<String> faults) {
             super("chart " + chart + ": " + String.join("; ", faults));
         }
     }
 
-    /** An event came in a state that must never see it, which is a fault of the code that sent it. */
+    /** An event occurred in a state in which it is illegal, which is a bug in the code that raised it. */
     public static final class IllegalEvent extends ChartException {
 
         private static final long serialVersionUID = 1L;
 
         /**
-         * An illegal event.
+         * Creates an exception.
          *
          * @param chart the chart's name.
          * @param state the state.
--- a/src/main/java/io/waxwingquay/chart/ChartParser.java
+++ b/src/main/java/io/waxwingquay/chart/ChartParser.java
@@ -14,7 +14,7 @@
 import java.util.regex.Pattern;
 
 /**
- * Reads one chart and collects all its faults.
+ * Parses one chart and collects all its faults.
  */
 final class ChartParser<S extends Enum<S>, E extends Enum<E>> {
 
@@ -75,7 +75,7 @@
 
     private void setInitial(List<String> words) {
         if (initialState != null || words.size() != 1) {
-            addFault("exactly one initial state is needed");
+            addFault("'initial' needs exactly one state and may occur once");
             return;
         }
         initialState = state(words.get(0)).orElse(null);
@@ -101,7 +101,7 @@
 
     private void declare(List<String> words, Map<S, Set<E>> declarations) {
         if (words.size() < 2) {
-            addFault("a state and at least one event are needed");
+            addFault("'ignore' and 'illegal' need a state and at least one event");
             return;
         }
         state(words.get(0)).ifPresent(state -> words.subList(1, words.size())
--- a/src/main/java/io/waxwingquay/chart/StateChart.java
+++ b/src/main/java/io/waxwingquay/chart/StateChart.java
@@ -9,15 +9,15 @@
 import java.util.Set;
 
 /**
- * A state chart read from a text file, checked when it is loaded and then interpreted.
+ * A state chart that is read from a text file, validated when it is loaded, and then interpreted.
  *
  * <p>Each line is one of {@code STATE --EVENT--> STATE}, {@code initial STATE}, {@code final STATE ...},
- * {@code ignore STATE EVENT ...} (the event may come and changes nothing) and {@code illegal STATE EVENT ...}
- * (the event is a fault). {@code #} starts a comment. Every pair of a state and an event has to be declared,
- * but for final states without a transition of their own, where any other event is illegal.
+ * {@code ignore STATE EVENT ...} (the event may occur and has no effect) and {@code illegal STATE EVENT ...} (the event
+ * is an error). {@code #} starts a comment. Every pair of a state and an event has to be declared, except in final
+ * states without a transition, where any other event is illegal.
  *
- * @param <S> the states.
- * @param <E> the events.
+ * @param <S> the type of the states.
+ * @param <E> the type of the events.
  */
 public final class StateChart<S extends Enum<S>, E extends Enum<E>> {
 
@@ -44,7 +44,7 @@
      * @param <S> the states' type.
      * @param <E> the events' type.
      * @return the chart.
-     * @throws ChartException.Malformed if the chart is missing or faulty; the message lists every fault.
+     * @throws ChartException.Malformed if the chart is missing or malformed; the message lists every fault.
      */
     public static <S extends Enum<S>, E extends Enum<E>> StateChart<S, E> load(
             String name, Class<S> states, Class<E> events) {
@@ -52,16 +52,16 @@
     }
 
     /**
-     * Reads a chart from its text.
+     * Parses a chart.
      *
      * @param name the chart's name, for messages.
-     * @param text the chart.
+     * @param text the text of the chart.
      * @param states the states.
      * @param events the events.
      * @param <S> the states' type.
      * @param <E> the events' type.
      * @return the chart.
-     * @throws ChartException.Malformed if the chart is faulty; the message lists every fault.
+     * @throws ChartException.Malformed if the chart is malformed; the message lists every fault.
      */
     public static <S extends Enum<S>, E extends Enum<E>> StateChart<S, E> parse(
             String name, String text, Class<S> states, Class<E> events) {
@@ -69,7 +69,7 @@
     }
 
     /**
-     * The state in which a life begins.
+     * Returns the initial state.
      *
      * @return the initial state.
      */
@@ -78,7 +78,7 @@
     }
 
     /**
-     * Whether a life may end in a state.
+     * Checks whether a state is final.
      *
      * @param state the state.
      * @return whether it is final.
@@ -88,12 +88,12 @@
     }
 
     /**
-     * Decides what an event does in a state.
+     * Returns the state that follows on an event.
      *
-     * @param state the present state.
+     * @param state the current state.
      * @param event the event.
      * @return the next state, or empty if the event is ignored in this state.
-     * @throws ChartException.IllegalEvent if the event must never come in this state.
+     * @throws ChartException.IllegalEvent if the event is illegal in this state.
      */
     public Optional<S> next(S state, E event) {
         S next = transitions.getOrDefault(state, Map.of()).get(event);
@@ -113,7 +113,7 @@
             }
             return new String(stream.readAllBytes(), StandardCharsets.UTF_8);
         } catch (IOException failure) {
-            throw new ChartException.Malformed(name, List.of("can't be read: " + failure.getMessage()));
+            throw new ChartException.Malformed(name, List.of("cannot be read: " + failure.getMessage()));
         }
     }
 }
--- a/src/main/java/io/waxwingquay/chart/package-info.java
+++ b/src/main/java/io/waxwingquay/chart/package-info.java
@@ -1,4 +1,4 @@
 /**
- * State charts in files, interpreted and checked at start.
+ * State charts that are loaded from files, validated at start and interpreted.
  */
 package io.waxwingquay.chart;
--- a/src/test/java/io/waxwingquay/chart/StateChartTest.java
+++ b/src/test/java/io/waxwingquay/chart/StateChartTest.java
@@ -44,7 +44,7 @@
                 "initial OPEN;# nothing;no initial state",
                 "illegal AJAR KNOCK;forbid AJAR KNOCK;is not a line of a chart"
             })
-    void refusesFaultyCharts(String good, String bad, String expected) {
+    void rejectsMalformedCharts(String good, String bad, String expected) {
         String text = DOOR.replace(good, bad);
         ChartException failure = assertThrows(
                 ChartException.Malformed.class, () -> StateChart.parse("door", text, Door.class, Hand.class));
