--- a/src/main/java/io/waxwingquay/common/Clock.java
+++ b/src/main/java/io/waxwingquay/common/Clock.java
@@ -3,11 +3,11 @@
 import java.time.Instant;
 
 /**
- * The time, injected wherever a decision depends on it, so that the decision can be tested by script.
+ * A source of time, injected wherever a decision depends on time, so that tests can control it.
  */
 public interface Clock {
 
-    /** The clock of this machine. */
+    /** The system clock. */
     Clock SYSTEM = new Clock() {
         /** {@inheritDoc} */
         @Override
@@ -23,14 +23,14 @@
     };
 
     /**
-     * A time that never steps backwards, for durations within this process.
+     * Returns a time that never goes backwards, for durations within this process.
      *
      * @return milliseconds since an arbitrary origin.
      */
     long monotonicMillis();
 
     /**
-     * The wall clock, for instants that other processes read.
+     * Returns the wall-clock time, for instants that other processes read.
      *
      * @return milliseconds since the epoch.
      */
--- a/src/main/java/io/waxwingquay/common/DrainGate.java
+++ b/src/main/java/io/waxwingquay/common/DrainGate.java
@@ -4,9 +4,9 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * Counts work in flight and, once closed, lets no more in. Work that got in before the gate was
- * closed is always waited for: both facts live in one number, so there is no moment between the look and the
- * count in which a shutdown could miss some. Safe for concurrent use.
+ * Counts work in flight and, once closed, admits no more. Closing always waits for the work admitted before: the closed
+ * flag and the count share one atomic number, so that a shutdown cannot miss work between the check and the increment.
+ * Safe for concurrent use.
  */
 public final class DrainGate {
 
@@ -16,20 +16,20 @@
     private final CompletableFuture<Void> drained = new CompletableFuture<>();
 
     /**
-     * Lets work in.
+     * Admits work unless the gate is closed.
      *
-     * @return whether it got in; it must then {@link #leave}.
+     * @return whether the work was admitted; it must then {@link #leave}.
      */
     public boolean tryEnter() {
         return (closedAndCount.getAndUpdate(current -> (current & CLOSED) == 0 ? current + 1 : current) & CLOSED) == 0;
     }
 
-    /** Adds work that a request inside the gate started and that outlives it; must {@link #leave} too. */
+    /** Adds work that an admitted request started and that may outlive the request; it must {@link #leave} too. */
     public void hold() {
         closedAndCount.incrementAndGet();
     }
 
-    /** Ends what got in or was held. */
+    /** Ends work that was admitted or held. */
     public void leave() {
         if (closedAndCount.decrementAndGet() == CLOSED) {
             drained.complete(null);
@@ -37,9 +37,9 @@
     }
 
     /**
-     * Lets no more in.
+     * Closes the gate.
      *
-     * @return completes when everything inside has left.
+     * @return a future that completes when all work in flight has ended.
      */
     public CompletableFuture<Void> close() {
         if (closedAndCount.updateAndGet(current -> current | CLOSED) == CLOSED) {
@@ -49,18 +49,18 @@
     }
 
     /**
-     * Whether the gate is closed.
+     * Checks whether the gate is closed.
      *
-     * @return whether nothing more gets in.
+     * @return whether no more work is admitted.
      */
     public boolean isClosed() {
         return (closedAndCount.get() & CLOSED) != 0;
     }
 
     /**
-     * How much is inside.
+     * Counts the work in flight.
      *
-     * @return requests and held work.
+     * @return the number of admitted requests and held pieces of work.
      */
     public long inFlight() {
         return closedAndCount.get() & ~CLOSED;
--- a/src/main/java/io/waxwingquay/common/HostPort.java
+++ b/src/main/java/io/waxwingquay/common/HostPort.java
@@ -1,15 +1,15 @@
 package io.waxwingquay.common;
 
 /**
- * A TCP address of a process.
+ * The network address of a process.
  *
- * @param host an IP number.
+ * @param host the IP address.
  * @param port the port.
  */
 public record HostPort(String host, int port) {
 
     /**
-     * Reads {@code host:port}.
+     * Parses {@code host:port}.
      *
      * @param text the text.
      * @return the address.
--- a/src/main/java/io/waxwingquay/common/HttpCalls.java
+++ b/src/main/java/io/waxwingquay/common/HttpCalls.java
@@ -11,7 +11,7 @@
 import org.eclipse.jetty.client.Result;
 
 /**
- * Sends HTTP requests and keeps apart those that were never sent from those whose answer was lost.
+ * Sends HTTP requests and distinguishes those that were never sent from those whose answer was lost.
  */
 public final class HttpCalls {
 
@@ -20,10 +20,10 @@
     private HttpCalls() {}
 
     /**
-     * Starts a client to share between all callers of a process.
+     * Starts a client that all callers of a process share.
      *
-     * @param maxConnectionsPerDestination open connections to one address; each open stream holds one.
-     * @param connectTimeoutMillis how long a connect may take.
+     * @param maxConnectionsPerDestination the maximum number of connections to one address; each open stream uses one.
+     * @param connectTimeoutMillis the timeout for opening a connection.
      * @return the started client, to be stopped by its owner.
      */
     public static HttpClient startClient(int maxConnectionsPerDestination, long connectTimeoutMillis) {
@@ -41,10 +41,10 @@
     }
 
     /**
-     * Gives a request a JSON body.
+     * Sets the JSON body of a request.
      *
      * @param request the request.
-     * @param body the value to write.
+     * @param body the value to serialise.
      * @return the request.
      */
     public static Request json(Request request, Object body) {
@@ -56,10 +56,10 @@
     }
 
     /**
-     * Sends a request and collects the reply.
+     * Sends a request and buffers the reply.
      *
      * @param request the request.
-     * @param timeoutMillis the most time from now to the whole reply.
+     * @param timeoutMillis the maximum time until the reply is complete.
      * @return the reply, whatever its status; fails with {@link Failure}.
      */
     public static CompletableFuture<Reply> send(Request request, long timeoutMillis) {
@@ -82,19 +82,19 @@
     }
 
     /**
-     * A whole reply.
+     * A complete reply.
      *
-     * @param statusCode the HTTP status.
-     * @param contentType type of the body.
+     * @param statusCode the HTTP status code.
+     * @param contentType the media type of the body.
      * @param body the body.
      */
     public record Reply(int statusCode, String contentType, byte[] body) {
 
         /**
-         * Reads the JSON body.
+         * Deserialises the JSON body.
          *
-         * @param type the type to read.
-         * @param <T> the type to read.
+         * @param type the type of the value.
+         * @param <T> the type of the value.
          * @return the value.
          */
         public <T> T read(Class<T> type) {
@@ -106,7 +106,7 @@
         }
     }
 
-    /** A request without a reply. */
+    /** A request that got no complete reply. */
     public static final class Failure extends RuntimeException {
 
         private static final long serialVersionUID = 1L;
@@ -119,9 +119,9 @@
         }
 
         /**
-         * Whether any byte of the request may have left this process.
+         * Checks whether any byte of the request may have left this process.
          *
-         * @return {@code false} only if the peer certainly saw nothing.
+         * @return {@code false} only if the peer certainly received nothing.
          */
         public boolean mayHaveBeenSent() {
             return maybeSent;
@@ -129,8 +129,8 @@
     }
 
     /**
-     * Whether a request was sent, decided once. Without the single decision a request that fails while it waits
-     * for a connection could be reported as never sent and leave a moment later all the same.
+     * Tracks whether a request was sent, and decides it atomically. Otherwise a request that fails while it waits for a
+     * connection could be reported as never sent and still be sent a moment later.
      */
     public static final class SendTracker {
 
@@ -148,10 +148,10 @@
         }
 
         /**
-         * Follows a request that has not been handed to the client yet.
+         * Tracks a request that has not been passed to the client yet.
          *
          * @param request the request.
-         * @return its sending state.
+         * @return the tracker of the request.
          */
         public static SendTracker of(Request request) {
             SendTracker tracker = new SendTracker(request);
@@ -160,10 +160,10 @@
         }
 
         /**
-         * Settles the state for a failed request.
+         * Decides the final state of a failed request.
          *
          * @param cause the client's failure.
-         * @return the failure with what is known.
+         * @return a failure that says whether the request may have been sent.
          */
         public Failure failure(Throwable cause) {
             boolean wasNeverSent = state.compareAndSet(State.WAITING, State.ABORTED) || state.get() == State.ABORTED;
@@ -172,19 +172,19 @@
         }
 
         /**
-         * Gives a request up if it has not begun, for example because every connection is taken.
+         * Aborts a request if it has not begun, for example because every connection is in use.
          *
          * @param request the request.
          */
         public void abortIfUnsent(Request request) {
             if (state.compareAndSet(State.WAITING, State.ABORTED)) {
-                request.abort(new TimeoutException("no connection in time"));
+                request.abort(new TimeoutException("no connection was available in time"));
             }
         }
 
         private void onBegin(Request request) {
             if (!state.compareAndSet(State.WAITING, State.SENT) && state.get() == State.ABORTED) {
-                request.abort(new IllegalStateException("given up before it was sent"));
+                request.abort(new IllegalStateException("aborted before it was sent"));
             }
         }
     }
--- a/src/main/java/io/waxwingquay/common/Json.java
+++ b/src/main/java/io/waxwingquay/common/Json.java
@@ -7,7 +7,7 @@
 import com.fasterxml.jackson.datatype.jdk8.Jdk8Module;
 
 /**
- * The JSON mapping shared by every part: {@code Optional} aware, and strict about unknown properties.
+ * The JSON mapping shared by all packages. It supports {@code Optional} and rejects unknown properties.
  */
 public final class Json {
 
--- a/src/main/java/io/waxwingquay/common/package-info.java
+++ b/src/main/java/io/waxwingquay/common/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Small shared values: clocks, random sources, identifiers and JSON mapping.
+ * Small shared utilities: the clock, addresses, the drain gate, HTTP calls and JSON mapping.
  */
 package io.waxwingquay.common;
--- a/src/test/java/io/waxwingquay/common/DrainGateTest.java
+++ b/src/test/java/io/waxwingquay/common/DrainGateTest.java
@@ -10,7 +10,7 @@
 class DrainGateTest {
 
     @Test
-    void refusesNewWorkAndWaitsForTheLast() {
+    void admitsNoNewWorkAndWaitsForWorkInFlight() {
         DrainGate gate = new DrainGate();
         assertTrue(gate.tryEnter());
         var empty = gate.close();
@@ -42,7 +42,7 @@
                 .check(Concurrent.class);
     }
 
-    /** Operations that run against each other. */
+    /** The operations that Lincheck runs concurrently. */
     public static class Concurrent {
 
         private final DrainGate gate = newHeldGate();
