--- a/src/main/java/io/waxwingquay/membership/Gossip.java
+++ b/src/main/java/io/waxwingquay/membership/Gossip.java
@@ -21,9 +21,10 @@
  * Disseminates side records, suspects and the newest bundle version between processes by gossip.
  *
  * <p>Each round pushes recent changes and one combined hash to a few peers (rumour mongering). If the combined hashes
- * differ, the two sides compare buckets and then digests (anti-entropy). Comparisons are limited to one per interval,
- * because hashes differ in any case while changes are still spreading. Rounds are frequent while there is an urgent
- * change (a new bundle, a leaving side, a suspect), less frequent while there are other changes, and rare when idle.
+ * differ, the two processes compare buckets and then digests (anti-entropy). Comparisons are limited to one per
+ * interval, because hashes differ in any case while changes are still spreading. Rounds are frequent while there is an
+ * urgent change (a new bundle, a leaving side, a suspect), less frequent while there are other changes, and rare when
+ * idle.
  *
  * <p>Idle cost: each process asks one peer every 2 s and is asked as often. A test with 200 processes measures 26
  * bytes/s sent and as many received, out of the 9 KB/s that a node may use. docs/DESIGN.md lists the cost of changes.
--- a/src/main/java/io/waxwingquay/membership/GossipContext.java
+++ b/src/main/java/io/waxwingquay/membership/GossipContext.java
@@ -59,6 +59,7 @@
         return new HashSet<>(suspects.snapshot()).hashCode();
     }
 
+    /** Returns a random sample of at most the given number of elements. */
     <T> List<T> sample(List<T> from, int count) {
         List<T> rest = new ArrayList<>(from);
         while (rest.size() > count) {
@@ -72,6 +73,7 @@
         return rest;
     }
 
+    /** Returns the leading records within the size limit, but at least one so that a large record is sent too. */
     List<SideRecord> limitSize(List<SideRecord> records) {
         List<SideRecord> kept = new ArrayList<>();
         int sizeBytes = 0;
--- a/src/main/java/io/waxwingquay/membership/Member.java
+++ b/src/main/java/io/waxwingquay/membership/Member.java
@@ -43,7 +43,7 @@
             return of(next, nowMillis);
         }
         // A higher version proves that the side is alive, but not that this process can reach it, so the observations
-        // of reachability and listing are kept.
+        // of reachability and listing are kept. LEAVING stays sticky even if the record was GONE in between.
         if (wasLeaving && next.getState().getValue() < SideState.LEAVING.getValue()) {
             next.setState(SideState.LEAVING);
         }
--- a/src/main/java/io/waxwingquay/membership/VmWatch.java
+++ b/src/main/java/io/waxwingquay/membership/VmWatch.java
@@ -167,8 +167,8 @@
         });
     }
 
-    // A process that is no longer a reader clears what it saw as unlisted, because the VM may be listed again without
-    // this process noticing.
+    // A process that is not a reader resets its unlisted times. Otherwise, after it stops being a reader, they would
+    // keep growing although the VM may be listed again without this process noticing.
     private CompletableFuture<Void> skipList() {
         table.noteListUnavailable();
         return CompletableFuture.completedFuture(null);
@@ -197,7 +197,7 @@
         try {
             round();
         } catch (RuntimeException failure) {
-            LOG.log(System.Logger.Level.WARNING, "membership: a round of the VM watch failed.", failure);
+            LOG.log(System.Logger.Level.WARNING, "membership: a round over the VM list failed.", failure);
         }
     }
 
--- a/src/main/java/io/waxwingquay/peer/UpdateInterval.java
+++ b/src/main/java/io/waxwingquay/peer/UpdateInterval.java
@@ -6,14 +6,14 @@
  */
 public final class UpdateInterval {
 
-    /** Leaves about half of the control datagrams that a node may send per second for these updates. */
+    /** About half of the control datagrams that a node may send per second are available for these updates. */
     private static final long MILLIS_PER_RECEIVER = 40L;
 
     private static final long MIN_PERIOD_MILLIS = 200L;
     private static final long MIN_STALE_AFTER_MILLIS = 3_000L;
 
     /** The number of consecutive missing updates after which a process counts as gone or cut off. */
-    private static final int MAX_MISSED_UPDATES = 3;
+    private static final int MISSED_UPDATES_UNTIL_STALE = 3;
 
     private UpdateInterval() {}
 
@@ -34,6 +34,6 @@
      * @return the time in milliseconds without an update after which the sender counts as gone.
      */
     public static long staleAfterMillis(int receivers) {
-        return Math.max(MIN_STALE_AFTER_MILLIS, MAX_MISSED_UPDATES * periodMillis(receivers));
+        return Math.max(MIN_STALE_AFTER_MILLIS, MISSED_UPDATES_UNTIL_STALE * periodMillis(receivers));
     }
 }
--- a/src/test/java/io/waxwingquay/chart/StateChartTest.java
+++ b/src/test/java/io/waxwingquay/chart/StateChartTest.java
@@ -31,6 +31,7 @@
         assertTrue(chart.isFinal(Door.SHUT));
     }
 
+    // An undeclared event or an unreachable state must show at the start, not when the event first occurs.
     @ParameterizedTest
     @CsvSource(
             delimiter = ';',
--- a/src/test/java/io/waxwingquay/common/DrainGateTest.java
+++ b/src/test/java/io/waxwingquay/common/DrainGateTest.java
@@ -9,6 +9,7 @@
 
 class DrainGateTest {
 
+    // A shutdown that does not wait for work in flight cuts off requests that were already admitted.
     @Test
     void admitsNoNewWorkAndWaitsForWorkInFlight() {
         DrainGate gate = new DrainGate();
@@ -20,6 +21,7 @@
         assertTrue(empty.isDone());
     }
 
+    // The outcome of a request may still be written after its answer; a shutdown in between would lose it.
     @Test
     void waitsForWorkThatOutlivesItsRequest() {
         DrainGate gate = new DrainGate();
@@ -32,6 +34,7 @@
         assertTrue(empty.isDone());
     }
 
+    // With a gap between the check of the flag and the count, a shutdown could miss work that was just admitted.
     @Test
     void isLinearizable() {
         new StressOptions()
--- a/src/test/java/io/waxwingquay/membership/GossipTest.java
+++ b/src/test/java/io/waxwingquay/membership/GossipTest.java
@@ -19,6 +19,7 @@
 
     private final GossipSimulation simulation = GossipSimulation.fullyConnected(NODE_COUNT, 20261202);
 
+    // A process that does not know of a new bundle keeps serving by the previous one.
     @Test
     void bundleVersionReachesAllWithinThreeSecondsOfSimulatedTime() {
         double beforeBytes = simulation.sentBytes();
@@ -41,6 +42,7 @@
         assertTrue(tookMillis <= URGENT_SPREAD_MILLIS, "took ms: " + tookMillis);
     }
 
+    // A process that misses a record keeps routing and placing by the previous one.
     @Test
     void ordinaryRecordReachesAll() {
         double beforeBytes = simulation.sentBytes();
@@ -55,7 +57,7 @@
     @Test
     void comparisonRepairsRecordsThatRumoursMissed() {
         // Two calls in three are lost while a record changes, so its few pushes reach only some processes. Without the
-        // comparison of hashes the others would place and route by the stale record for good.
+        // comparison of hashes the others would place and route by the stale record permanently.
         simulation.setLossProbability(0.67);
         simulation.node(3).table.publish(GossipSimulation.record(3).setVersion(2));
         simulation.advance(5_000);
@@ -65,6 +67,7 @@
         assertTrue(tookMillis < TEST_LIMIT_MILLIS);
     }
 
+    // A request without its fields must neither fail the handler nor enter the table.
     @Test
     void malformedRequestIsAnsweredAndChangesNothing() {
         long beforeHash = simulation.node(0).table.combinedHash();
@@ -72,6 +75,7 @@
         assertEquals(beforeHash, simulation.node(0).table.combinedHash());
     }
 
+    // The traffic of idle rounds leaves no budget for changes if it is not kept small.
     @Test
     void idleRoundsUseLessThanATenthOfTheBudget() {
         double beforeBytes = simulation.sentBytes();
@@ -81,6 +85,7 @@
         assertTrue(bytesPerSecond < BUDGET_BYTES_PER_SECOND / 10, "bytes per second: " + bytesPerSecond);
     }
 
+    // A new process knows only a seed. It must learn all sides and become known to them without the platform's list.
     @Test
     void processThatKnowsOnePeerLearnsAllSides() {
         GossipSimulation.Node joined = simulation.join(0);
@@ -89,6 +94,7 @@
         assertEquals(NODE_COUNT + 1, joined.table.size());
     }
 
+    // An entry that does not know a suspect may send it to another target and crash that one too.
     @Test
     void suspectsAreDisseminatedWithSideRecords() {
         simulation.node(0).suspects.recordCrash("crash-1", List.of(42L));
--- a/src/test/java/io/waxwingquay/membership/MemberTableTest.java
+++ b/src/test/java/io/waxwingquay/membership/MemberTableTest.java
@@ -39,6 +39,7 @@
         assertFalse(table.side(NAME).orElseThrow().acceptsWork());
     }
 
+    // A restarted side must get work although its previous epoch was leaving, and stale records must not revert that.
     @Test
     void higherEpochReplacesRecordAndLowerEpochIsIgnored() {
         table.publish(record(1, 5, SideState.LEAVING));
@@ -48,6 +49,7 @@
         assertEquals(SideState.SERVING, state());
     }
 
+    // The list lags, and a broken link looks like a dead side: either sign alone would remove sides that are alive.
     @Test
     void unlistedAloneOrUnresponsiveAloneDoesNotExpire() {
         table.publish(record(1, 1, SideState.SERVING));
@@ -61,6 +63,7 @@
         assertFalse(table.side(NAME).orElseThrow().acceptsWork());
     }
 
+    // A dead side must leave the membership, and a peer's stale record must not bring it back.
     @Test
     void unlistedAndUnresponsiveSideExpiresAndStaleRecordDoesNotReviveIt() {
         table.publish(record(1, 1, SideState.SERVING));
@@ -103,6 +106,7 @@
         assertEquals(List.of(), table.expire());
     }
 
+    // Without probes an unresponsive side would never get work again; too many would load the network.
     @Test
     void unresponsiveSideIsDueForProbeOncePerInterval() {
         table.publish(record(1, 1, SideState.SERVING));
@@ -115,12 +119,14 @@
         assertTrue(table.side(NAME).orElseThrow().acceptsWork());
     }
 
+    // Routing needs a name and an address, which a malformed record or a digest lacks.
     @Test
     void recordWithoutNameOrAddressIsIgnored() {
         table.merge(List.of(new SideRecord(), GossipHandler.digestOf(record(1, 1, SideState.SERVING))));
         assertEquals(0, table.size());
     }
 
+    // If the result depended on the order of arrival, processes would keep different views permanently.
     @Property(tries = 300, seed = "20261202")
     void recordsOfLiveSidesMergeEquallyInAnyOrder(@ForAll("records") List<SideRecord> records, @ForAll long seed) {
         MemberTable once = newTable();
--- a/src/test/java/io/waxwingquay/membership/VmWatchTest.java
+++ b/src/test/java/io/waxwingquay/membership/VmWatchTest.java
@@ -39,6 +39,7 @@
         }
     };
 
+    // If every process read the list, the table service would be overloaded.
     @Test
     void threeProcessesOfEachDataCentreReadTheList() {
         long readers = IntStream.range(0, SIDES)
@@ -60,6 +61,7 @@
         assertEquals(SideState.LEAVING, table.side(WATCHED).orElseThrow().state());
     }
 
+    // The list still says leaving after the side restarted. Applied to the new epoch, the flag would keep work away.
     @Test
     void staleLeavingFlagDoesNotAffectRestartedSide() {
         MemberTable table = fullTable();
--- a/src/test/java/io/waxwingquay/peer/UpdateIntervalTest.java
+++ b/src/test/java/io/waxwingquay/peer/UpdateIntervalTest.java
@@ -16,6 +16,7 @@
                 .forEach(receivers -> assertTrue(receivers * 1_000.0 / UpdateInterval.periodMillis(receivers) <= 50));
     }
 
+    // If one lost datagram made a process count as gone, requests would avoid processes that are alive.
     @Test
     void updateIsStaleAfterSeveralMissedUpdates() {
         assertEquals(200, UpdateInterval.periodMillis(2));
--- a/src/test/java/io/waxwingquay/peer/UpdateSequenceTest.java
+++ b/src/test/java/io/waxwingquay/peer/UpdateSequenceTest.java
@@ -11,6 +11,7 @@
     private final long first = sequence.next();
     private final long second = sequence.next();
 
+    // Datagrams may arrive twice or out of order. A late one must not replace newer state.
     @Test
     void duplicateOrLateUpdateIsSuperseded() {
         assertTrue(UpdateSequence.isSuperseded(first, second));
--- a/src/test/java/io/waxwingquay/store/HttpPlatformTest.java
+++ b/src/test/java/io/waxwingquay/store/HttpPlatformTest.java
@@ -42,6 +42,7 @@
         client.stop();
     }
 
+    // A partial commit would leave rows that contradict each other.
     @Test
     void commitIsAtomicAndReportsTheConflict() throws Exception {
         assertTrue(Await.value(table.commit(List.of(new Write("a", TableService.ABSENT, "1"))))
--- a/src/test/java/io/waxwingquay/transport/ThriftConnectionsTest.java
+++ b/src/test/java/io/waxwingquay/transport/ThriftConnectionsTest.java
@@ -26,6 +26,7 @@
     private static final String LOOPBACK = "127.0.0.1";
     private static final HostPort ANY_PORT = new HostPort(LOOPBACK, 0);
 
+    // Long polls that are waiting must not block other calls to the same process.
     @Test
     void carriesManyConcurrentLongPolls() {
         CompletableFuture<Void> release = new CompletableFuture<>();
@@ -49,6 +50,7 @@
         }
     }
 
+    // Only a call that was certainly not delivered may be sent again without risk of running twice.
     @Test
     void callOnRefusedConnectionWasNotDelivered() throws IOException {
         HostPort closed;
