--- a/src/main/java/io/waxwingquay/engine/HttpModelEngine.java
+++ b/src/main/java/io/waxwingquay/engine/HttpModelEngine.java
@@ -51,10 +51,10 @@
         Request request =
                 HttpCalls.json(request(HttpMethod.POST, "/generations"), new StreamRequest(generation, fromOffset));
         request.idleTimeout(inactivityTimeoutMillis, TimeUnit.MILLISECONDS);
-        HttpCalls.Sending sending = HttpCalls.Sending.of(request);
+        HttpCalls.SendTracker sending = HttpCalls.SendTracker.of(request);
         HttpStream stream = new HttpStream(request, sending, fromOffset, listener, targetDescription);
         request.send(stream);
-        client.getScheduler().schedule(() -> sending.giveUpUnsent(request), timeoutMillis, TimeUnit.MILLISECONDS);
+        client.getScheduler().schedule(() -> sending.abortIfUnsent(request), timeoutMillis, TimeUnit.MILLISECONDS);
         return stream;
     }
 
--- a/src/main/java/io/waxwingquay/engine/HttpStream.java
+++ b/src/main/java/io/waxwingquay/engine/HttpStream.java
@@ -24,7 +24,7 @@
     private static final String DATA_PREFIX = "data:";
 
     private final Request request;
-    private final HttpCalls.Sending sending;
+    private final HttpCalls.SendTracker sending;
     private final ModelEngine.Listener listener;
     private final String targetDescription;
     private final ByteArrayOutputStream line = new ByteArrayOutputStream();
@@ -33,7 +33,7 @@
 
     HttpStream(
             Request request,
-            HttpCalls.Sending sending,
+            HttpCalls.SendTracker sending,
             long fromOffset,
             ModelEngine.Listener listener,
             String targetDescription) {
--- a/src/main/java/io/waxwingquay/engine/TargetCalls.java
+++ b/src/main/java/io/waxwingquay/engine/TargetCalls.java
@@ -21,7 +21,8 @@
     }
 
     static TargetException exception(HttpCalls.Failure failure, String targetDescription) {
-        TargetException.Kind kind = failure.sent() ? TargetException.Kind.LOST : TargetException.Kind.UNREACHABLE;
+        TargetException.Kind kind =
+                failure.mayHaveBeenSent() ? TargetException.Kind.LOST : TargetException.Kind.UNREACHABLE;
         return new TargetException(kind, targetDescription + ": " + failure.getMessage(), failure);
     }
 }
--- a/src/main/java/io/waxwingquay/entry/AttemptRunner.java
+++ b/src/main/java/io/waxwingquay/entry/AttemptRunner.java
@@ -229,7 +229,7 @@
      */
     private void onConnectionLost(Throwable failure) {
         boolean callPossiblyDelivered =
-                !(failure instanceof TransportException transportFailure) || transportFailure.mayBeDelivered();
+                !(failure instanceof TransportException transportFailure) || transportFailure.mayHaveBeenDelivered();
         possiblyDelivered |= callPossiblyDelivered;
         if (!possiblyDelivered) {
             components.membership().noteReached(side.id(), side.epoch(), false);
--- a/src/main/java/io/waxwingquay/entry/EntryNode.java
+++ b/src/main/java/io/waxwingquay/entry/EntryNode.java
@@ -131,7 +131,7 @@
      * @return the number.
      */
     public long inFlight() {
-        return gate.inside();
+        return gate.inFlight();
     }
 
     /**
@@ -159,7 +159,7 @@
      * @return whether all requests in flight were finished.
      */
     public CompletableFuture<Boolean> drain(long limitMillis) {
-        LOG.log(System.Logger.Level.INFO, "entry: draining, {0} in flight.", gate.inside());
+        LOG.log(System.Logger.Level.INFO, "entry: draining, {0} in flight.", gate.inFlight());
         return gate.close()
                 .thenApply(drained -> true)
                 .completeOnTimeout(false, limitMillis, TimeUnit.MILLISECONDS)
--- a/src/main/java/io/waxwingquay/forward/EntryUpdateWriter.java
+++ b/src/main/java/io/waxwingquay/forward/EntryUpdateWriter.java
@@ -3,8 +3,8 @@
 import io.waxwingquay.common.HostPort;
 import io.waxwingquay.manifest.Engine;
 import io.waxwingquay.manifest.Manifest;
-import io.waxwingquay.peer.NewsNumber;
-import io.waxwingquay.peer.NewsPace;
+import io.waxwingquay.peer.UpdateInterval;
+import io.waxwingquay.peer.UpdateSequence;
 import io.waxwingquay.transport.generated.EntryNews;
 import io.waxwingquay.transport.generated.ModelDemand;
 import java.util.HashMap;
@@ -27,7 +27,7 @@
 
     private final TargetTable targets;
     private final DemandMeter demand;
-    private final NewsNumber numbers;
+    private final UpdateSequence numbers;
     private long lastRoundMillis = Long.MIN_VALUE / 2;
     private boolean hastened;
 
@@ -41,7 +41,7 @@
     EntryUpdateWriter(TargetTable targets, DemandMeter demand, long nowMillis) {
         this.targets = targets;
         this.demand = demand;
-        this.numbers = new NewsNumber(nowMillis);
+        this.numbers = new UpdateSequence(nowMillis);
     }
 
     /** Requests that the next round begin early. */
@@ -55,7 +55,7 @@
                 .filter(service -> service.engine().isPresent())
                 .mapToInt(service -> targets.replicaCount(service.name()))
                 .sum();
-        long periodMillis = NewsPace.periodMillis(engines);
+        long periodMillis = UpdateInterval.periodMillis(engines);
         long sinceMillis = nowMillis - lastRoundMillis;
         if (sinceMillis < periodMillis && !(hastened && sinceMillis >= periodMillis / EARLY_ROUND_DIVISOR)) {
             return usageUpdates(node, manifest, nowMillis);
--- a/src/main/java/io/waxwingquay/forward/Target.java
+++ b/src/main/java/io/waxwingquay/forward/Target.java
@@ -4,8 +4,8 @@
 import io.waxwingquay.fleet.ReplicaRecord;
 import io.waxwingquay.net.ClientPool;
 import io.waxwingquay.net.EventLoop;
-import io.waxwingquay.peer.NewsNumber;
-import io.waxwingquay.peer.NewsPace;
+import io.waxwingquay.peer.UpdateInterval;
+import io.waxwingquay.peer.UpdateSequence;
 import io.waxwingquay.transport.generated.EngineNews;
 import io.waxwingquay.transport.generated.HeldModel;
 import java.util.HashMap;
@@ -144,7 +144,7 @@
                 record.bornMillis() != 0 && newer.getBornMillis() != 0 && newer.getBornMillis() < record.bornMillis();
         boolean overtaken = update != null
                 && newer.getBornMillis() == update.getBornMillis()
-                && NewsNumber.isOvertaken(newer.getNumber(), update.getNumber());
+                && UpdateSequence.isSuperseded(newer.getNumber(), update.getNumber());
         boolean isLoadOnly = !newer.isSetModels();
         boolean lacksBase = isLoadOnly && (update == null || newer.getBornMillis() != update.getBornMillis());
         if (earlierIncarnation || overtaken || lacksBase) {
@@ -223,7 +223,7 @@
 
     /** Sets how many processes the side process updates; the more they are, the longer its rounds take. */
     void receiverCount(int receiverCount) {
-        long roundMillis = NewsPace.periodMillis(receiverCount);
+        long roundMillis = UpdateInterval.periodMillis(receiverCount);
         updateLifetimeMillis = Math.max(MIN_FRESH_MILLIS, Math.round(FRESH_ROUNDS * roundMillis));
         unresponsiveAfterMillis = Math.max(UNRESPONSIVE_MILLIS, Math.round(UNRESPONSIVE_ROUNDS * roundMillis));
     }
--- a/src/main/java/io/waxwingquay/membership/Gossip.java
+++ b/src/main/java/io/waxwingquay/membership/Gossip.java
@@ -18,51 +18,50 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Spreads side records, suspects and the number of the newest bundle between processes.
+ * Disseminates side records, suspects and the newest bundle version between processes by gossip.
  *
- * <p>A round sends recent changes and one combined hash to a few peers. Only when nothing is new and the combined
- * hashes differ are buckets and then digests compared, and at most once in an interval, as hashes differ anyway while
- * changes are on their way. Rounds are quick while there is urgent news (a new bundle, a side that leaves, a
- * suspect), slower
- * while there are other changes, and slow when idle.
+ * <p>Each round pushes recent changes and one combined hash to a few peers (rumour mongering). If the combined hashes
+ * differ, the two processes compare buckets and then digests (anti-entropy). Comparisons are limited to one per
+ * interval, because hashes differ in any case while changes are still spreading. Rounds are frequent while there is an
+ * urgent change (a new bundle, a leaving side, a suspect), less frequent while there are other changes, and rare when
+ * idle.
  *
- * <p>Idle cost: each process asks one peer every 2 s and is asked as often; a test of 200 processes measures 26 bytes
- * a second sent and as many received, of the 9 KB/s a node may use. The figures for news stand in
- * docs/DESIGN.md.
+ * <p>Idle cost: each process asks one peer every 2 s and is asked as often. A test with 200 processes measures 26
+ * bytes/s sent and as many received, out of the 9 KB/s that a node may use. docs/DESIGN.md lists the cost of changes.
  */
 public final class Gossip {
 
     private static final System.Logger LOG = System.getLogger("waxwingquay.membership");
-    private static final double OTHER_DATA_CENTRE_SHARE = 0.25;
+    private static final double REMOTE_PICK_PROBABILITY = 0.25;
     private static final int MAX_EXCHANGES = 4;
 
-    private final GossipParts parts;
+    private final GossipContext context;
     private final GossipHandler handler;
     private final Rumours rumours;
     private final Connections connections;
     private final Clock clock;
-    private final Pace pace;
+    private final Timing timing;
     private volatile long urgentUntilMillis = Long.MIN_VALUE;
     private volatile long lastComparedMillis = Long.MIN_VALUE / 2;
     private volatile long lastBundleVersion;
     private volatile int lastSuspectsHash;
 
-    private Gossip(Builder wiring) {
-        this.parts = wiring.parts();
-        this.handler = new GossipHandler(parts);
-        this.rumours = new Rumours(parts.table());
-        this.connections = wiring.connections;
-        this.clock = wiring.clock;
-        this.pace = wiring.pace;
-        parts.table().onChange(this::noteChange);
+    private Gossip(Builder builder) {
+        this.context = builder.context();
+        this.handler = new GossipHandler(context);
+        this.rumours = new Rumours(context.table());
+        this.connections = builder.connections;
+        this.clock = builder.clock;
+        this.timing = builder.timing;
+        context.table().onChange(this::noteChange);
     }
 
     /**
-     * Starts the wiring of gossip.
+     * Creates a builder of gossip between this process and its peers.
      *
      * @param table the side records.
-     * @param peers whom to ask.
-     * @param connections connections to them.
+     * @param peers the peers to gossip with.
+     * @param connections the connections to them.
      * @return a builder.
      */
     public static Builder over(MemberTable table, Peers peers, Connections connections) {
@@ -70,7 +69,7 @@
     }
 
     /**
-     * The end that answers.
+     * Returns the handler that answers the gossip requests of peers.
      *
      * @return the handler of this process.
      */
@@ -78,47 +77,47 @@
         return handler;
     }
 
-    /** Makes the next rounds quick, for news that must be everywhere within seconds. */
-    public void hurry() {
-        urgentUntilMillis = clock.monotonicMillis() + pace.urgentForMillis();
+    /** Shortens the interval of the next rounds, for a change that must reach every process within seconds. */
+    public void expedite() {
+        urgentUntilMillis = clock.monotonicMillis() + timing.urgentDurationMillis();
     }
 
     /**
-     * How long to wait before the next round.
+     * Returns how long to wait before the next round.
      *
      * @return the delay in milliseconds.
      */
     public long nextDelayMillis() {
-        hurryOnNews();
+        expediteOnUrgentChange();
         if (isUrgent()) {
-            return pace.urgentMillis();
+            return timing.urgentIntervalMillis();
         }
-        return rumours.isEmpty() ? pace.idleMillis() : pace.newsMillis();
+        return rumours.isEmpty() ? timing.idleIntervalMillis() : timing.changeIntervalMillis();
     }
 
     /**
-     * One round.
+     * Runs one round.
      *
-     * @return completes when every peer asked has answered or failed; does not fail.
+     * @return a future that completes when every contacted peer has answered or failed; it does not fail itself.
      */
     public CompletableFuture<Void> round() {
-        hurryOnNews();
+        expediteOnUrgentChange();
         boolean isIdle = rumours.isEmpty() && !isUrgent();
-        int fanOut = isUrgent() ? pace.urgentFanOut() : isIdle ? 1 : pace.newsFanOut();
+        int fanOut = isUrgent() ? timing.urgentFanOut() : isIdle ? 1 : timing.changeFanOut();
         List<Peers.Peer> peers;
-        synchronized (parts.random()) {
-            peers = parts.peers().pick(fanOut, OTHER_DATA_CENTRE_SHARE, parts.random());
+        synchronized (context.random()) {
+            peers = context.peers().pick(fanOut, REMOTE_PICK_PROBABILITY, context.random());
         }
-        List<SideRecord> news = peers.isEmpty() ? List.of() : rumours.take(parts.maxRecordBytes(), peers.size());
+        List<SideRecord> changes = peers.isEmpty() ? List.of() : rumours.take(context.maxRecordBytes(), peers.size());
         return CompletableFuture.allOf(
-                peers.stream().map(peer -> contact(peer, news)).toArray(CompletableFuture[]::new));
+                peers.stream().map(peer -> pushTo(peer, changes)).toArray(CompletableFuture[]::new));
     }
 
     /**
-     * Runs rounds until closed.
+     * Runs rounds periodically until closed.
      *
-     * @param scheduler runs them.
-     * @return stops the rounds when closed.
+     * @param scheduler the scheduler that runs the rounds.
+     * @return a handle that stops the rounds when closed.
      */
     public AutoCloseable start(ScheduledExecutorService scheduler) {
         Loop loop = new Loop(scheduler);
@@ -126,74 +125,74 @@
         return loop;
     }
 
-    private CompletableFuture<Void> contact(Peers.Peer peer, List<SideRecord> news) {
-        GossipRequest request = request(List.of(parts.table().combinedHash()), news);
+    private CompletableFuture<Void> pushTo(Peers.Peer peer, List<SideRecord> changes) {
+        GossipRequest request = request(List.of(context.table().combinedHash()), changes);
         return ask(peer, request)
-                .thenCompose(answer -> answer.getWantedBucketsSize() > 0 && mayCompare()
+                .thenCompose(answer -> answer.getWantedBucketsSize() > 0 && tryStartComparison()
                         ? compare(peer, MAX_EXCHANGES)
                         : CompletableFuture.<Void>completedFuture(null))
                 .handle((done, failure) -> {
-                    parts.peers().noteOutcome(peer, failure == null);
+                    context.peers().noteOutcome(peer, failure == null);
                     return null;
                 });
     }
 
     private CompletableFuture<Void> compare(Peers.Peer peer, int exchangesLeft) {
-        return ask(peer, request(parts.table().bucketHashes(), List.of()))
+        return ask(peer, request(context.table().bucketHashes(), List.of()))
                 .thenCompose(answer -> answer.getWantedBucketsSize() == 0
                         ? CompletableFuture.<Void>completedFuture(null)
-                        : exchange(peer, answer.getWantedBuckets(), exchangesLeft));
+                        : exchangeDigests(peer, answer.getWantedBuckets(), exchangesLeft));
     }
 
-    private CompletableFuture<Void> exchange(Peers.Peer peer, List<Integer> buckets, int exchangesLeft) {
-        List<Long> all = parts.table().bucketHashes();
+    private CompletableFuture<Void> exchangeDigests(Peers.Peer peer, List<Integer> buckets, int exchangesLeft) {
+        List<Long> all = context.table().bucketHashes();
         List<Long> hashes = new ArrayList<>(Collections.nCopies(all.size(), GossipHandler.NOT_COMPARED));
         buckets.forEach(bucket -> hashes.set(bucket, all.get(bucket)));
-        List<SideRecord> digests = parts.table().recordsIn(buckets).stream()
+        List<SideRecord> digests = context.table().recordsIn(buckets).stream()
                 .map(GossipHandler::digestOf)
                 .toList();
         return ask(peer, request(hashes, digests)).thenCompose(answer -> {
             CompletableFuture<Void> sent = sendWanted(peer, answer);
-            boolean isFull = answer.getSidesSize() > 0 && exchangesLeft > 1;
-            return isFull ? sent.thenCompose(done -> compare(peer, exchangesLeft - 1)) : sent;
+            boolean mayHaveMore = answer.getSidesSize() > 0 && exchangesLeft > 1;
+            return mayHaveMore ? sent.thenCompose(done -> compare(peer, exchangesLeft - 1)) : sent;
         });
     }
 
     private CompletableFuture<Void> sendWanted(Peers.Peer peer, GossipAnswer answer) {
         List<SideRecord> wanted = answer.getSides().stream()
                 .filter(record -> record.getHost() == null)
-                .flatMap(digest -> parts.table().record(digest.getSideId()).stream())
+                .flatMap(digest -> context.table().record(digest.getSideId()).stream())
                 .toList();
         return wanted.isEmpty()
                 ? CompletableFuture.completedFuture(null)
-                : ask(peer, request(List.of(), parts.bounded(wanted))).thenApply(done -> null);
+                : ask(peer, request(List.of(), context.limitSize(wanted))).thenApply(done -> null);
     }
 
     private CompletableFuture<GossipAnswer> ask(Peers.Peer peer, GossipRequest request) {
         return connections.to(peer.address()).gossip(request).thenApply(answer -> {
-            parts.traffic().asked(request, answer);
-            parts.noteBundleVersion(answer.getBundleVersion(), peer.address());
-            parts.suspects().merge(answer.getSuspects());
-            parts.table().merge(answer.getSides());
+            context.traffic().countInitiated(request, answer);
+            context.noteBundleVersion(answer.getBundleVersion(), peer.address());
+            context.suspects().merge(answer.getSuspects());
+            context.table().merge(answer.getSides());
             return answer;
         });
     }
 
     private GossipRequest request(List<Long> hashes, List<SideRecord> sides) {
-        Peers.Peer self = parts.peers().self();
+        Peers.Peer self = context.peers().self();
         return new GossipRequest(
                 self.id(),
                 self.address().host(),
                 self.address().port(),
-                parts.bundleVersion().getAsLong(),
+                context.bundleVersion().getAsLong(),
                 hashes,
                 sides,
-                parts.suspectsToSend());
+                context.suspectsToSend());
     }
 
-    private boolean mayCompare() {
+    private boolean tryStartComparison() {
         long nowMillis = clock.monotonicMillis();
-        boolean isDue = nowMillis - lastComparedMillis >= pace.compareMillis();
+        boolean isDue = nowMillis - lastComparedMillis >= timing.compareIntervalMillis();
         if (isDue) {
             lastComparedMillis = nowMillis;
         }
@@ -203,17 +202,17 @@
     private void noteChange(SideRecord record) {
         rumours.add(record);
         if (Rumours.isUrgent(record)) {
-            hurry();
+            expedite();
         }
     }
 
-    private void hurryOnNews() {
-        long version = parts.bundleVersion().getAsLong();
-        int suspectsHash = parts.suspectsHash();
+    private void expediteOnUrgentChange() {
+        long version = context.bundleVersion().getAsLong();
+        int suspectsHash = context.suspectsHash();
         if (version > lastBundleVersion || suspectsHash != lastSuspectsHash) {
             lastBundleVersion = version;
             lastSuspectsHash = suspectsHash;
-            hurry();
+            expedite();
         }
     }
 
@@ -222,36 +221,43 @@
     }
 
     /**
-     * Intervals and fan-outs.
+     * The intervals and fan-outs of gossip rounds.
      *
-     * @param urgentMillis between rounds while there is urgent news.
-     * @param urgentForMillis how long news stays urgent.
-     * @param urgentFanOut peers a round while urgent.
-     * @param newsMillis between rounds while there are other changes.
-     * @param newsFanOut peers a round while there are other changes.
-     * @param idleMillis between rounds when nothing is new.
-     * @param compareMillis between comparisons of buckets.
+     * @param urgentIntervalMillis the interval between rounds while there is an urgent change.
+     * @param urgentDurationMillis how long a change stays urgent.
+     * @param urgentFanOut the number of peers per round while there is an urgent change.
+     * @param changeIntervalMillis the interval between rounds while there are other changes.
+     * @param changeFanOut the number of peers per round while there are other changes.
+     * @param idleIntervalMillis the interval between rounds while there are no changes.
+     * @param compareIntervalMillis the minimum interval between comparisons of buckets.
      */
-    public record Pace(
-            long urgentMillis,
-            long urgentForMillis,
+    public record Timing(
+            long urgentIntervalMillis,
+            long urgentDurationMillis,
             int urgentFanOut,
-            long newsMillis,
-            int newsFanOut,
-            long idleMillis,
-            long compareMillis) {
+            long changeIntervalMillis,
+            int changeFanOut,
+            long idleIntervalMillis,
+            long compareIntervalMillis) {
 
-        /** For a few thousand processes and 9 KB/s each. */
-        public static final Pace DEFAULT = new Pace(250, 2_500, 3, 1_000, 2, 2_000, 10_000);
+        /** The default timing, for a few thousand processes and 9 KB/s per process. */
+        public static final Timing DEFAULT = new Timing(250, 2_500, 3, 1_000, 2, 2_000, 10_000);
 
         /**
-         * The same with another interval while something urgent is new.
+         * Returns a copy with another interval for urgent changes.
          *
-         * @param millis between rounds.
-         * @return the changed pace.
+         * @param millis the interval between rounds while there is an urgent change.
+         * @return the changed timing.
          */
-        public Pace withUrgentMillis(long millis) {
-            return new Pace(millis, urgentForMillis, urgentFanOut, newsMillis, newsFanOut, idleMillis, compareMillis);
+        public Timing withUrgentIntervalMillis(long millis) {
+            return new Timing(
+                    millis,
+                    urgentDurationMillis,
+                    urgentFanOut,
+                    changeIntervalMillis,
+                    changeFanOut,
+                    idleIntervalMillis,
+                    compareIntervalMillis);
         }
     }
 
@@ -264,18 +270,20 @@
             this.scheduler = scheduler;
         }
 
-        // The wait is cut into urgent intervals, so that urgent news does not sit out an idle wait.
+        // Checks at every urgent interval whether a round is due, so that an urgent change does not wait for the end
+        // of an idle interval.
         private void schedule() {
-            long dueMillis = clock.monotonicMillis();
-            scheduler.schedule(() -> wake(dueMillis), pace.urgentMillis(), TimeUnit.MILLISECONDS);
+            long lastRoundMillis = clock.monotonicMillis();
+            scheduler.schedule(() -> runIfDue(lastRoundMillis), timing.urgentIntervalMillis(), TimeUnit.MILLISECONDS);
         }
 
-        private void wake(long sinceMillis) {
+        private void runIfDue(long lastRoundMillis) {
             if (isClosed) {
                 return;
             }
-            if (clock.monotonicMillis() - sinceMillis < nextDelayMillis()) {
-                scheduler.schedule(() -> wake(sinceMillis), pace.urgentMillis(), TimeUnit.MILLISECONDS);
+            if (clock.monotonicMillis() - lastRoundMillis < nextDelayMillis()) {
+                scheduler.schedule(
+                        () -> runIfDue(lastRoundMillis), timing.urgentIntervalMillis(), TimeUnit.MILLISECONDS);
                 return;
             }
             runRound();
@@ -297,7 +305,7 @@
         }
     }
 
-    /** Wiring of gossip. */
+    /** A builder of {@link Gossip}. */
     public static final class Builder {
 
         private static final int DEFAULT_MAX_RECORD_BYTES = 8 * 1024;
@@ -308,10 +316,10 @@
         private SuspectRegistry suspects;
         private MeterRegistry registry;
         private LongSupplier bundleVersion = () -> 0;
-        private BundleNews news = (version, from) -> {};
+        private BundleVersionListener bundleVersionListener = (version, from) -> {};
         private Clock clock = Clock.SYSTEM;
         private RandomGenerator random = RandomGenerator.getDefault();
-        private Pace pace = Pace.DEFAULT;
+        private Timing timing = Timing.DEFAULT;
         private int maxRecordBytes = DEFAULT_MAX_RECORD_BYTES;
 
         private Builder(MemberTable table, Peers peers, Connections connections) {
@@ -321,81 +329,81 @@
         }
 
         /**
-         * Sets the suspects that ride along.
+         * Sets the suspects that are disseminated with the side records.
          *
          * @param newSuspects the suspects of this process.
          * @return this builder.
          */
-        public Builder carrying(SuspectRegistry newSuspects) {
+        public Builder withSuspects(SuspectRegistry newSuspects) {
             this.suspects = newSuspects;
             return this;
         }
 
         /**
-         * Sets where the bundle's version comes from and who hears of a higher one.
+         * Sets the source of the local bundle version and the listener for higher versions.
          *
-         * @param newBundleVersion the version in force here.
-         * @param newNews told of a higher one.
+         * @param newBundleVersion supplies the version in force in this process.
+         * @param newListener notified when a peer has a higher version.
          * @return this builder.
          */
-        public Builder announcing(LongSupplier newBundleVersion, BundleNews newNews) {
+        public Builder withBundleVersion(LongSupplier newBundleVersion, BundleVersionListener newListener) {
             this.bundleVersion = newBundleVersion;
-            this.news = newNews;
+            this.bundleVersionListener = newListener;
             return this;
         }
 
         /**
-         * Sets the time and the randomness.
+         * Sets the clock and the source of randomness.
          *
-         * @param newClock the time.
-         * @param newRandom picks peers.
+         * @param newClock the clock.
+         * @param newRandom the source of randomness for the selection of peers and samples.
          * @return this builder.
          */
-        public Builder deciding(Clock newClock, RandomGenerator newRandom) {
+        public Builder withClockAndRandom(Clock newClock, RandomGenerator newRandom) {
             this.clock = newClock;
             this.random = newRandom;
             return this;
         }
 
         /**
-         * Sets the intervals.
+         * Sets the intervals and fan-outs.
          *
-         * @param newPace intervals and fan-outs.
+         * @param newTiming the intervals and fan-outs.
          * @return this builder.
          */
-        public Builder paced(Pace newPace) {
-            this.pace = newPace;
+        public Builder withTiming(Timing newTiming) {
+            this.timing = newTiming;
             return this;
         }
 
         /**
-         * Sets the intervals and the bound of a message.
+         * Sets the intervals, the fan-outs and the size limit of a message.
          *
-         * @param newPace intervals and fan-outs.
-         * @param newMaxRecordBytes the most bytes of records in a message.
+         * @param newTiming the intervals and fan-outs.
+         * @param newMaxRecordBytes the maximum size of the records in a message.
          * @return this builder.
          */
-        public Builder paced(Pace newPace, int newMaxRecordBytes) {
-            this.pace = newPace;
+        public Builder withTiming(Timing newTiming, int newMaxRecordBytes) {
+            this.timing = newTiming;
             this.maxRecordBytes = newMaxRecordBytes;
             return this;
         }
 
         /**
-         * Sets where traffic is counted.
+         * Sets the registry of the traffic counters.
          *
          * @param newRegistry the registry.
          * @return this builder.
          */
-        public Builder countedBy(MeterRegistry newRegistry) {
+        public Builder withMeterRegistry(MeterRegistry newRegistry) {
             this.registry = newRegistry;
             return this;
         }
 
         /**
-         * Builds it.
+         * Builds the gossip.
          *
-         * @return gossip that has not started.
+         * @return gossip that has not been started.
          */
         public Gossip build() {
             Objects.requireNonNull(suspects, "suspects");
@@ -403,9 +411,16 @@
             return new Gossip(this);
         }
 
-        private GossipParts parts() {
-            return new GossipParts(
-                    table, peers, suspects, bundleVersion, news, random, new GossipTraffic(registry), maxRecordBytes);
+        private GossipContext context() {
+            return new GossipContext(
+                    table,
+                    peers,
+                    suspects,
+                    bundleVersion,
+                    bundleVersionListener,
+                    random,
+                    new GossipTraffic(registry),
+                    maxRecordBytes);
         }
     }
 }
--- a/src/main/java/io/waxwingquay/membership/GossipParts.java
+++ b/src/main/java/io/waxwingquay/membership/GossipContext.java
@@ -12,23 +12,23 @@
 import java.util.random.RandomGenerator;
 
 /**
- * What both ends of gossip share.
+ * The collaborators shared by the requesting and the answering end of gossip.
  *
  * @param table the side records.
- * @param peers whom to ask.
+ * @param peers the peers to gossip with.
  * @param suspects the suspects.
- * @param bundleVersion the bundle version that this process has.
- * @param news told of higher bundle versions.
- * @param random the randomness.
+ * @param bundleVersion supplies the bundle version in force in this process.
+ * @param bundleVersionListener notified of higher bundle versions.
+ * @param random the source of randomness; used under its own lock.
  * @param traffic counts messages and bytes.
- * @param maxRecordBytes the most bytes of records in a message.
+ * @param maxRecordBytes the maximum size of the records in a message.
  */
-record GossipParts(
+record GossipContext(
         MemberTable table,
         Peers peers,
         SuspectRegistry suspects,
         LongSupplier bundleVersion,
-        BundleNews news,
+        BundleVersionListener bundleVersionListener,
         RandomGenerator random,
         GossipTraffic traffic,
         int maxRecordBytes) {
@@ -38,11 +38,11 @@
 
     void noteBundleVersion(long version, HostPort from) {
         if (version > bundleVersion.getAsLong()) {
-            news.higherVersion(version, from);
+            bundleVersionListener.onHigherVersion(version, from);
         }
     }
 
-    /** The newest, since they matter most, and some others, so that each gets its turn. */
+    /** Selects the newest suspects, which matter most, and a random sample of the others, so that all take turns. */
     List<SuspectRecord> suspectsToSend() {
         List<SuspectRecord> newestFirst = new ArrayList<>(suspects.snapshot());
         newestFirst.sort(Comparator.comparingLong(SuspectRecord::getExpiresAtEpochMillis)
@@ -54,11 +54,12 @@
         return sent;
     }
 
-    /** Changes whenever a suspect comes, goes or changes. */
+    /** Hashes the suspects in any order; the hash changes when a suspect is added, removed or changed. */
     int suspectsHash() {
         return new HashSet<>(suspects.snapshot()).hashCode();
     }
 
+    /** Returns a random sample of at most the given number of elements. */
     <T> List<T> sample(List<T> from, int count) {
         List<T> rest = new ArrayList<>(from);
         while (rest.size() > count) {
@@ -72,7 +73,8 @@
         return rest;
     }
 
-    List<SideRecord> bounded(List<SideRecord> records) {
+    /** Returns the leading records within the size limit, but at least one so that a large record is sent too. */
+    List<SideRecord> limitSize(List<SideRecord> records) {
         List<SideRecord> kept = new ArrayList<>();
         int sizeBytes = 0;
         for (SideRecord record : records) {
--- a/src/main/java/io/waxwingquay/membership/GossipTraffic.java
+++ b/src/main/java/io/waxwingquay/membership/GossipTraffic.java
@@ -5,30 +5,30 @@
 import io.waxwingquay.transport.generated.GossipAnswer;
 import io.waxwingquay.transport.generated.GossipRequest;
 
-/** Counts gossip's messages and bytes as Thrift's compact protocol writes them, without headers of frames and TCP. */
+/** Counts the messages and bytes of gossip in Thrift's compact protocol, without the headers of frames and TCP. */
 final class GossipTraffic {
 
     private static final String BYTES = "waxwingquay.gossip.bytes";
     private static final String MESSAGES = "waxwingquay.gossip.messages";
 
-    private final Kind news;
+    private final Kind dissemination;
     private final Kind comparison;
 
     GossipTraffic(MeterRegistry registry) {
-        this.news = Kind.of(registry, "news");
+        this.dissemination = Kind.of(registry, "news");
         this.comparison = Kind.of(registry, "comparison");
     }
 
-    void asked(GossipRequest request, GossipAnswer answer) {
+    void countInitiated(GossipRequest request, GossipAnswer answer) {
         kindOf(request).count(Records.sizeBytes(request), Records.sizeBytes(answer));
     }
 
-    void answered(GossipRequest request, GossipAnswer answer) {
+    void countAnswered(GossipRequest request, GossipAnswer answer) {
         kindOf(request).count(Records.sizeBytes(answer), Records.sizeBytes(request));
     }
 
     private Kind kindOf(GossipRequest request) {
-        return request.getBucketHashesSize() == BucketHashes.BUCKETS ? comparison : news;
+        return request.getBucketHashesSize() == BucketHashes.BUCKETS ? comparison : dissemination;
     }
 
     private record Kind(Counter sentBytes, Counter receivedBytes, Counter messages) {
--- a/src/main/java/io/waxwingquay/membership/Member.java
+++ b/src/main/java/io/waxwingquay/membership/Member.java
@@ -11,24 +11,24 @@
 import java.util.Set;
 
 /**
- * A side's record with what this process saw of it itself.
+ * A side's record together with this process's own observations of the side.
  *
  * @param record the record; not changed after it is stored.
- * @param side the record as routing sees it.
- * @param hasLeft whether this epoch was ever seen leaving; GONE hides that in the record.
- * @param changedMillis when the record last changed here.
- * @param silentSinceMillis since when it has not answered, or {@link #NEVER}.
- * @param absentSinceMillis since when the platform's list lacks it, or {@link #NEVER}.
- * @param lastTriedMillis when it was last tried while silent.
+ * @param side the record in the form that routing uses.
+ * @param wasLeaving whether this epoch was ever LEAVING; a record that became GONE no longer shows it.
+ * @param changedMillis when the record last changed in this process.
+ * @param unresponsiveSinceMillis since when the side has been unresponsive, or {@link #NEVER}.
+ * @param unlistedSinceMillis since when the side has been missing from the platform's list, or {@link #NEVER}.
+ * @param lastProbeMillis when the side was last probed while unresponsive.
  */
 record Member(
         SideRecord record,
         Side side,
-        boolean hasLeft,
+        boolean wasLeaving,
         long changedMillis,
-        long silentSinceMillis,
-        long absentSinceMillis,
-        long lastTriedMillis) {
+        long unresponsiveSinceMillis,
+        long unlistedSinceMillis,
+        long lastProbeMillis) {
 
     static final long NEVER = Long.MIN_VALUE;
 
@@ -37,47 +37,48 @@
         return new Member(own, sideOf(own, true), isLeaving(own), nowMillis, NEVER, NEVER, NEVER);
     }
 
-    /** A new epoch is another process: what was seen of the old one says nothing about it. */
+    /** Updates the record. A new epoch is another incarnation, so observations of the previous one are discarded. */
     Member updated(SideRecord next, long nowMillis) {
         if (next.getEpoch() != record.getEpoch()) {
             return of(next, nowMillis);
         }
-        // A higher version was published by a living process, though perhaps not one that this process can reach.
-        if (hasLeft && next.getState().getValue() < SideState.LEAVING.getValue()) {
+        // A higher version proves that the side is alive, but not that this process can reach it, so the observations
+        // of reachability and listing are kept. LEAVING stays sticky even if the record was GONE in between.
+        if (wasLeaving && next.getState().getValue() < SideState.LEAVING.getValue()) {
             next.setState(SideState.LEAVING);
         }
         return new Member(
                 next,
                 sideOf(next, isReachable()),
-                hasLeft || isLeaving(next),
+                wasLeaving || isLeaving(next),
                 nowMillis,
-                silentSinceMillis,
-                absentSinceMillis,
-                lastTriedMillis);
+                unresponsiveSinceMillis,
+                unlistedSinceMillis,
+                lastProbeMillis);
     }
 
-    Member answered() {
-        return isReachable() ? this : withSilence(NEVER, NEVER);
+    Member asReachable() {
+        return isReachable() ? this : withUnresponsiveSince(NEVER, NEVER);
     }
 
-    Member silent(long nowMillis) {
-        return withSilence(isReachable() ? nowMillis : silentSinceMillis, nowMillis);
+    Member asUnresponsive(long nowMillis) {
+        return withUnresponsiveSince(isReachable() ? nowMillis : unresponsiveSinceMillis, nowMillis);
     }
 
-    Member tried(long nowMillis) {
-        return withSilence(silentSinceMillis, nowMillis);
+    Member asProbed(long nowMillis) {
+        return withUnresponsiveSince(unresponsiveSinceMillis, nowMillis);
     }
 
-    Member listed() {
-        return absentSinceMillis == NEVER ? this : withAbsence(NEVER);
+    Member asListed() {
+        return unlistedSinceMillis == NEVER ? this : withUnlistedSince(NEVER);
     }
 
-    Member absent(long nowMillis) {
-        return absentSinceMillis == NEVER ? withAbsence(nowMillis) : this;
+    Member asUnlisted(long nowMillis) {
+        return unlistedSinceMillis == NEVER ? withUnlistedSince(nowMillis) : this;
     }
 
     boolean isReachable() {
-        return silentSinceMillis == NEVER;
+        return unresponsiveSinceMillis == NEVER;
     }
 
     boolean isGone() {
@@ -87,8 +88,8 @@
     boolean isExpired(long nowMillis, MemberTable.Timing timing) {
         return !isGone()
                 && !isReachable()
-                && absentSinceMillis != NEVER
-                && nowMillis - Math.max(silentSinceMillis, absentSinceMillis) >= timing.expiryMillis();
+                && unlistedSinceMillis != NEVER
+                && nowMillis - Math.max(unresponsiveSinceMillis, unlistedSinceMillis) >= timing.expiryMillis();
     }
 
     boolean isForgettable(long nowMillis, MemberTable.Timing timing) {
@@ -99,14 +100,15 @@
         return side;
     }
 
-    private Member withSilence(long sinceMillis, long triedMillis) {
+    private Member withUnresponsiveSince(long sinceMillis, long lastProbeMillis) {
         boolean reachable = sinceMillis == NEVER;
         Side next = reachable == side.reachable() ? side : sideOf(record, reachable);
-        return new Member(record, next, hasLeft, changedMillis, sinceMillis, absentSinceMillis, triedMillis);
+        return new Member(record, next, wasLeaving, changedMillis, sinceMillis, unlistedSinceMillis, lastProbeMillis);
     }
 
-    private Member withAbsence(long sinceMillis) {
-        return new Member(record, side, hasLeft, changedMillis, silentSinceMillis, sinceMillis, lastTriedMillis);
+    private Member withUnlistedSince(long sinceMillis) {
+        return new Member(
+                record, side, wasLeaving, changedMillis, unresponsiveSinceMillis, sinceMillis, lastProbeMillis);
     }
 
     private static boolean isLeaving(SideRecord record) {
--- a/src/main/java/io/waxwingquay/membership/Peers.java
+++ b/src/main/java/io/waxwingquay/membership/Peers.java
@@ -13,38 +13,39 @@
 import java.util.stream.Stream;
 
 /**
- * Whom this process may gossip with: sides from the member table, entries and yet unknown processes from seeds, the
- * platform's list and requests. Safe for concurrent use.
+ * The peers that this process may gossip with. Sides come from the member table; entries and processes that are not in
+ * the table yet come from the seeds, the platform's list and received requests. Safe for concurrent use.
  */
 public final class Peers {
 
     private static final int FORGET_AFTER_FAILURES = 5;
-    private static final String UNKNOWN = "";
+    private static final String UNKNOWN_DATA_CENTRE = "";
 
     private final Peer self;
     private final MemberTable table;
-    private final Map<HostPort, Peer> others = new ConcurrentHashMap<>();
-    private final Map<HostPort, Integer> failures = new ConcurrentHashMap<>();
+    private final Map<HostPort, Peer> discovered = new ConcurrentHashMap<>();
+    private final Map<HostPort, Integer> consecutiveFailures = new ConcurrentHashMap<>();
     private final Set<HostPort> seeds;
 
     /**
-     * Peers of one process.
+     * Creates the peers of a process.
      *
      * @param self this process.
-     * @param table the sides known.
-     * @param seeds addresses from the settings; kept for good, as they are the way back after a long cut.
+     * @param table the known sides.
+     * @param seeds the addresses from the settings; never forgotten, so that the process can rejoin after a long
+     *     network partition.
      */
     public Peers(Peer self, MemberTable table, Collection<HostPort> seeds) {
         this.self = self;
         this.table = table;
         this.seeds = Set.copyOf(seeds);
-        seeds.forEach(seed -> add(new Peer(seed.toString(), seed, UNKNOWN)));
+        seeds.forEach(seed -> add(new Peer(seed.toString(), seed, UNKNOWN_DATA_CENTRE)));
     }
 
     /**
-     * This process.
+     * Returns this process.
      *
-     * @return its name, address and data centre.
+     * @return the name, address and data centre of this process.
      */
     public Peer self() {
         return self;
@@ -57,27 +58,27 @@
     /**
      * Notes a process that sent a request; its data centre may not be known yet.
      *
-     * @param id its name.
-     * @param address where it listens.
+     * @param id the name of the process.
+     * @param address the address on which it listens.
      */
     public void noteRequest(String id, HostPort address) {
-        failures.remove(address);
-        Peer known = others.get(address);
+        consecutiveFailures.remove(address);
+        Peer known = discovered.get(address);
         if (known == null || !known.id().equals(id)) {
-            add(new Peer(id, address, known == null ? UNKNOWN : known.dataCentre()));
+            add(new Peer(id, address, known == null ? UNKNOWN_DATA_CENTRE : known.dataCentre()));
         }
     }
 
     /**
-     * Notes the VMs of the platform's list.
+     * Notes the VMs on the platform's list.
      *
-     * @param vms the VMs; those leaving are not asked any more.
+     * @param vms the VMs; those that are leaving are removed from the peers.
      */
     public void noteListed(Collection<VmList.Vm> vms) {
         vms.forEach(vm -> {
             HostPort address = new HostPort(vm.host(), vm.port());
             if (vm.leaving()) {
-                others.remove(address);
+                discovered.remove(address);
             } else {
                 add(new Peer(vm.name(), address, vm.dataCentre()));
             }
@@ -85,7 +86,7 @@
     }
 
     /**
-     * Notes whether a peer answered. One that fails several times in a row is forgotten, unless it is a seed.
+     * Notes whether a peer answered. A peer with several consecutive failures is forgotten, unless it is a seed.
      *
      * @param peer the peer.
      * @param answered whether it answered.
@@ -93,36 +94,37 @@
     public void noteOutcome(Peer peer, boolean answered) {
         table.side(peer.id()).ifPresent(side -> table.noteReached(side.id(), side.epoch(), answered));
         if (answered) {
-            failures.remove(peer.address());
-        } else if (failures.merge(peer.address(), 1, Integer::sum) >= FORGET_AFTER_FAILURES
+            consecutiveFailures.remove(peer.address());
+        } else if (consecutiveFailures.merge(peer.address(), 1, Integer::sum) >= FORGET_AFTER_FAILURES
                 && !seeds.contains(peer.address())) {
-            others.remove(peer.address());
-            failures.remove(peer.address());
+            discovered.remove(peer.address());
+            consecutiveFailures.remove(peer.address());
         }
     }
 
     /**
-     * Picks different peers at random: mostly of the own data centre, at most one of another.
+     * Picks distinct peers at random: mostly from the own data centre and, if enough local peers are known, at most
+     * one from another.
      *
-     * @param count how many.
-     * @param otherShare the share of picks of one peer that go to another data centre.
-     * @param random the randomness.
-     * @return the peers; fewer if fewer are known.
+     * @param count the number of peers.
+     * @param remoteProbability the probability that a single peer is picked from another data centre.
+     * @param random the source of randomness.
+     * @return the peers; fewer than {@code count} if fewer are known.
      */
-    public List<Peer> pick(int count, double otherShare, RandomGenerator random) {
-        List<Peer> near = new ArrayList<>();
-        List<Peer> far = new ArrayList<>();
-        all().forEach(peer -> (isNear(peer) ? near : far).add(peer));
-        int farCount = count > 1 || random.nextDouble() < otherShare ? Math.min(1, far.size()) : 0;
-        int nearCount = Math.min(count - farCount, near.size());
-        Set<Peer> picked = new LinkedHashSet<>(sample(near, nearCount, random));
-        picked.addAll(sample(far, Math.min(count - nearCount, far.size()), random));
+    public List<Peer> pick(int count, double remoteProbability, RandomGenerator random) {
+        List<Peer> local = new ArrayList<>();
+        List<Peer> remote = new ArrayList<>();
+        all().forEach(peer -> (isLocal(peer) ? local : remote).add(peer));
+        int remoteCount = count > 1 || random.nextDouble() < remoteProbability ? Math.min(1, remote.size()) : 0;
+        int localCount = Math.min(count - remoteCount, local.size());
+        Set<Peer> picked = new LinkedHashSet<>(sample(local, localCount, random));
+        picked.addAll(sample(remote, Math.min(count - localCount, remote.size()), random));
         return List.copyOf(picked);
     }
 
     /**
-     * All peers but this process, without those known to be silent. A side that leaves stays one, as it must hear
-     * that it leaves.
+     * Returns all peers except this process and sides known to be unresponsive. A leaving side is included, because it
+     * has to learn that it is leaving.
      *
      * @return a new list.
      */
@@ -133,20 +135,20 @@
         Stream<Peer> fromTable = sides.stream()
                 .filter(Side::reachable)
                 .map(side -> new Peer(side.id(), side.address(), side.dataCentre()));
-        Stream<Peer> rest = others.values().stream().filter(peer -> !sideAddresses.contains(peer.address()));
-        return Stream.concat(fromTable, rest)
+        Stream<Peer> others = discovered.values().stream().filter(peer -> !sideAddresses.contains(peer.address()));
+        return Stream.concat(fromTable, others)
                 .filter(peer -> !peer.address().equals(self.address()))
                 .toList();
     }
 
     private void add(Peer peer) {
         if (!peer.address().equals(self.address())) {
-            others.put(peer.address(), peer);
+            discovered.put(peer.address(), peer);
         }
     }
 
-    private boolean isNear(Peer peer) {
-        return peer.dataCentre().equals(self.dataCentre()) || peer.dataCentre().equals(UNKNOWN);
+    private boolean isLocal(Peer peer) {
+        return peer.dataCentre().equals(self.dataCentre()) || peer.dataCentre().equals(UNKNOWN_DATA_CENTRE);
     }
 
     private static List<Peer> sample(List<Peer> from, int count, RandomGenerator random) {
@@ -162,11 +164,11 @@
     }
 
     /**
-     * A process.
+     * A process that takes part in gossip.
      *
-     * @param id its name.
-     * @param address where it listens.
-     * @param dataCentre its data centre, empty if unknown.
+     * @param id the name of the process.
+     * @param address the address on which it listens.
+     * @param dataCentre the data centre of the process, empty if unknown.
      */
     public record Peer(String id, HostPort address, String dataCentre) {}
 }
--- a/src/main/java/io/waxwingquay/membership/VmWatch.java
+++ b/src/main/java/io/waxwingquay/membership/VmWatch.java
@@ -21,23 +21,23 @@
 import org.apache.commons.codec.digest.MurmurHash3;
 
 /**
- * Announces this process to the platform's list, reads the list where it is this process's turn, and tries silent
- * sides again.
+ * Announces this process to the platform's VM list, reads the list if this process is one of its readers, and probes
+ * unresponsive sides and other sides of its service.
  *
- * <p>Only the first few processes of each data centre by hash read the list, and each process of a small service tries
- * the others; the rest hear by gossip. If all 2,720 read it each second they would exceed the table service's
- * 2,000 reads a second. When views of membership differ, a few more or fewer read, which does no harm. A process that
- * knows no peer reads too, as it has nobody to hear from.
+ * <p>Only the first few processes of each data centre, ranked by hash, read the list; the others learn of changes by
+ * gossip. If all 2,720 processes read it each second, they would exceed the table service's 2,000 reads per second.
+ * While views of the membership differ, there may be a few more or fewer readers, which is harmless. A process that
+ * knows no peer reads the list too, because it has no other source.
  *
- * <p>A list that goes back does not undo LEAVING, which sticks to the epoch in {@link MemberTable}. A list that
- * still says leaving after the side restarted does not touch the new epoch: the flag counts once, for the
- * epoch known when it came up.
+ * <p>A list that goes backwards does not revert LEAVING, which is sticky within an epoch in {@link MemberTable}. A list
+ * that still says leaving after the side restarted does not affect the new epoch: the flag applies only to the epoch
+ * known when it first appeared.
  */
 public final class VmWatch {
 
     private static final System.Logger LOG = System.getLogger("waxwingquay.membership");
     private static final int READERS_PER_DATA_CENTRE = 3;
-    private static final int MAX_TRIES = 16;
+    private static final int MAX_PROBES = 16;
     private static final String SIDE_ROLE = "side";
 
     private final VmList list;
@@ -49,18 +49,18 @@
     private final VmList.Vm self;
     private final long intervalMillis;
     private final Map<String, Long> leavingEpochs = new HashMap<>();
-    private volatile long listAgeFromMillis = Long.MIN_VALUE;
+    private volatile long lastReadMillis = Long.MIN_VALUE;
 
     /**
-     * A watch that has not started.
+     * Creates a watch that has not been started.
      *
-     * @param list the platform's list.
-     * @param peers the processes known, over the table that is kept up to date.
-     * @param connections to try silent sides.
-     * @param clock the time.
-     * @param random spreads the rounds.
-     * @param self this process, as it is announced.
-     * @param intervalMillis between rounds, on average.
+     * @param list the platform's VM list.
+     * @param peers the known peers; their member table is kept up to date.
+     * @param connections the connections for probes.
+     * @param clock the clock.
+     * @param random the source of randomness for the first delay and the choice of probed sides.
+     * @param self this process as it is announced.
+     * @param intervalMillis the interval between rounds.
      */
     public VmWatch(
             VmList list,
@@ -81,74 +81,75 @@
     }
 
     /**
-     * One round: announces, reads the list if it is this process's turn, tries silent sides, expires records.
+     * Runs one round: announces this process, reads the list if this process is a reader, probes sides and expires
+     * records.
      *
-     * @return completes when done; does not fail.
+     * @return a future that completes when the round is done; it does not fail.
      */
     public CompletableFuture<Void> round() {
         CompletableFuture<Void> announced = list.announce(self).exceptionally(VmWatch::noteAnnounceFailure);
-        CompletableFuture<Void> read = isReader() ? read() : leaveToOthers();
-        CompletableFuture<?>[] tries = Stream.concat(
-                        table.dueForRetry().stream().limit(MAX_TRIES), neighbours().stream())
-                .map(this::tryToReach)
+        CompletableFuture<Void> listed = isReader() ? readList() : skipList();
+        CompletableFuture<?>[] probes = Stream.concat(
+                        table.dueForProbe().stream().limit(MAX_PROBES), servicePeers().stream())
+                .map(this::probe)
                 .toArray(CompletableFuture[]::new);
-        return CompletableFuture.allOf(announced, read, CompletableFuture.allOf(tries))
+        return CompletableFuture.allOf(announced, listed, CompletableFuture.allOf(probes))
                 .thenRun(table::expire);
     }
 
     /**
-     * Runs rounds until closed.
+     * Runs rounds periodically until closed.
      *
-     * @param scheduler runs them.
-     * @return stops the rounds when closed.
+     * @param scheduler the scheduler that runs the rounds.
+     * @return a handle that stops the rounds when closed.
      */
     public AutoCloseable start(ScheduledExecutorService scheduler) {
-        // A random first delay spreads the processes that one restart of a rack brings up together.
+        // The random first delay spreads the rounds of processes that start together, as after the restart of a rack.
         long firstMillis = random.nextLong(intervalMillis) + 1;
         var task = scheduler.scheduleAtFixedRate(this::runRound, firstMillis, intervalMillis, TimeUnit.MILLISECONDS);
         return () -> task.cancel(false);
     }
 
     /**
-     * Whether this process reads the list.
+     * Checks whether this process reads the list.
      *
-     * @return whether it is among the first of its data centre by hash.
+     * @return whether it is among the first processes of its data centre by hash.
      */
     public boolean isReader() {
-        List<Peers.Peer> known = peers.all();
+        List<Peers.Peer> knownPeers = peers.all();
         long ownRank = rank(self.name());
-        long before = known.stream()
+        long higherRanked = knownPeers.stream()
                 .filter(peer -> peer.dataCentre().equals(self.dataCentre()))
                 .map(Peers.Peer::id)
                 .distinct()
-                .filter(name -> isBefore(name, ownRank))
+                .filter(name -> ranksBefore(name, ownRank))
                 .limit(READERS_PER_DATA_CENTRE)
                 .count();
-        return before < READERS_PER_DATA_CENTRE;
+        return higherRanked < READERS_PER_DATA_CENTRE;
     }
 
     /**
-     * When the list was last read here, for the state dump.
+     * Returns when this process last read the list, for the state dump.
      *
      * @return monotonic milliseconds, or {@link Long#MIN_VALUE} if never.
      */
     public long lastReadMillis() {
-        return listAgeFromMillis;
+        return lastReadMillis;
     }
 
-    private CompletableFuture<Void> read() {
+    private CompletableFuture<Void> readList() {
         return list.list().handle((vms, failure) -> {
             if (failure == null) {
-                apply(vms);
+                applyList(vms);
             } else {
-                table.noteListOut();
+                table.noteListUnavailable();
             }
             return null;
         });
     }
 
-    private synchronized void apply(List<VmList.Vm> vms) {
-        listAgeFromMillis = clock.monotonicMillis();
+    private synchronized void applyList(List<VmList.Vm> vms) {
+        lastReadMillis = clock.monotonicMillis();
         peers.noteListed(vms);
         List<VmList.Vm> sides =
                 vms.stream().filter(vm -> SIDE_ROLE.equals(vm.role())).toList();
@@ -166,25 +167,26 @@
         });
     }
 
-    // An absence seen as a reader must not grow old once others read: the VM may be listed again unseen.
-    private CompletableFuture<Void> leaveToOthers() {
-        table.noteListOut();
+    // A process that is not a reader resets its unlisted times. Otherwise, after it stops being a reader, they would
+    // keep growing although the VM may be listed again without this process noticing.
+    private CompletableFuture<Void> skipList() {
+        table.noteListUnavailable();
         return CompletableFuture.completedFuture(null);
     }
 
-    // Placement counts on sides that are reachable. With the list out a dead side shows only by its silence, so the
-    // sides of a service try each other: all of them in a small service, a random few in a large one.
-    private List<Side> neighbours() {
+    // Placement relies on reachability. While the list is unavailable, a dead side can only be detected by its missing
+    // answers, so the sides of a service probe each other: all of them in a small service, a random few in a large one.
+    private List<Side> servicePeers() {
         String service = table.side(self.name()).map(Side::service).orElse("");
         List<Side> reachable = new ArrayList<>(table.sides().stream()
                 .filter(side -> side.service().equals(service))
                 .filter(side -> side.reachable() && !side.id().equals(self.name()))
                 .toList());
         Collections.shuffle(reachable, new Random(random.nextLong()));
-        return reachable.stream().limit(MAX_TRIES).toList();
+        return reachable.stream().limit(MAX_PROBES).toList();
     }
 
-    private CompletableFuture<Void> tryToReach(Side side) {
+    private CompletableFuture<Void> probe(Side side) {
         return connections.to(side.address()).ping().handle((answer, failure) -> {
             table.noteReached(side.id(), side.epoch(), failure == null);
             return null;
@@ -200,12 +202,12 @@
     }
 
     private static Void noteAnnounceFailure(Throwable failure) {
-        LOG.log(System.Logger.Level.DEBUG, "membership: the VM list took no announcement.", failure);
+        LOG.log(System.Logger.Level.DEBUG, "membership: cannot announce this process to the VM list.", failure);
         return null;
     }
 
-    // Each name is hashed once: sorting by hash took milliseconds at 2,400 sides, at each round of each process.
-    private boolean isBefore(String name, long ownRank) {
+    // Hashes each name once: sorting by hash took milliseconds for 2,400 sides in each round of each process.
+    private boolean ranksBefore(String name, long ownRank) {
         long rank = rank(name);
         return rank < ownRank || rank == ownRank && name.compareTo(self.name()) < 0;
     }
--- a/src/main/java/io/waxwingquay/permit/LeasedPermits.java
+++ b/src/main/java/io/waxwingquay/permit/LeasedPermits.java
@@ -113,7 +113,7 @@
         Map<Integer, Side> byReplica = builder.membership.sides().stream()
                 .filter(side -> side.service().equals(builder.service))
                 .filter(side -> !side.id().equals(builder.holderId))
-                .filter(Side::takesWork)
+                .filter(Side::acceptsWork)
                 .filter(side -> side.replica() < builder.totalSlots.apply(limit))
                 .collect(Collectors.toMap(Side::replica, side -> side, LeasedPermits::newer));
         List<Side> lenderSides = new ArrayList<>(byReplica.values());
--- a/src/main/java/io/waxwingquay/routing/RouteQuery.java
+++ b/src/main/java/io/waxwingquay/routing/RouteQuery.java
@@ -30,7 +30,7 @@
      * @return whether it belongs to the service, accepts work and was not tried yet.
      */
     public boolean admits(Side side) {
-        return side.service().equals(service) && side.takesWork() && !excludedSideIds.contains(side.id());
+        return side.service().equals(service) && side.acceptsWork() && !excludedSideIds.contains(side.id());
     }
 
     /**
--- a/src/main/java/io/waxwingquay/side/SideRecordPublisher.java
+++ b/src/main/java/io/waxwingquay/side/SideRecordPublisher.java
@@ -2,7 +2,7 @@
 
 import io.waxwingquay.chart.StateChart;
 import io.waxwingquay.ledger.MemoryLedger.Snapshot;
-import io.waxwingquay.membership.PublishPace;
+import io.waxwingquay.membership.PublishInterval;
 import io.waxwingquay.transport.generated.ItemRecord;
 import io.waxwingquay.transport.generated.SideRecord;
 import io.waxwingquay.transport.generated.SideState;
@@ -93,7 +93,7 @@
     private long demandIntervalMillis(SideRecord next) {
         int sides = context.membership().sides().size();
         return Math.max(
-                MIN_DEMAND_INTERVAL_MILLIS, PublishPace.millisBetween(sides, next, MAX_DEMAND_BYTES_PER_SECOND));
+                MIN_DEMAND_INTERVAL_MILLIS, PublishInterval.minMillis(sides, next, MAX_DEMAND_BYTES_PER_SECOND));
     }
 
     private SideRecord record() {
--- a/src/main/java/io/waxwingquay/transport/ForwardingPeer.java
+++ b/src/main/java/io/waxwingquay/transport/ForwardingPeer.java
@@ -11,54 +11,54 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * Hands what any process may ask to another handler, for handlers that add to it.
+ * A handler that delegates the calls of {@link PeerProtocol} to another handler, as a base for handlers that extend it.
  */
 public abstract class ForwardingPeer implements PeerProtocol {
 
-    private final PeerProtocol peer;
+    private final PeerProtocol delegate;
 
     /**
-     * A handler that adds to another.
+     * Creates a handler that delegates to another.
      *
-     * @param peer answers what any process may ask.
+     * @param delegate the handler that answers the calls.
      */
-    protected ForwardingPeer(PeerProtocol peer) {
-        this.peer = peer;
+    protected ForwardingPeer(PeerProtocol delegate) {
+        this.delegate = delegate;
     }
 
     /** {@inheritDoc} */
     @Override
     public CompletableFuture<GossipAnswer> gossip(GossipRequest request) {
-        return peer.gossip(request);
+        return delegate.gossip(request);
     }
 
     /** {@inheritDoc} */
     @Override
     public CompletableFuture<BundleAnswer> fetchBundle(BundleRequest request) {
-        return peer.fetchBundle(request);
+        return delegate.fetchBundle(request);
     }
 
     /** {@inheritDoc} */
     @Override
     public CompletableFuture<Boolean> noteSuspects(SuspectNotice notice) {
-        return peer.noteSuspects(notice);
+        return delegate.noteSuspects(notice);
     }
 
     /** {@inheritDoc} */
     @Override
     public CompletableFuture<PermitAnswer> borrowPermit(PermitRequest request) {
-        return peer.borrowPermit(request);
+        return delegate.borrowPermit(request);
     }
 
     /** {@inheritDoc} */
     @Override
     public CompletableFuture<Boolean> returnPermit(PermitReturn request) {
-        return peer.returnPermit(request);
+        return delegate.returnPermit(request);
     }
 
     /** {@inheritDoc} */
     @Override
     public CompletableFuture<Boolean> ping() {
-        return peer.ping();
+        return delegate.ping();
     }
 }
--- a/src/main/java/io/waxwingquay/transport/TransportException.java
+++ b/src/main/java/io/waxwingquay/transport/TransportException.java
@@ -1,32 +1,32 @@
 package io.waxwingquay.transport;
 
 /**
- * A failure between two of the system's processes.
+ * A failed call between two processes of the system.
  */
 public final class TransportException extends RuntimeException {
 
     private static final long serialVersionUID = 1L;
 
-    private final boolean delivered;
+    private final boolean maybeDelivered;
 
     /**
-     * A failure.
+     * Creates an exception.
      *
-     * @param delivered whether the call may have reached the other process.
+     * @param maybeDelivered whether the call may have reached the other process.
      * @param message what failed, naming the address.
-     * @param cause the failure below, or {@code null}.
+     * @param cause the underlying failure, or {@code null}.
      */
-    public TransportException(boolean delivered, String message, Throwable cause) {
+    public TransportException(boolean maybeDelivered, String message, Throwable cause) {
         super(message, cause);
-        this.delivered = delivered;
+        this.maybeDelivered = maybeDelivered;
     }
 
     /**
-     * Whether the call may have reached the other process. False is certain: it did not.
+     * Checks whether the call may have reached the other process.
      *
-     * @return whether it may have been delivered.
+     * @return {@code false} only if the call certainly did not reach it.
      */
-    public boolean mayBeDelivered() {
-        return delivered;
+    public boolean mayHaveBeenDelivered() {
+        return maybeDelivered;
     }
 }
--- a/src/test/java/io/waxwingquay/chart/StateChartTest.java
+++ b/src/test/java/io/waxwingquay/chart/StateChartTest.java
@@ -31,6 +31,7 @@
         assertTrue(chart.isFinal(Door.SHUT));
     }
 
+    // An undeclared event or an unreachable state must show at the start, not when the event first occurs.
     @ParameterizedTest
     @CsvSource(
             delimiter = ';',
@@ -44,7 +45,7 @@
                 "initial OPEN;# nothing;no initial state",
                 "illegal AJAR KNOCK;forbid AJAR KNOCK;is not a line of a chart"
             })
-    void refusesFaultyCharts(String good, String bad, String expected) {
+    void rejectsMalformedCharts(String good, String bad, String expected) {
         String text = DOOR.replace(good, bad);
         ChartException failure = assertThrows(
                 ChartException.Malformed.class, () -> StateChart.parse("door", text, Door.class, Hand.class));
--- a/src/test/java/io/waxwingquay/common/DrainGateTest.java
+++ b/src/test/java/io/waxwingquay/common/DrainGateTest.java
@@ -9,8 +9,9 @@
 
 class DrainGateTest {
 
+    // A shutdown that does not wait for work in flight cuts off requests that were already admitted.
     @Test
-    void refusesNewWorkAndWaitsForTheLast() {
+    void admitsNoNewWorkAndWaitsForWorkInFlight() {
         DrainGate gate = new DrainGate();
         assertTrue(gate.tryEnter());
         var empty = gate.close();
@@ -20,6 +21,7 @@
         assertTrue(empty.isDone());
     }
 
+    // The outcome of a request may still be written after its answer; a shutdown in between would lose it.
     @Test
     void waitsForWorkThatOutlivesItsRequest() {
         DrainGate gate = new DrainGate();
@@ -32,6 +34,7 @@
         assertTrue(empty.isDone());
     }
 
+    // With a gap between the check of the flag and the count, a shutdown could miss work that was just admitted.
     @Test
     void isLinearizable() {
         new StressOptions()
@@ -42,10 +45,10 @@
                 .check(Concurrent.class);
     }
 
-    /** Operations that run against each other. */
+    /** The operations that Lincheck runs concurrently. */
     public static class Concurrent {
 
-        private final DrainGate gate = held();
+        private final DrainGate gate = newHeldGate();
 
         @Operation
         public boolean enter() {
@@ -58,8 +61,8 @@
         }
 
         @Operation
-        public long inside() {
-            return gate.inside();
+        public long inFlight() {
+            return gate.inFlight();
         }
 
         @Operation
@@ -72,7 +75,7 @@
             return gate.isClosed();
         }
 
-        private static DrainGate held() {
+        private static DrainGate newHeldGate() {
             DrainGate gate = new DrainGate();
             gate.hold();
             return gate;
--- a/src/test/java/io/waxwingquay/membership/GossipWorld.java
+++ b/src/test/java/io/waxwingquay/membership/GossipSimulation.java
@@ -26,10 +26,11 @@
 import java.util.stream.LongStream;
 
 /**
- * Processes that gossip by direct calls, with one clock that the test steps. Each wakes every 250 ms at a phase of its
- * own, as the real loop does, so that news rarely goes more than one hop in a step.
+ * A simulation of processes that gossip by direct calls, with one clock that the test advances. Each process checks
+ * every 250 ms, at a phase of its own, whether a round is due, as the real loop does. A change therefore rarely travels
+ * more than one hop per step.
  */
-final class GossipWorld {
+final class GossipSimulation {
 
     static final long STEP_MILLIS = 10;
     private static final long WAKE_MILLIS = 250;
@@ -39,8 +40,8 @@
 
     private final List<Node> nodes = new ArrayList<>();
     private final Set<Integer> down = new HashSet<>();
-    private final Random losses = new Random(9);
-    private double lostShare;
+    private final Random lossRandom = new Random(9);
+    private double lossProbability;
     private long nowMillis = 1_000;
     private final Clock clock = new Clock() {
         @Override
@@ -54,15 +55,15 @@
         }
     };
 
-    /** Sides that all know each other. */
-    static GossipWorld ofAcquainted(int count, long seed) {
-        GossipWorld world = new GossipWorld();
-        IntStream.range(0, count).forEach(index -> world.nodes.add(world.new Node(index, seed + index)));
+    /** Creates sides that all know each other. */
+    static GossipSimulation fullyConnected(int count, long seed) {
+        GossipSimulation simulation = new GossipSimulation();
+        IntStream.range(0, count).forEach(index -> simulation.nodes.add(simulation.new Node(index, seed + index)));
         List<SideRecord> all =
-                IntStream.range(0, count).mapToObj(GossipWorld::record).toList();
-        world.nodes.forEach(node -> node.table.merge(all));
-        world.settle();
-        return world;
+                IntStream.range(0, count).mapToObj(GossipSimulation::record).toList();
+        simulation.nodes.forEach(node -> node.table.merge(all));
+        simulation.settle();
+        return simulation;
     }
 
     static SideRecord record(int index) {
@@ -92,11 +93,11 @@
         return nodes.get(index);
     }
 
-    /** A process that knows only one other. */
-    Node join(int seedOf) {
-        Node node = new Node(nodes.size(), seedOf);
+    /** Adds a process that knows only one other. */
+    Node join(int contactIndex) {
+        Node node = new Node(nodes.size(), contactIndex);
         nodes.add(node);
-        node.peers.noteRequest(name(seedOf), address(seedOf));
+        node.peers.noteRequest(name(contactIndex), address(contactIndex));
         node.table.publish(record(nodes.size() - 1));
         return node;
     }
@@ -105,9 +106,9 @@
         down.add(index);
     }
 
-    /** From now on this share of calls is lost, half of them after they were answered. */
-    void lose(double share) {
-        lostShare = share;
+    /** Loses calls with the given probability from now on, half of them after they were answered. */
+    void setLossProbability(double probability) {
+        lossProbability = probability;
     }
 
     void step() {
@@ -115,7 +116,7 @@
         nodes.forEach(Node::step);
     }
 
-    /** Steps until a condition holds at every node that is up, or the limit is reached. */
+    /** Advances the time until a condition holds at every running node or the limit is reached. */
     long millisUntilAll(Predicate<Node> condition, long limitMillis) {
         long startMillis = nowMillis;
         while (nowMillis - startMillis < limitMillis && !upNodes().stream().allMatch(condition)) {
@@ -124,11 +125,11 @@
         return nowMillis - startMillis;
     }
 
-    void pass(long millis) {
+    void advance(long millis) {
         LongStream.range(0, millis / STEP_MILLIS).forEach(ignored -> step());
     }
 
-    /** Bytes sent by all nodes since the world began. */
+    /** Returns the bytes sent by all nodes since the start of the simulation. */
     double sentBytes() {
         return nodes.stream().mapToDouble(Node::sentBytes).sum();
     }
@@ -138,7 +139,7 @@
     }
 
     private void settle() {
-        pass(20_000);
+        advance(20_000);
     }
 
     private List<Node> upNodes() {
@@ -153,7 +154,7 @@
         return new HostPort("127.0.0.1", PORT + index);
     }
 
-    /** One process. */
+    /** A simulated process. */
     final class Node {
 
         final MemberTable table = new MemberTable(clock, MemberTable.Timing.DEFAULT);
@@ -174,17 +175,17 @@
             this.phaseMillis = random.nextLong(WAKE_MILLIS / STEP_MILLIS) * STEP_MILLIS;
             this.lastRoundMillis = nowMillis - random.nextInt(2_000);
             this.gossip = Gossip.over(table, peers, new DirectConnections())
-                    .carrying(suspects)
-                    .announcing(
+                    .withSuspects(suspects)
+                    .withBundleVersion(
                             () -> bundleVersion, (version, from) -> bundleVersion = Math.max(bundleVersion, version))
-                    .deciding(clock, new Random(seed))
-                    .countedBy(registry)
+                    .withClockAndRandom(clock, new Random(seed))
+                    .withMeterRegistry(registry)
                     .build();
         }
 
         private void step() {
-            boolean isAwake = (nowMillis - phaseMillis) % WAKE_MILLIS == 0;
-            if (isAwake && !down.contains(index) && nowMillis - lastRoundMillis >= gossip.nextDelayMillis()) {
+            boolean isWakeTime = (nowMillis - phaseMillis) % WAKE_MILLIS == 0;
+            if (isWakeTime && !down.contains(index) && nowMillis - lastRoundMillis >= gossip.nextDelayMillis()) {
                 lastRoundMillis = nowMillis;
                 gossip.round().join();
             }
@@ -211,15 +212,15 @@
         }
 
         private CompletableFuture<?> answer(int index, String method, Object[] arguments) {
-            boolean isRequestLost = losses.nextDouble() < lostShare / 2;
-            CompletableFuture<?> answer = isRequestLost ? null : delivered(index, method, arguments);
-            boolean isAnswerLost = losses.nextDouble() < lostShare / 2;
+            boolean isRequestLost = lossRandom.nextDouble() < lossProbability / 2;
+            CompletableFuture<?> answer = isRequestLost ? null : deliver(index, method, arguments);
+            boolean isAnswerLost = lossRandom.nextDouble() < lossProbability / 2;
             return isRequestLost || isAnswerLost
                     ? CompletableFuture.failedFuture(new TransportException(!isRequestLost, "lost", null))
                     : answer;
         }
 
-        private CompletableFuture<?> delivered(int index, String method, Object[] arguments) {
+        private CompletableFuture<?> deliver(int index, String method, Object[] arguments) {
             return "ping".equals(method)
                     ? CompletableFuture.completedFuture(true)
                     : CompletableFuture.completedFuture(
--- a/src/test/java/io/waxwingquay/membership/MemberTableTest.java
+++ b/src/test/java/io/waxwingquay/membership/MemberTableTest.java
@@ -22,25 +22,26 @@
 
 class MemberTableTest {
 
-    private static final String NAME = GossipWorld.name(1);
+    private static final String NAME = GossipSimulation.name(1);
     private static final long EXPIRY_MILLIS = MemberTable.Timing.DEFAULT.expiryMillis();
 
     private long nowMillis = 1_000;
     private final MemberTable table = newTable();
 
     @Test
-    void leavingIsNotUndoneByAnOlderOrNewerRecordOfTheEpoch() {
-        // A side answers that it leaves. A peer that has not heard gossips its last record, and the side itself,
-        // told late, publishes residency once more. Were either to win, it would get new work while it drains.
+    void leavingIsNotRevertedByOlderOrNewerRecordOfSameEpoch() {
+        // A side is leaving. A peer that does not know it yet gossips the side's previous record, and the side, which
+        // learns of it late, publishes its residency once more. If either won, the draining side would get new work.
         table.publish(record(1, 5, SideState.SERVING));
         table.noteLeaving(NAME, 1);
         table.merge(List.of(record(1, 4, SideState.SERVING), record(1, 6, SideState.SERVING)));
         assertEquals(SideState.LEAVING, state());
-        assertFalse(table.side(NAME).orElseThrow().takesWork());
+        assertFalse(table.side(NAME).orElseThrow().acceptsWork());
     }
 
+    // A restarted side must get work although its previous epoch was leaving, and stale records must not revert that.
     @Test
-    void aHigherEpochReplacesAndAnOlderOneIsPassedOver() {
+    void higherEpochReplacesRecordAndLowerEpochIsIgnored() {
         table.publish(record(1, 5, SideState.LEAVING));
         table.merge(List.of(record(2, 1, SideState.SERVING)));
         table.merge(List.of(record(1, 9, SideState.LEAVING)));
@@ -48,8 +49,9 @@
         assertEquals(SideState.SERVING, state());
     }
 
+    // The list lags, and a broken link looks like a dead side: either sign alone would remove sides that are alive.
     @Test
-    void absenceAloneAndSilenceAloneDropNothing() {
+    void unlistedAloneOrUnresponsiveAloneDoesNotExpire() {
         table.publish(record(1, 1, SideState.SERVING));
         table.noteListed(Set.of());
         nowMillis += 2 * EXPIRY_MILLIS;
@@ -58,11 +60,12 @@
         table.noteReached(NAME, 1, false);
         nowMillis += 2 * EXPIRY_MILLIS;
         assertEquals(List.of(), table.expire());
-        assertFalse(table.side(NAME).orElseThrow().takesWork());
+        assertFalse(table.side(NAME).orElseThrow().acceptsWork());
     }
 
+    // A dead side must leave the membership, and a peer's stale record must not bring it back.
     @Test
-    void absentAndSilentForTheWholeExpiryIsGoneAndOldRumoursDoNotReturnIt() {
+    void unlistedAndUnresponsiveSideExpiresAndStaleRecordDoesNotReviveIt() {
         table.publish(record(1, 1, SideState.SERVING));
         table.noteListed(Set.of());
         nowMillis += EXPIRY_MILLIS;
@@ -77,9 +80,9 @@
     }
 
     @Test
-    void aSideThatLeftAndWasTakenForGoneComesBackAsLeaving() {
-        // A side leaves, is cut off while it drains and expires to GONE. The cut ends and its last publication arrives,
-        // made before it heard that it leaves. It lives, but new work must not go there.
+    void leavingSideThatExpiredReturnsAsLeaving() {
+        // A leaving side is partitioned while it drains, and expires to GONE. After the partition its last publication
+        // arrives, made before it learnt that it is leaving. The side is alive but must not get new work.
         table.publish(record(1, 1, SideState.SERVING));
         table.noteLeaving(NAME, 1);
         table.noteListed(Set.of());
@@ -91,37 +94,41 @@
     }
 
     @Test
-    void theListBeingOutEndsAnAbsence() {
-        // A VM is missing from one stale list, then the table service is out for long and the side is silent behind
-        // a cut link. Time without a list counted as absence would drop a side that still serves others.
+    void unavailableListResetsUnlistedTime() {
+        // A VM is missing from one stale list, then the table service is unavailable for long while the side is
+        // unresponsive behind a broken link. If time without a list counted as unlisted, a side that still serves
+        // others would expire.
         table.publish(record(1, 1, SideState.SERVING));
         table.noteListed(Set.of());
         table.noteReached(NAME, 1, false);
-        table.noteListOut();
+        table.noteListUnavailable();
         nowMillis += 10 * EXPIRY_MILLIS;
         assertEquals(List.of(), table.expire());
     }
 
+    // Without probes an unresponsive side would never get work again; too many would load the network.
     @Test
-    void aSilentSideIsDueForRetryOnceAnInterval() {
+    void unresponsiveSideIsDueForProbeOncePerInterval() {
         table.publish(record(1, 1, SideState.SERVING));
         table.noteReached(NAME, 1, false);
-        assertEquals(0, table.dueForRetry().size());
-        nowMillis += MemberTable.Timing.DEFAULT.retryMillis();
-        assertEquals(1, table.dueForRetry().size());
-        assertEquals(0, table.dueForRetry().size());
+        assertEquals(0, table.dueForProbe().size());
+        nowMillis += MemberTable.Timing.DEFAULT.probeIntervalMillis();
+        assertEquals(1, table.dueForProbe().size());
+        assertEquals(0, table.dueForProbe().size());
         table.noteReached(NAME, 1, true);
-        assertTrue(table.side(NAME).orElseThrow().takesWork());
+        assertTrue(table.side(NAME).orElseThrow().acceptsWork());
     }
 
+    // Routing needs a name and an address, which a malformed record or a digest lacks.
     @Test
-    void aRecordWithoutANameOrAddressIsPassedOver() {
+    void recordWithoutNameOrAddressIsIgnored() {
         table.merge(List.of(new SideRecord(), GossipHandler.digestOf(record(1, 1, SideState.SERVING))));
         assertEquals(0, table.size());
     }
 
+    // If the result depended on the order of arrival, processes would keep different views permanently.
     @Property(tries = 300, seed = "20261202")
-    void recordsOfLivingSidesJoinAlikeInAnyOrder(@ForAll("records") List<SideRecord> records, @ForAll long seed) {
+    void recordsOfLiveSidesMergeEquallyInAnyOrder(@ForAll("records") List<SideRecord> records, @ForAll long seed) {
         MemberTable once = newTable();
         MemberTable other = newTable();
         List<SideRecord> shuffled = new ArrayList<>(records);
@@ -149,7 +156,7 @@
     }
 
     private static SideRecord record(long epoch, long version, SideState state) {
-        return GossipWorld.record(1).setEpoch(epoch).setVersion(version).setState(state);
+        return GossipSimulation.record(1).setEpoch(epoch).setVersion(version).setState(state);
     }
 
     private MemberTable newTable() {
--- a/src/test/java/io/waxwingquay/membership/VmWatchTest.java
+++ b/src/test/java/io/waxwingquay/membership/VmWatchTest.java
@@ -22,7 +22,7 @@
 class VmWatchTest {
 
     private static final int SIDES = 60;
-    private static final String WATCHED = GossipWorld.name(1);
+    private static final String WATCHED = GossipSimulation.name(1);
 
     private final FakeList list = new FakeList();
     private boolean answersPings = true;
@@ -39,8 +39,9 @@
         }
     };
 
+    // If every process read the list, the table service would be overloaded.
     @Test
-    void threeProcessesOfEachDataCentreRead() {
+    void threeProcessesOfEachDataCentreReadTheList() {
         long readers = IntStream.range(0, SIDES)
                 .filter(index -> watch(index, fullTable()).isReader())
                 .count();
@@ -48,9 +49,9 @@
     }
 
     @Test
-    void aListThatGoesBackDoesNotUndoLeaving() {
-        // The platform says that a VM leaves, then an older copy of its list says live. The side still drains: work
-        // sent there on the word of the older list would be refused or cut off.
+    void listThatGoesBackwardsDoesNotRevertLeaving() {
+        // The platform lists a VM as leaving, then returns an older version of the list that shows it as live. The side
+        // is still draining: work routed to it because of the older list would be refused or cut off.
         MemberTable table = fullTable();
         VmWatch reader = reader(table);
         list.vms = List.of(vm(1, true));
@@ -60,24 +61,25 @@
         assertEquals(SideState.LEAVING, table.side(WATCHED).orElseThrow().state());
     }
 
+    // The list still says leaving after the side restarted. Applied to the new epoch, the flag would keep work away.
     @Test
-    void aStaleLeavingFlagDoesNotTouchARestartedSide() {
+    void staleLeavingFlagDoesNotAffectRestartedSide() {
         MemberTable table = fullTable();
         VmWatch reader = reader(table);
         list.vms = List.of(vm(1, true));
         reader.round().join();
-        table.publish(GossipWorld.record(1).setEpoch(2));
+        table.publish(GossipSimulation.record(1).setEpoch(2));
         reader.round().join();
         assertEquals(SideState.SERVING, table.side(WATCHED).orElseThrow().state());
     }
 
     @Test
-    void withTheListOutDeadSidesAreAvoidedAndNoneIsDropped() {
-        // The table service is out and every other side falls silent. Dropping them would empty the membership, and
-        // nothing would bring them back when the cut ends.
+    void deadSidesAreAvoidedButNotExpiredWhileListIsUnavailable() {
+        // The table service is unavailable and every other side becomes unresponsive. Expiring them would empty the
+        // membership, and nothing would restore it after the partition.
         MemberTable table = fullTable();
         VmWatch reader = reader(table);
-        list.isOut = true;
+        list.isUnavailable = true;
         answersPings = false;
         for (int round = 0; round < 60; round++) {
             nowMillis += 2_000;
@@ -90,12 +92,12 @@
             nowMillis += 2_000;
             reader.round().join();
         }
-        assertEquals(SIDES, table.sides().stream().filter(Side::takesWork).count());
+        assertEquals(SIDES, table.sides().stream().filter(Side::acceptsWork).count());
     }
 
     private MemberTable fullTable() {
         MemberTable table = new MemberTable(clock, MemberTable.Timing.DEFAULT);
-        table.merge(IntStream.range(0, SIDES).mapToObj(GossipWorld::record).toList());
+        table.merge(IntStream.range(0, SIDES).mapToObj(GossipSimulation::record).toList());
         return table;
     }
 
@@ -116,18 +118,19 @@
     }
 
     private static VmList.Vm vm(int index, boolean leaving) {
-        return new VmList.Vm(GossipWorld.name(index), "127.0.0.1", 20_000 + index, "dc-" + index % 6, "side", leaving);
+        return new VmList.Vm(
+                GossipSimulation.name(index), "127.0.0.1", 20_000 + index, "dc-" + index % 6, "side", leaving);
     }
 
     private static final class FakeList implements VmList {
 
         private List<Vm> vms = new ArrayList<>();
-        private boolean isOut;
+        private boolean isUnavailable;
 
         @Override
         public CompletableFuture<List<Vm>> list() {
-            return isOut
-                    ? CompletableFuture.failedFuture(new PlatformException.Unavailable("list is out", null))
+            return isUnavailable
+                    ? CompletableFuture.failedFuture(new PlatformException.Unavailable("list is unavailable", null))
                     : CompletableFuture.completedFuture(vms);
         }
 
@@ -146,7 +149,7 @@
                     new Class<?>[] {SideProtocol.class},
                     (proxy, method, arguments) -> answersPings
                             ? CompletableFuture.completedFuture(true)
-                            : CompletableFuture.failedFuture(new TransportException(false, "silent", null)));
+                            : CompletableFuture.failedFuture(new TransportException(false, "unresponsive", null)));
         }
 
         @Override
--- a/src/test/java/io/waxwingquay/transport/ThriftConnectionsTest.java
+++ b/src/test/java/io/waxwingquay/transport/ThriftConnectionsTest.java
@@ -26,17 +26,18 @@
     private static final String LOOPBACK = "127.0.0.1";
     private static final HostPort ANY_PORT = new HostPort(LOOPBACK, 0);
 
+    // Long polls that are waiting must not block other calls to the same process.
     @Test
-    void carriesManyLongPollsAtOnce() {
+    void carriesManyConcurrentLongPolls() {
         CompletableFuture<Void> release = new CompletableFuture<>();
-        SideProtocol handler = new ScriptedSide() {
+        SideProtocol handler = new UnansweringSide() {
             @Override
             public CompletableFuture<PollAnswer> poll(PollRequest request) {
                 return release.thenApply(ignored -> answerFor(request));
             }
         };
         try (ThriftServer server = ThriftServer.bind(ANY_PORT).serveSide(handler);
-                ThriftConnections connections = patient().build()) {
+                ThriftConnections connections = longTimeoutBuilder().build()) {
             SideProtocol client = connections.to(server.address());
             List<CompletableFuture<PollAnswer>> answers = IntStream.range(0, 100)
                     .mapToObj(number -> client.poll(new PollRequest("attempt", number, 20_000L)))
@@ -49,24 +50,24 @@
         }
     }
 
+    // Only a call that was certainly not delivered may be sent again without risk of running twice.
     @Test
-    void saysForCertainThatARefusedConnectionDeliveredNothing() throws IOException {
+    void callOnRefusedConnectionWasNotDelivered() throws IOException {
         HostPort closed;
         try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getByName(LOOPBACK))) {
             closed = new HostPort(LOOPBACK, socket.getLocalPort());
         }
-        try (ThriftConnections connections = patient().build()) {
-            assertFalse(failureOf(connections.to(closed).ping()).mayBeDelivered());
+        try (ThriftConnections connections = longTimeoutBuilder().build()) {
+            assertFalse(failureOf(connections.to(closed).ping()).mayHaveBeenDelivered());
         }
     }
 
     /*
-     * The caller sees a call fail within its time-out rather than hang.
      * The other end accepts the connection and the request and never answers.
-     * The call may have been delivered, and no one may say otherwise.
+     * The call must fail within its timeout rather than hang, and must count as possibly delivered.
      */
     @Test
-    void saysThatASilentCallMayHaveBeenDelivered() throws IOException {
+    void callThatTimedOutMayHaveBeenDelivered() throws IOException {
         try (ServerSocket silent = new ServerSocket(0, 1, InetAddress.getByName(LOOPBACK));
                 ThriftConnections connections =
                         ThriftConnections.builder().callTimeoutMillis(50L).build()) {
@@ -75,21 +76,20 @@
                     .ping();
             try (Socket accepted = silent.accept()) {
                 assertTrue(accepted.isConnected());
-                assertTrue(failureOf(answer).mayBeDelivered());
+                assertTrue(failureOf(answer).mayHaveBeenDelivered());
             }
         }
     }
 
     /*
-     * The caller sees its second poll answered although the first connection is dead for good.
-     * The first connection goes silent; its call fails; the connection is dropped and another opened.
-     * Without dropping it, the next call would be sent into the same silence.
+     * A connection becomes unresponsive and its call fails. The connection must be closed and the next call answered
+     * over a new one; if it were reused, the next call would time out as well.
      */
     @Test
-    void usesAFreshConnectionAfterSilence() {
+    void usesNewConnectionAfterTimeout() {
         CompletableFuture<Boolean> never = new CompletableFuture<>();
         int[] calls = {0};
-        SideProtocol handler = new ScriptedSide() {
+        SideProtocol handler = new UnansweringSide() {
             @Override
             public CompletableFuture<Boolean> ping() {
                 calls[0]++;
@@ -114,14 +114,15 @@
                 seen.add(method);
             }
         };
-        try (ThriftServer server = ThriftServer.bind(ANY_PORT).servePeer(new ScriptedSide());
-                ThriftConnections connections = patient().observer(observer).build()) {
+        try (ThriftServer server = ThriftServer.bind(ANY_PORT).servePeer(new UnansweringSide());
+                ThriftConnections connections =
+                        longTimeoutBuilder().observer(observer).build()) {
             connections.to(server.address()).ping().join();
             assertEquals(List.of("ping"), seen);
         }
     }
 
-    private static ThriftConnections.Builder patient() {
+    private static ThriftConnections.Builder longTimeoutBuilder() {
         return ThriftConnections.builder().callTimeoutMillis(20_000L);
     }
 
--- a/src/test/java/io/waxwingquay/transport/ScriptedSide.java
+++ b/src/test/java/io/waxwingquay/transport/UnansweringSide.java
@@ -16,8 +16,8 @@
 import io.waxwingquay.transport.generated.SuspectNotice;
 import java.util.concurrent.CompletableFuture;
 
-/** Answers nothing by default; tests override what they need. */
-class ScriptedSide implements SideProtocol {
+/** A handler that answers only pings; tests override the other calls as needed. */
+class UnansweringSide implements SideProtocol {
 
     @Override
     public CompletableFuture<SubmitAnswer> submit(Submission submission) {
