--- a/src/main/java/io/waxwingquay/bench/Fault.java
+++ b/src/main/java/io/waxwingquay/bench/Fault.java
@@ -20,7 +20,7 @@
         void begin(LocalDeployment deployment, long lastsMillis) {
             ModelEngineStandin engine =
                     deployment.targets().engines().values().iterator().next();
-            engine.faults().set(Settings.NONE.withCrash("", lastsMillis));
+            engine.faults().apply(Settings.NONE.withCrash("", lastsMillis));
             engine.crash();
         }
     },
@@ -33,7 +33,7 @@
                 deployment.killSide(replica.name());
                 if (replica.service().kind() == Kind.MODEL) {
                     ModelEngineStandin engine = deployment.targets().engines().get(replica.name());
-                    engine.faults().set(Settings.NONE.withCrash("", lastsMillis));
+                    engine.faults().apply(Settings.NONE.withCrash("", lastsMillis));
                     engine.crash();
                 }
             });
@@ -49,7 +49,7 @@
     STORE_OUTAGE {
         @Override
         void begin(LocalDeployment deployment, long lastsMillis) {
-            deployment.platform().faults().next(Faults.Kind.OUT, Faults.FOREVER);
+            deployment.platform().faults().inject(Faults.Kind.OUT, Faults.UNLIMITED);
         }
 
         @Override
@@ -64,7 +64,7 @@
         @Override
         void begin(LocalDeployment deployment, long lastsMillis) {
             deployment.targets().stores().values().forEach(store -> store.faults()
-                    .set(Settings.NONE.withSlowMillis(SLOW_MILLIS)));
+                    .apply(Settings.NONE.withSlowMillis(SLOW_MILLIS)));
         }
 
         @Override
--- a/src/main/java/io/waxwingquay/bench/LoadRun.java
+++ b/src/main/java/io/waxwingquay/bench/LoadRun.java
@@ -5,7 +5,7 @@
 import io.waxwingquay.common.HostPort;
 import io.waxwingquay.standin.CostModel;
 import io.waxwingquay.standin.EngineMemory;
-import io.waxwingquay.standin.LoadPace;
+import io.waxwingquay.standin.LoadPacer;
 import io.waxwingquay.standin.ModelEngineStandin;
 import java.io.IOException;
 import java.io.PrintWriter;
@@ -161,8 +161,8 @@
         Tally.Counts counts = tally.counts();
         long plainSent =
                 arrivals.stream().filter(arrival -> arrival.call().isPresent()).count();
-        LoadPace.Stats models = store(deployment).models();
-        LoadPace.Stats adapters = store(deployment).adapters();
+        LoadPacer.Stats models = store(deployment).models();
+        LoadPacer.Stats adapters = store(deployment).adapters();
         double faultSeconds = Fault.BEGIN * seconds;
         double endSeconds = Fault.END * seconds;
         return new RunResult(
--- a/src/main/java/io/waxwingquay/command/RehearseCommand.java
+++ b/src/main/java/io/waxwingquay/command/RehearseCommand.java
@@ -3,7 +3,7 @@
 import io.waxwingquay.observe.Logging;
 import io.waxwingquay.settings.ProcessSettings.LogFormat;
 import io.waxwingquay.settings.ProcessSettings.LogLevel;
-import io.waxwingquay.standin.prepared.Rehearsal;
+import io.waxwingquay.standin.prepared.TrainingRun;
 import java.net.BindException;
 import java.util.Objects;
 import java.util.Optional;
@@ -34,7 +34,7 @@
     public Integer call() throws Exception {
         Logging.toStandardOutput(LogFormat.TEXT, LogLevel.INFO);
         if (port.isPresent()) {
-            Rehearsal.play(port.get());
+            TrainingRun.run(port.get());
         } else {
             playAtDrawnPorts();
         }
@@ -46,7 +46,7 @@
     private static void playAtDrawnPorts() throws Exception {
         for (int draw = 1; ; draw++) {
             try {
-                Rehearsal.play(ThreadLocalRandom.current().nextInt(LOWEST_PORT, HIGHEST_PORT));
+                TrainingRun.run(ThreadLocalRandom.current().nextInt(LOWEST_PORT, HIGHEST_PORT));
                 return;
             } catch (Exception failure) {
                 if (draw == MOST_DRAWS || !isPortTaken(failure)) {
--- a/src/main/java/io/waxwingquay/standin/Batch.java
+++ b/src/main/java/io/waxwingquay/standin/Batch.java
@@ -137,7 +137,7 @@
         }
         stepping = true;
         long stepEpoch = epoch;
-        timer.after(delayMicros(prefillMicros + costs.stepMicros(running.size())), () -> finishStep(stepEpoch));
+        timer.schedule(delayMicros(prefillMicros + costs.stepMicros(running.size())), () -> finishStep(stepEpoch));
     }
 
     /**
--- a/src/main/java/io/waxwingquay/standin/EngineMemory.java
+++ b/src/main/java/io/waxwingquay/standin/EngineMemory.java
@@ -146,7 +146,7 @@
 
     private void evict(Order order) {
         String boot = bootId;
-        timer.after(evictMicros, () -> evictNow(boot, order));
+        timer.schedule(evictMicros, () -> evictNow(boot, order));
     }
 
     private void evictNow(String boot, Order order) {
--- a/src/main/java/io/waxwingquay/standin/EventWriter.java
+++ b/src/main/java/io/waxwingquay/standin/EventWriter.java
@@ -70,7 +70,7 @@
         if (idle) {
             write(KEEP_ALIVE);
         }
-        timer.after(keepAliveMicros, () -> keepAlive(writesNow));
+        timer.schedule(keepAliveMicros, () -> keepAlive(writesNow));
     }
 
     /** One write at a time: a second one would be refused by the connection and its tokens lost. */
--- a/src/main/java/io/waxwingquay/standin/LinkStandin.java
+++ b/src/main/java/io/waxwingquay/standin/FaultInjectingProxy.java
@@ -17,7 +17,7 @@
 /**
  * A link between two processes that forwards TCP and can fail as networks do.
  */
-public final class LinkStandin implements AutoCloseable {
+public final class FaultInjectingProxy implements AutoCloseable {
 
     private static final int BUFFER_BYTES = 16 * 1024;
     private static final int DIRECTIONS = 2;
@@ -29,7 +29,7 @@
     private volatile State state = State.UP;
     private volatile long delayMillis;
 
-    private LinkStandin(HostPort listen, HostPort destination) throws IOException {
+    private FaultInjectingProxy(HostPort listen, HostPort destination) throws IOException {
         this.destination = destination;
         this.listening = new ServerSocket();
         listening.setReuseAddress(true);
@@ -49,7 +49,7 @@
      * @param destination where connections go.
      * @return the open link.
      */
-    public static LinkStandin to(HostPort destination) {
+    public static FaultInjectingProxy to(HostPort destination) {
         return between(new HostPort("127.0.0.1", 0), destination);
     }
 
@@ -60,9 +60,9 @@
      * @param destination where connections go.
      * @return the open link.
      */
-    public static LinkStandin between(HostPort listen, HostPort destination) {
+    public static FaultInjectingProxy between(HostPort listen, HostPort destination) {
         try {
-            return new LinkStandin(listen, destination);
+            return new FaultInjectingProxy(listen, destination);
         } catch (IOException failure) {
             throw new IllegalStateException("link cannot listen on " + listen, failure);
         }
@@ -82,12 +82,12 @@
      *
      * @return how many.
      */
-    public int open() {
+    public int openConnections() {
         return connections.size();
     }
 
     /** Closes every open connection, and each new one at once, until {@link #heal()}. */
-    public void cut() {
+    public void disconnect() {
         state = State.CUT;
         connections.forEach(Connection::close);
     }
@@ -98,14 +98,14 @@
     }
 
     /** Makes every open connection silent for good, in both directions; new ones work. */
-    public void silenceOpen() {
+    public void blackholeOpen() {
         connections.forEach(Connection::silence);
     }
 
     /** Makes every connection silent, new ones too, until {@link #heal()}; those of now stay silent for good. */
-    public void silenceAll() {
+    public void blackholeAll() {
         state = State.SILENT;
-        silenceOpen();
+        blackholeOpen();
     }
 
     /** Lets new connections work again. */
--- a/src/main/java/io/waxwingquay/standin/Faults.java
+++ b/src/main/java/io/waxwingquay/standin/Faults.java
@@ -11,7 +11,7 @@
 public final class Faults {
 
     /** A count that never runs out. */
-    public static final int FOREVER = Integer.MAX_VALUE;
+    public static final int UNLIMITED = Integer.MAX_VALUE;
 
     private final Map<Kind, Integer> counts = new EnumMap<>(Kind.class);
     private Settings settings = Settings.NONE;
@@ -177,7 +177,7 @@
      *
      * @param newer the settings; what is absent stays.
      */
-    public synchronized void set(Settings newer) {
+    public synchronized void apply(Settings newer) {
         counts.putAll(newer.counts());
         settings = newer.over(settings);
     }
@@ -186,9 +186,9 @@
      * Makes the next chances faulty.
      *
      * @param kind the fault.
-     * @param times how many, or {@link #FOREVER}.
+     * @param times how many, or {@link #UNLIMITED}.
      */
-    public synchronized void next(Kind kind, int times) {
+    public synchronized void inject(Kind kind, int times) {
         counts.put(kind, times);
     }
 
@@ -215,7 +215,7 @@
      */
     synchronized boolean hits(Kind kind) {
         int left = counts.getOrDefault(kind, 0);
-        if (left > 0 && left != FOREVER) {
+        if (left > 0 && left != UNLIMITED) {
             counts.put(kind, left - 1);
         }
         return left > 0;
--- a/src/main/java/io/waxwingquay/standin/LoadPace.java
+++ b/src/main/java/io/waxwingquay/standin/LoadPacer.java
@@ -7,7 +7,7 @@
  * Paces loads: starts are spaced by the rate, and a load that starts while more than the limit are in flight
  * takes proportionally longer.
  */
-public final class LoadPace {
+public final class LoadPacer {
 
     private static final double SECOND_MICROS = 1_000_000.0;
 
@@ -15,18 +15,18 @@
     private final int atOnce;
     private final long spacingMicros;
     private final ToLongFunction<String> loadMicros;
-    private final RateCount starts;
+    private final RateCounter starts;
     private long nextStartMicros;
     private int inFlight;
     private int maxInFlight;
     private long overLimit;
 
-    LoadPace(StandinTimer timer, int atOnce, double perSecond, ToLongFunction<String> loadMicros) {
+    LoadPacer(StandinTimer timer, int atOnce, double perSecond, ToLongFunction<String> loadMicros) {
         this.timer = timer;
         this.atOnce = atOnce;
         this.spacingMicros = Math.round(SECOND_MICROS / perSecond);
         this.loadMicros = loadMicros;
-        this.starts = new RateCount(timer);
+        this.starts = new RateCounter(timer);
         this.nextStartMicros = timer.nowMicros();
     }
 
@@ -38,7 +38,7 @@
         if (startMicros == nowMicros) {
             start(item, done);
         } else {
-            timer.after(startMicros - nowMicros, () -> start(item, done));
+            timer.schedule(startMicros - nowMicros, () -> start(item, done));
         }
         return done;
     }
@@ -51,7 +51,7 @@
             overLimit++;
         }
         double slowdown = Math.max(1.0, (double) inFlight / atOnce);
-        timer.after(Math.round(loadMicros.applyAsLong(item) * slowdown), () -> finish(done));
+        timer.schedule(Math.round(loadMicros.applyAsLong(item) * slowdown), () -> finish(done));
     }
 
     private void finish(CompletableFuture<Void> done) {
@@ -72,5 +72,5 @@
      * @param maxInFlight the most loads in flight at once.
      * @param overLimit loads that started beyond the limit.
      */
-    public record Stats(RateCount.Count starts, int maxInFlight, long overLimit) {}
+    public record Stats(RateCounter.Count starts, int maxInFlight, long overLimit) {}
 }
--- a/src/main/java/io/waxwingquay/standin/ModelEngineStandin.java
+++ b/src/main/java/io/waxwingquay/standin/ModelEngineStandin.java
@@ -160,7 +160,7 @@
         }
         if (faults.hits(Faults.Kind.DELAY_ORDER)) {
             long delayMillis = faults.settings().orderDelayMillis().orElse(0L);
-            timer.after(delayMillis * MICROS_PER_MILLI, () -> memory.take(order));
+            timer.schedule(delayMillis * MICROS_PER_MILLI, () -> memory.take(order));
             return StandinReply.closedConnection();
         }
         OrderAnswer answer = faults.hits(Faults.Kind.FORGET_ORDER) ? OrderAnswer.TAKEN : memory.take(order);
@@ -194,7 +194,7 @@
         private double timeScale = 1.0;
         private long capacityBytes = 80_000_000_000L;
         private boolean fenced = true;
-        private WeightSource weights = WeightSource.after(StandinTimer.SYSTEM, 10 * MICROS_PER_MILLI);
+        private WeightSource weights = WeightSource.withFixedLatency(StandinTimer.SYSTEM, 10 * MICROS_PER_MILLI);
 
         private Builder() {}
 
--- a/src/main/java/io/waxwingquay/standin/PlainServiceStandin.java
+++ b/src/main/java/io/waxwingquay/standin/PlainServiceStandin.java
@@ -77,7 +77,7 @@
             return CompletableFuture.completedFuture(StandinReply.error(StandinReply.NOT_FOUND, "no such path"));
         }
         CompletableFuture<StandinReply> reply = new CompletableFuture<>();
-        timer.after(latencyMicros, () -> reply.complete(run(exchange)));
+        timer.schedule(latencyMicros, () -> reply.complete(run(exchange)));
         return reply;
     }
 
@@ -88,7 +88,9 @@
         exchange.header(HttpPlainService.IDEMPOTENCY_KEY_HEADER)
                 .ifPresent(key -> runsByKey.merge(key, 1, Integer::sum));
         String operation = URLDecoder.decode(exchange.after(OPERATIONS), StandardCharsets.UTF_8);
-        return StandinReply.json(StandinReply.OK, new Ran(operation, requestId, DigestUtils.sha256Hex(exchange.body())))
+        return StandinReply.json(
+                        StandinReply.OK,
+                        new OperationResult(operation, requestId, DigestUtils.sha256Hex(exchange.body())))
                 .written();
     }
 
@@ -99,7 +101,7 @@
      * @param requestId the caller's request identity.
      * @param bodySha256 digest of the body received.
      */
-    public record Ran(String operation, String requestId, String bodySha256) {}
+    public record OperationResult(String operation, String requestId, String bodySha256) {}
 
     /**
      * The recorded counts.
--- a/src/main/java/io/waxwingquay/standin/PlatformStandin.java
+++ b/src/main/java/io/waxwingquay/standin/PlatformStandin.java
@@ -22,23 +22,23 @@
     private final Map<String, TableService.Row> rows = new LinkedHashMap<>();
     private final Map<String, byte[]> objects = new ConcurrentHashMap<>();
     private final VmHistory vms;
-    private final RateCount transactions;
-    private final RateCount writes;
-    private final RateCount reads;
-    private final RateCount objectWrites;
-    private final RateCount objectReads;
-    private final RateCount listReads;
+    private final RateCounter transactions;
+    private final RateCounter writes;
+    private final RateCounter reads;
+    private final RateCounter objectWrites;
+    private final RateCounter objectReads;
+    private final RateCounter listReads;
     private final StandinServer server;
 
     private PlatformStandin(Builder builder) {
         StandinTimer timer = builder.timer;
         this.vms = new VmHistory(timer, builder.listLagMillis, builder.listExpiryMillis);
-        this.transactions = new RateCount(timer);
-        this.writes = new RateCount(timer);
-        this.reads = new RateCount(timer);
-        this.objectWrites = new RateCount(timer);
-        this.objectReads = new RateCount(timer);
-        this.listReads = new RateCount(timer);
+        this.transactions = new RateCounter(timer);
+        this.writes = new RateCounter(timer);
+        this.reads = new RateCounter(timer);
+        this.objectWrites = new RateCounter(timer);
+        this.objectReads = new RateCounter(timer);
+        this.listReads = new RateCounter(timer);
         this.server = StandinServer.start(
                 builder.address,
                 timer,
@@ -197,12 +197,12 @@
      * @param listReads listings of VMs.
      */
     public record Stats(
-            RateCount.Count transactions,
-            RateCount.Count writes,
-            RateCount.Count reads,
-            RateCount.Count objectWrites,
-            RateCount.Count objectReads,
-            RateCount.Count listReads) {}
+            RateCounter.Count transactions,
+            RateCounter.Count writes,
+            RateCounter.Count reads,
+            RateCounter.Count objectWrites,
+            RateCounter.Count objectReads,
+            RateCounter.Count listReads) {}
 
     /** Builds a stand-in. */
     public static final class Builder {
--- a/src/main/java/io/waxwingquay/standin/RateCount.java
+++ b/src/main/java/io/waxwingquay/standin/RateCounter.java
@@ -3,7 +3,7 @@
 /**
  * Counts events, in all and in the fullest second.
  */
-public final class RateCount {
+public final class RateCounter {
 
     private static final long SECOND_MICROS = 1_000_000L;
 
@@ -13,7 +13,7 @@
     private long inSecond;
     private long maxPerSecond;
 
-    RateCount(StandinTimer timer) {
+    RateCounter(StandinTimer timer) {
         this.timer = timer;
     }
 
--- a/src/main/java/io/waxwingquay/standin/StandinServer.java
+++ b/src/main/java/io/waxwingquay/standin/StandinServer.java
@@ -86,7 +86,7 @@
         away = true;
         SHARED.threads.execute(() -> {
             stopConnector();
-            timer.after(awayMicros, () -> SHARED.threads.execute(this::startConnector));
+            timer.schedule(awayMicros, () -> SHARED.threads.execute(this::startConnector));
         });
     }
 
@@ -142,7 +142,7 @@
         private boolean control(StandinExchange exchange, Answering answering) {
             if (exchange.is("POST", "/faults")) {
                 answering.reply(StandinReply.attempt(() -> {
-                    faults.set(exchange.read(Faults.Settings.class));
+                    faults.apply(exchange.read(Faults.Settings.class));
                     return StandinReply.empty(StandinReply.NO_CONTENT);
                 }));
                 return true;
@@ -166,7 +166,7 @@
             if (slowMicros == 0) {
                 serve(exchange, answering);
             } else {
-                timer.after(slowMicros, () -> serve(exchange, answering));
+                timer.schedule(slowMicros, () -> serve(exchange, answering));
             }
         }
 
--- a/src/main/java/io/waxwingquay/standin/StandinTimer.java
+++ b/src/main/java/io/waxwingquay/standin/StandinTimer.java
@@ -26,7 +26,7 @@
      * @param delayMicros how much later.
      * @param step the step, which must be short.
      */
-    void after(long delayMicros, Runnable step);
+    void schedule(long delayMicros, Runnable step);
 
     /** Real time. */
     final class ForSystem implements StandinTimer {
@@ -50,7 +50,7 @@
 
         /** {@inheritDoc} */
         @Override
-        public void after(long delayMicros, Runnable step) {
+        public void schedule(long delayMicros, Runnable step) {
             executor.schedule(() -> runLogged(step), delayMicros, TimeUnit.MICROSECONDS);
         }
 
@@ -64,7 +64,7 @@
     }
 
     /** Time that a test moves by hand. */
-    final class ByHand implements StandinTimer {
+    final class Manual implements StandinTimer {
 
         private final PriorityQueue<Due> steps =
                 new PriorityQueue<>(Comparator.comparingLong(Due::atMicros).thenComparingLong(Due::order));
@@ -79,7 +79,7 @@
 
         /** {@inheritDoc} */
         @Override
-        public synchronized void after(long delayMicros, Runnable step) {
+        public synchronized void schedule(long delayMicros, Runnable step) {
             steps.add(new Due(nowMicros + Math.max(0, delayMicros), order++, step));
         }
 
--- a/src/main/java/io/waxwingquay/standin/WeightSource.java
+++ b/src/main/java/io/waxwingquay/standin/WeightSource.java
@@ -28,10 +28,10 @@
      * @param micros the time.
      * @return the source.
      */
-    static WeightSource after(StandinTimer timer, long micros) {
+    static WeightSource withFixedLatency(StandinTimer timer, long micros) {
         return (item, bytes) -> {
             CompletableFuture<Void> done = new CompletableFuture<>();
-            timer.after(micros, () -> done.complete(null));
+            timer.schedule(micros, () -> done.complete(null));
             return done;
         };
     }
--- a/src/main/java/io/waxwingquay/standin/WeightStoreStandin.java
+++ b/src/main/java/io/waxwingquay/standin/WeightStoreStandin.java
@@ -11,18 +11,18 @@
     private static final String ADAPTER_PREFIX = "adapter:";
 
     private final Faults faults = new Faults();
-    private final LoadPace models;
-    private final LoadPace adapters;
+    private final LoadPacer models;
+    private final LoadPacer adapters;
     private final StandinServer server;
 
     private WeightStoreStandin(Builder builder) {
         double micros = 1_000L * builder.timeScale;
-        this.models = new LoadPace(
+        this.models = new LoadPacer(
                 builder.timer,
                 builder.loadsAtOnce,
                 builder.loadsPerSecond / builder.timeScale,
                 item -> Math.round(builder.loadMillis * micros));
-        this.adapters = new LoadPace(
+        this.adapters = new LoadPacer(
                 builder.timer,
                 builder.adapterLoadsAtOnce,
                 Double.POSITIVE_INFINITY,
@@ -77,7 +77,7 @@
             return CompletableFuture.completedFuture(StandinReply.error(StandinReply.NOT_FOUND, "no such path"));
         }
         String item = exchange.read(LoadRequest.class).item();
-        LoadPace pace = item.startsWith(ADAPTER_PREFIX) ? adapters : models;
+        LoadPacer pace = item.startsWith(ADAPTER_PREFIX) ? adapters : models;
         return pace.load(item).thenApply(done -> StandinReply.empty(StandinReply.NO_CONTENT));
     }
 
@@ -95,7 +95,7 @@
      * @param models loads of models.
      * @param adapters loads of adapters.
      */
-    public record Stats(LoadPace.Stats models, LoadPace.Stats adapters) {}
+    public record Stats(LoadPacer.Stats models, LoadPacer.Stats adapters) {}
 
     /** Builds a stand-in. */
     public static final class Builder {
--- a/src/main/java/io/waxwingquay/standin/prepared/EngineStandin.java
+++ b/src/main/java/io/waxwingquay/standin/prepared/ReplicaStandin.java
@@ -23,7 +23,7 @@
 /**
  * A model engine or a plain service: it answers requests as it is told, and carries out orders at once.
  */
-public final class EngineStandin {
+public final class ReplicaStandin {
 
     private static final int OK = 200;
     private static final int ACCEPTED = 202;
@@ -34,12 +34,12 @@
     private final String id;
     private final HostPort address;
     private final Map<String, Set<String>> models = new TreeMap<>();
-    private final List<String> ran = new CopyOnWriteArrayList<>();
+    private final List<String> startedAttemptIds = new CopyOnWriteArrayList<>();
     private volatile Behaviour behaviour;
-    private volatile boolean frozen;
+    private volatile boolean unresponsive;
     private long ordersTaken;
 
-    private EngineStandin(String id, HostPort address, List<String> models, Behaviour behaviour) {
+    private ReplicaStandin(String id, HostPort address, List<String> models, Behaviour behaviour) {
         this.id = id;
         this.address = address;
         this.behaviour = behaviour;
@@ -56,9 +56,9 @@
      * @param behaviour what it does with a request.
      * @return the replica.
      */
-    public static EngineStandin start(
+    public static ReplicaStandin start(
             EventLoop loop, String id, HostPort address, List<String> models, Behaviour behaviour) {
-        EngineStandin engine = new EngineStandin(id, address, models, behaviour);
+        ReplicaStandin engine = new ReplicaStandin(id, address, models, behaviour);
         HttpServer.listen(loop, new InetSocketAddress(address.host(), address.port()), engine::answer);
         return engine;
     }
@@ -78,8 +78,8 @@
      *
      * @param standsStill whether it does.
      */
-    public void freeze(boolean standsStill) {
-        frozen = standsStill;
+    public void unresponsive(boolean standsStill) {
+        unresponsive = standsStill;
     }
 
     /**
@@ -87,8 +87,8 @@
      *
      * @return their ids, in order.
      */
-    public List<String> ran() {
-        return ran;
+    public List<String> startedAttemptIds() {
+        return startedAttemptIds;
     }
 
     /**
@@ -112,7 +112,7 @@
     }
 
     private void answer(ServerExchange caller) {
-        if (frozen) {
+        if (unresponsive) {
             return;
         }
         switch (caller.request().path()) {
@@ -130,7 +130,7 @@
             caller.respond(MISDIRECTED, HttpFields.build().put("Replica-Id", id), "not here");
             return;
         }
-        ran.add(fields.get("Attempt-Id"));
+        startedAttemptIds.add(fields.get("Attempt-Id"));
         behaviour.run(this, caller);
     }
 
@@ -196,8 +196,8 @@
     public interface Behaviour {
 
         /** Answers at once with the request's body. */
-        Behaviour ECHO = (engine, caller) ->
-                caller.respond(OK, engine.fields(caller), caller.request().body());
+        Behaviour ECHO = (engine, caller) -> caller.respond(
+                OK, engine.responseFields(caller), caller.request().body());
 
         /**
          * Runs a request.
@@ -205,7 +205,7 @@
          * @param engine the replica.
          * @param caller the request and the way back.
          */
-        void run(EngineStandin engine, ServerExchange caller);
+        void run(ReplicaStandin engine, ServerExchange caller);
 
         /**
          * Streams numbered events, from the one after {@code Last-Event-Id}.
@@ -218,7 +218,8 @@
             return (engine, caller) -> {
                 String from = caller.request().fields().get("Last-Event-Id");
                 int first = from == null ? 1 : Integer.parseInt(from) + 1;
-                caller.begin(OK, HttpFields.build(engine.fields(caller)).put("Content-Type", "text/event-stream"));
+                caller.begin(
+                        OK, HttpFields.build(engine.responseFields(caller)).put("Content-Type", "text/event-stream"));
                 for (int number = first; number <= last; number++) {
                     String event = "id: " + number + "\ndata: event " + number + "\n\n";
                     if (breaksAfter > 0 && number > breaksAfter) {
@@ -239,7 +240,7 @@
      * @param caller the request.
      * @return the fields.
      */
-    public HttpFields fields(ServerExchange caller) {
+    public HttpFields responseFields(ServerExchange caller) {
         return HttpFields.build()
                 .put("Attempt-Id", String.valueOf(caller.request().fields().get("Attempt-Id")))
                 .put("Server-Seal", "seal-of-" + id);
--- a/src/main/java/io/waxwingquay/standin/prepared/StoreStandin.java
+++ b/src/main/java/io/waxwingquay/standin/prepared/StoreStandin.java
@@ -34,7 +34,7 @@
     private final List<Follower> followers = new ArrayList<>();
     private long version;
     private long historyFrom;
-    private boolean away;
+    private boolean unavailable;
 
     private StoreStandin(EventLoop loop, HostPort address) {
         this.loop = loop;
@@ -98,9 +98,9 @@
      *
      * @param isAway whether it does.
      */
-    public void away(boolean isAway) {
+    public void unavailable(boolean isAway) {
         onLoop(() -> {
-            away = isAway;
+            unavailable = isAway;
             wake();
         });
     }
@@ -121,7 +121,7 @@
     }
 
     private void answer(ServerExchange caller) {
-        if (away) {
+        if (unavailable) {
             caller.respond(UNAVAILABLE, HttpFields.EMPTY, "away");
             return;
         }
@@ -143,7 +143,7 @@
     private void wake() {
         new ArrayList<>(followers).forEach(follower -> {
             List<Row> changed = rows(follower.table, follower.after, true);
-            if (away || follower.after < historyFrom || !changed.isEmpty()) {
+            if (unavailable || follower.after < historyFrom || !changed.isEmpty()) {
                 followers.remove(follower);
                 follower.caller.respond(status(follower), HttpFields.EMPTY, page(changed));
             }
@@ -151,7 +151,7 @@
     }
 
     private int status(Follower follower) {
-        if (away) {
+        if (unavailable) {
             return UNAVAILABLE;
         }
         return follower.after < historyFrom ? GONE : OK;
--- a/src/main/java/io/waxwingquay/standin/prepared/Rehearsal.java
+++ b/src/main/java/io/waxwingquay/standin/prepared/TrainingRun.java
@@ -23,7 +23,7 @@
  * and requests through an entry. The build runs it once, to know which classes a process needs; they are kept in an
  * archive that starts processes faster and in less memory.
  */
-public final class Rehearsal {
+public final class TrainingRun {
 
     private static final String ENTRY_HOST = "127.0.0.1";
     private static final String SIDE_HOST = "127.0.0.2";
@@ -46,7 +46,7 @@
     private final EventLoop loop;
     private final int basePort;
 
-    private Rehearsal(EventLoop loop, int basePort) {
+    private TrainingRun(EventLoop loop, int basePort) {
         this.loop = loop;
         this.basePort = basePort;
     }
@@ -57,22 +57,22 @@
      * @param basePort the first of ten ports on loopback that it may use.
      * @throws Exception if a request is not answered as it should be.
      */
-    public static void play(int basePort) throws Exception {
+    public static void run(int basePort) throws Exception {
         EventLoop loop = EventLoop.start("rehearsal");
         try {
-            new Rehearsal(loop, basePort).play();
+            new TrainingRun(loop, basePort).run();
         } finally {
             loop.close();
         }
     }
 
-    private void play() throws Exception {
+    private void run() throws Exception {
         StoreStandin store = StoreStandin.start(loop, new HostPort(ENTRY_HOST, basePort));
         HostPort engineAddress = new HostPort(SIDE_HOST, basePort + 1);
-        EngineStandin engine =
-                EngineStandin.start(loop, "i-1", engineAddress, List.of("m"), EngineStandin.Behaviour.stream(5, 0));
-        EngineStandin plain = EngineStandin.start(
-                loop, "i-2", new HostPort(PLAIN_HOST, basePort + 1), List.of(), EngineStandin.Behaviour.ECHO);
+        ReplicaStandin engine =
+                ReplicaStandin.start(loop, "i-1", engineAddress, List.of("m"), ReplicaStandin.Behaviour.stream(5, 0));
+        ReplicaStandin plain = ReplicaStandin.start(
+                loop, "i-2", new HostPort(PLAIN_HOST, basePort + 1), List.of(), ReplicaStandin.Behaviour.ECHO);
         store.put("op", "config", MANIFEST);
         store.put("servers", "i-1", engine.row("engines", "z", "ready"));
         store.put("servers", "i-2", plain.row("plain", "z", "ready"));
--- a/src/test/java/io/waxwingquay/engine/HttpModelEngineTest.java
+++ b/src/test/java/io/waxwingquay/engine/HttpModelEngineTest.java
@@ -10,8 +10,8 @@
 import io.waxwingquay.engine.ModelEngine.OrderAnswer;
 import io.waxwingquay.engine.ModelEngine.OrderKind;
 import io.waxwingquay.standin.CostModel;
+import io.waxwingquay.standin.FaultInjectingProxy;
 import io.waxwingquay.standin.Faults;
-import io.waxwingquay.standin.LinkStandin;
 import io.waxwingquay.standin.ModelEngineStandin;
 import io.waxwingquay.standin.StandinText;
 import io.waxwingquay.standin.WeightSource;
@@ -86,8 +86,8 @@
     void silentStreamIsLostAndResumesAtItsOffsetWithoutRunningAgain() throws Exception {
         // The caller sees a stream stop after 5 tokens with its connection still open. The inactivity limit ends
         // it as lost; the same generation asked for from offset 5 gives the rest, and the engine ran it once.
-        standin.faults().set(Faults.Settings.NONE.withStreamTokens(5));
-        standin.faults().next(Faults.Kind.SILENT_STREAM, 1);
+        standin.faults().apply(Faults.Settings.NONE.withStreamTokens(5));
+        standin.faults().inject(Faults.Kind.SILENT_STREAM, 1);
 
         Collected broken = stream(engine, "s", 30, 0);
         assertEquals(TargetException.Kind.LOST, broken.failure().kind());
@@ -106,8 +106,8 @@
     void truncatedStreamIsLostAndNeverAShortSuccess() throws Exception {
         // The HTTP answer ends in order after 3 of 10 tokens, with no end event; without the check of the end the
         // caller would take three tokens for the whole answer.
-        standin.faults().set(Faults.Settings.NONE.withStreamTokens(3));
-        standin.faults().next(Faults.Kind.TRUNCATE_STREAM, 1);
+        standin.faults().apply(Faults.Settings.NONE.withStreamTokens(3));
+        standin.faults().inject(Faults.Kind.TRUNCATE_STREAM, 1);
 
         Collected broken = stream(engine, "t", 10, 0);
 
@@ -117,7 +117,7 @@
 
     @Test
     void repeatedTokensReachTheListenerOnce() throws Exception {
-        standin.faults().next(Faults.Kind.DUPLICATE_STREAM, 1);
+        standin.faults().inject(Faults.Kind.DUPLICATE_STREAM, 1);
 
         Collected collected = stream(engine, "d", 12, 0);
 
@@ -172,9 +172,9 @@
     void lostOrderCallIsLostWhetherItNeverArrivesOrArrivesLate() throws Exception {
         // Both orders look the same to the side: a closed connection. One never arrives; the other takes effect
         // afterwards. So a lost order must keep its bytes reserved.
-        standin.faults().next(Faults.Kind.LOSE_ORDER, 1);
+        standin.faults().inject(Faults.Kind.LOSE_ORDER, 1);
         TargetException lost = Await.failure(TargetException.class, engine.order(load("o1", "adapter:a@1", 10, 1)));
-        standin.faults().next(Faults.Kind.DELAY_ORDER, 1);
+        standin.faults().inject(Faults.Kind.DELAY_ORDER, 1);
         TargetException late = Await.failure(TargetException.class, engine.order(load("o2", "adapter:b@1", 10, 1)));
 
         Await.until(() -> standin.stats().memory().loads() == 1);
@@ -190,7 +190,7 @@
         // One request's prompt kills the engine: its stream and the one beside it break off, the port is gone for
         // a while, and then the engine answers with another boot id and no residents.
         String bootId = Await.value(engine.residency()).bootId();
-        standin.faults().set(Faults.Settings.NONE.withCrash("poison", 50));
+        standin.faults().apply(Faults.Settings.NONE.withCrash("poison", 50));
         Collected beside = listen();
         engine.stream(generation("beside", 5_000), 0, beside);
         Collected poison = listen();
@@ -210,10 +210,10 @@
     void streamOverALinkSilentOnOpenConnectionsResumesOnANewOne() throws Exception {
         // Something between side and engine loses track of the open connection: no bytes, no close. New
         // connections work. The inactivity limit ends the old stream and the rest comes over a new one.
-        try (LinkStandin link = LinkStandin.to(new HostPort("127.0.0.1", standin.port()))) {
+        try (FaultInjectingProxy link = FaultInjectingProxy.to(new HostPort("127.0.0.1", standin.port()))) {
             HttpModelEngine overLink = engineAt(link.port());
             Collected broken = listen();
-            broken.afterTokens(3, link::silenceOpen);
+            broken.afterTokens(3, link::blackholeOpen);
             overLink.stream(generation("l", 400), 0, broken);
             assertEquals(TargetException.Kind.LOST, broken.failure().kind());
 
@@ -276,10 +276,10 @@
 
     @Test
     void cutLinkFailsCallsUntilItHeals() throws Exception {
-        try (LinkStandin link = LinkStandin.to(new HostPort("127.0.0.1", standin.port()))) {
+        try (FaultInjectingProxy link = FaultInjectingProxy.to(new HostPort("127.0.0.1", standin.port()))) {
             HttpModelEngine overLink = engineAt(link.port());
             Await.value(overLink.load());
-            link.cut();
+            link.disconnect();
             Await.failure(TargetException.class, overLink.load());
             // A call may still pick a connection that the cut has closed, and fail with it, until the client has read
             // that.
--- a/src/test/java/io/waxwingquay/engine/HttpPlainServiceTest.java
+++ b/src/test/java/io/waxwingquay/engine/HttpPlainServiceTest.java
@@ -43,7 +43,7 @@
     void lostAnswerIsLostThoughTheServiceRanAndTheCallIsNotRepeated() {
         // The service takes the deposit and its answer is lost. The side sees a closed connection; were that told
         // as "did not run", the caller would pay again. The client does not send it a second time either.
-        standin.faults().next(Faults.Kind.LOSE_ANSWER, 1);
+        standin.faults().inject(Faults.Kind.LOSE_ANSWER, 1);
 
         TargetException failure =
                 Await.failure(TargetException.class, service(5_000L).call(call("r2")));
@@ -56,7 +56,7 @@
     void silentServiceIsLostAfterTheTimeoutAndDoesNotHoldUpTheNextCall() throws Exception {
         // The first call's connection stays open and silent; its time-out ends it as lost, since it was sent. The
         // next call goes over a new connection.
-        standin.faults().next(Faults.Kind.SILENT, 1);
+        standin.faults().inject(Faults.Kind.SILENT, 1);
 
         TargetException failure =
                 Await.failure(TargetException.class, service(200L).call(call("r3")));
--- a/src/test/java/io/waxwingquay/hosted/HostedExitTest.java
+++ b/src/test/java/io/waxwingquay/hosted/HostedExitTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import io.waxwingquay.hosted.HostedWorld.Answer;
-import io.waxwingquay.standin.prepared.EngineStandin.Behaviour;
+import io.waxwingquay.standin.prepared.ReplicaStandin.Behaviour;
 import io.waxwingquay.testing.Await;
 import java.io.IOException;
 import java.io.UncheckedIOException;
@@ -118,8 +118,8 @@
     }
 
     private List<String> runs() {
-        List<String> all = new ArrayList<>(world.plain1.ran());
-        all.addAll(world.plain2.ran());
+        List<String> all = new ArrayList<>(world.plain1.startedAttemptIds());
+        all.addAll(world.plain2.startedAttemptIds());
         return all;
     }
 }
--- a/src/test/java/io/waxwingquay/hosted/HostedPathTest.java
+++ b/src/test/java/io/waxwingquay/hosted/HostedPathTest.java
@@ -7,8 +7,8 @@
 import io.waxwingquay.hosted.HostedWorld.Answer;
 import io.waxwingquay.net.EventLoop;
 import io.waxwingquay.net.ServerExchange;
-import io.waxwingquay.standin.prepared.EngineStandin;
-import io.waxwingquay.standin.prepared.EngineStandin.Behaviour;
+import io.waxwingquay.standin.prepared.ReplicaStandin;
+import io.waxwingquay.standin.prepared.ReplicaStandin.Behaviour;
 import io.waxwingquay.testing.Await;
 import java.io.IOException;
 import java.io.UncheckedIOException;
@@ -33,7 +33,7 @@
     private static final Behaviour SHED =
             (engine, caller) -> caller.respond(503, HttpFields.build().put("Not-Executed", "1"), "full");
     private static final Behaviour FAIL =
-            (engine, caller) -> caller.respond(500, engine.fields(caller), "its own failure");
+            (engine, caller) -> caller.respond(500, engine.responseFields(caller), "its own failure");
     private static final Behaviour CUT = (engine, caller) -> caller.abort();
 
     private HostedWorld world;
@@ -116,11 +116,11 @@
     void slowReplicaIsNotGivenUpWithoutAnother() throws Exception {
         world.store.remove("servers", "e2");
         Await.until(() -> {
-            int before = world.engine2.ran().size();
+            int before = world.engine2.startedAttemptIds().size();
             for (int number = 0; number < 4; number++) {
                 world.ask("POST", "/s/1", "a21", MODEL, "");
             }
-            return world.engine2.ran().size() == before;
+            return world.engine2.startedAttemptIds().size() == before;
         });
         Behaviour events = Behaviour.stream(2, 0);
         world.engine1.behaviour((engine, caller) -> world.later(1_500, () -> events.run(engine, caller)));
@@ -155,11 +155,11 @@
     void leavingReplicaGetsNoNewWork() throws Exception {
         world.list(world.plain1, "p1", "plain", "draining");
         Await.until(() -> {
-            int before = world.plain1.ran().size();
+            int before = world.plain1.startedAttemptIds().size();
             for (int number = 0; number < 6; number++) {
                 world.ask("POST", "/p/1", "a10", "", "x");
             }
-            return world.plain1.ran().size() == before;
+            return world.plain1.startedAttemptIds().size() == before;
         });
         assertEquals(200, world.ask("POST", "/p/1", "a11", "", "x").status());
     }
@@ -167,7 +167,7 @@
     // The store goes away and drops what it held. Requests go on as before, from what is known.
     @Test
     void storeThatIsAwayStopsNoRequest() throws Exception {
-        world.store.away(true);
+        world.store.unavailable(true);
         world.store.remove("servers", "p1");
         world.store.remove("servers", "p2");
         for (int number = 0; number < 5; number++) {
@@ -225,7 +225,9 @@
         try (Socket socket = world.connect()) {
             String request = HostedWorld.request("POST", "/s/1", "a15", MODEL, "");
             socket.getOutputStream().write(request.getBytes(StandardCharsets.ISO_8859_1));
-            Await.until(() -> world.engine1.ran().size() + world.engine2.ran().size() > 0);
+            Await.until(() -> world.engine1.startedAttemptIds().size()
+                            + world.engine2.startedAttemptIds().size()
+                    > 0);
         }
         Await.value(left);
     }
@@ -286,8 +288,8 @@
                 throw new UncheckedIOException(failure);
             }
         });
-        Await.until(
-                () -> world.engine1.ran().contains("a31") || world.engine2.ran().contains("a31"));
+        Await.until(() -> world.engine1.startedAttemptIds().contains("a31")
+                || world.engine2.startedAttemptIds().contains("a31"));
         long stoodMillis = EventLoop.nowMillis();
         world.standingStill(() -> Await.until(() -> EventLoop.nowMillis() - stoodMillis >= 2_200));
         assertEquals(200, Await.value(asked).status());
@@ -296,8 +298,8 @@
     /** Both engines stand still, after each has been heard. */
     private void standStill() throws Exception {
         Await.until(() -> world.dump().contains("engines_heard=2"));
-        world.engine1.freeze(true);
-        world.engine2.freeze(true);
+        world.engine1.unresponsive(true);
+        world.engine2.unresponsive(true);
     }
 
     // A request ends each replica that begins to run it, and its caller sends it again and again, each time as a
@@ -349,7 +351,10 @@
         assertEquals(502, world.ask("POST", "/s/1", "a27-0", MODEL, "").status());
         Answer refused = world.ask("POST", "/s/1", "a27-1", MODEL, "");
         assertEquals(503, refused.status());
-        assertEquals(2, world.engine1.ran().size() + world.engine2.ran().size());
+        assertEquals(
+                2,
+                world.engine1.startedAttemptIds().size()
+                        + world.engine2.startedAttemptIds().size());
     }
 
     // Two replicas break off in the middle of their answers and are sound again. They did not go when they began to
@@ -358,7 +363,7 @@
     @Test
     void requestWhoseAnswersBrokeOffIsNotRefused() throws Exception {
         plain((engine, caller) -> {
-            caller.begin(200, HttpFields.build(engine.fields(caller)).put("Content-Type", "text/plain"));
+            caller.begin(200, HttpFields.build(engine.responseFields(caller)).put("Content-Type", "text/plain"));
             caller.write(ByteBuffer.wrap("a part".getBytes(StandardCharsets.UTF_8)));
             world.later(20, caller::abort);
         });
@@ -385,8 +390,8 @@
     }
 
     private List<String> runs() {
-        List<String> all = new ArrayList<>(world.plain1.ran());
-        all.addAll(world.plain2.ran());
+        List<String> all = new ArrayList<>(world.plain1.startedAttemptIds());
+        all.addAll(world.plain2.startedAttemptIds());
         return all;
     }
 
@@ -411,10 +416,10 @@
         private static final long ANSWER_MILLIS = 20L;
 
         private final AtomicInteger count = new AtomicInteger();
-        private final Map<EngineStandin, List<ServerExchange>> running = new HashMap<>();
+        private final Map<ReplicaStandin, List<ServerExchange>> running = new HashMap<>();
 
         @Override
-        public void run(EngineStandin engine, ServerExchange caller) {
+        public void run(ReplicaStandin engine, ServerExchange caller) {
             List<ServerExchange> here = running.computeIfAbsent(engine, each -> new ArrayList<>());
             if (new String(caller.request().body(), StandardCharsets.UTF_8).equals(POISON)) {
                 boolean isFirst = count.incrementAndGet() == 1;
@@ -432,7 +437,7 @@
             }
         }
 
-        private void answerSoon(EngineStandin engine, ServerExchange caller) {
+        private void answerSoon(ReplicaStandin engine, ServerExchange caller) {
             world.later(ANSWER_MILLIS, () -> {
                 if (running.get(engine).remove(caller)) {
                     Behaviour.ECHO.run(engine, caller);
--- a/src/test/java/io/waxwingquay/hosted/HostedWorld.java
+++ b/src/test/java/io/waxwingquay/hosted/HostedWorld.java
@@ -2,7 +2,7 @@
 
 import io.waxwingquay.common.HostPort;
 import io.waxwingquay.net.EventLoop;
-import io.waxwingquay.standin.prepared.EngineStandin;
+import io.waxwingquay.standin.prepared.ReplicaStandin;
 import io.waxwingquay.standin.prepared.StoreStandin;
 import io.waxwingquay.testing.Await;
 import io.waxwingquay.testing.FreePorts;
@@ -48,10 +48,10 @@
     private final EventLoop inside = EventLoop.start("inside");
     private final int base = FreePorts.adjacent(PORTS, HOSTS);
     final StoreStandin store = StoreStandin.start(outside, new HostPort("127.0.0.1", base));
-    final EngineStandin engine1 = engine("e1", "127.0.0.2", List.of("m"));
-    final EngineStandin engine2 = engine("e2", "127.0.0.3", List.of("m"));
-    final EngineStandin plain1 = engine("p1", "127.0.0.4", List.of());
-    final EngineStandin plain2 = engine("p2", "127.0.0.5", List.of());
+    final ReplicaStandin engine1 = engine("e1", "127.0.0.2", List.of("m"));
+    final ReplicaStandin engine2 = engine("e2", "127.0.0.3", List.of("m"));
+    final ReplicaStandin plain1 = engine("p1", "127.0.0.4", List.of());
+    final ReplicaStandin plain2 = engine("p2", "127.0.0.5", List.of());
     private final HostedProcess entry;
 
     HostedWorld() throws Exception {
@@ -82,14 +82,14 @@
         store.put("op", "config", String.format(MANIFEST, version).replace("\"/p/\"", '"' + plainPrefix + '"'));
     }
 
-    void list(EngineStandin replica, String id, String service, String state) {
+    void list(ReplicaStandin replica, String id, String service, String state) {
         store.put("servers", id, replica.row(service, "z", state));
     }
 
     /** Starts another entry that the store turns away, and that is told of the first as a seed. */
     void startCutOffEntry() throws Exception {
         StoreStandin away = StoreStandin.start(outside, new HostPort(SECOND_HOST, base));
-        away.away(true);
+        away.unavailable(true);
         startSecond(away.address());
     }
 
@@ -196,8 +196,8 @@
         outside.close();
     }
 
-    private EngineStandin engine(String id, String host, List<String> models) {
-        return EngineStandin.start(outside, id, new HostPort(host, base + 1), models, EngineStandin.Behaviour.ECHO);
+    private ReplicaStandin engine(String id, String host, List<String> models) {
+        return ReplicaStandin.start(outside, id, new HostPort(host, base + 1), models, ReplicaStandin.Behaviour.ECHO);
     }
 
     private HostSettings entry(String host, HostPort storeAddress, List<String> seeds) {
--- a/src/test/java/io/waxwingquay/hosted/LeavingReplicaTest.java
+++ b/src/test/java/io/waxwingquay/hosted/LeavingReplicaTest.java
@@ -28,16 +28,16 @@
     // Guards against requests to a replica that left without notice while entries regained the store.
     @Test
     void replicaThatLeavesAsTheStoreIsRegainedGetsNothingFromAnyEntry() throws Exception {
-        world.store.away(true);
+        world.store.unavailable(true);
         world.store.remove("servers", "p1");
-        world.store.away(false);
+        world.store.unavailable(false);
         Await.until(() -> dumps().allMatch(LeavingReplicaTest::isKnownToBeDropped));
-        int before = world.plain1.ran().size();
+        int before = world.plain1.startedAttemptIds().size();
         for (int number = 0; number < REQUESTS; number++) {
             assertEquals(200, world.ask("POST", "/p/1", "b1-" + number, "", "x").status());
             assertEquals(200, world.askSecond("/p/1", "b2-" + number, "x").status());
         }
-        assertEquals(before, world.plain1.ran().size());
+        assertEquals(before, world.plain1.startedAttemptIds().size());
     }
 
     private static boolean isKnownToBeDropped(String dump) {
--- a/src/test/java/io/waxwingquay/hosted/SharedLimitTest.java
+++ b/src/test/java/io/waxwingquay/hosted/SharedLimitTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import io.waxwingquay.standin.prepared.EngineStandin.Behaviour;
+import io.waxwingquay.standin.prepared.ReplicaStandin.Behaviour;
 import io.waxwingquay.testing.Await;
 import org.eclipse.jetty.http.HttpFields;
 import org.junit.jupiter.api.AfterEach;
@@ -37,14 +37,14 @@
     @Test
     void replicaThatNamesALimitGetsNoMoreFromAllEntriesTogether() throws Exception {
         world.plain1.behaviour((engine, caller) -> caller.respond(
-                200, HttpFields.build(engine.fields(caller)).put("Server-Limit", LIMIT_PER_SECOND), "ok"));
+                200, HttpFields.build(engine.responseFields(caller)).put("Server-Limit", LIMIT_PER_SECOND), "ok"));
         tellBothEntries();
-        int before = world.plain1.ran().size();
+        int before = world.plain1.startedAttemptIds().size();
         for (int number = 0; number < REQUESTS; number++) {
             assertEquals(200, world.ask("POST", "/p/1", "c1-" + number, "", "x").status());
             assertEquals(200, world.askSecond("/p/1", "c2-" + number, "x").status());
         }
-        int sent = world.plain1.ran().size() - before;
+        int sent = world.plain1.startedAttemptIds().size() - before;
         assertTrue(sent <= MOST_REQUESTS, "it got " + sent);
     }
 
@@ -52,7 +52,7 @@
     @Test
     void requestBeyondTheLimitsOfAllReplicasIsRefusedAtOnce() throws Exception {
         Behaviour limited = (engine, caller) -> caller.respond(
-                200, HttpFields.build(engine.fields(caller)).put("Server-Limit", LIMIT_PER_SECOND), "ok");
+                200, HttpFields.build(engine.responseFields(caller)).put("Server-Limit", LIMIT_PER_SECOND), "ok");
         world.plain1.behaviour(limited);
         world.plain2.behaviour(limited);
         Await.until(() -> world.ask("POST", "/brief/1", "c3", "", "x").status() == 503);
@@ -67,10 +67,10 @@
     }
 
     private boolean reachesOnlyTheFirst() throws Exception {
-        int before = world.plain2.ran().size();
+        int before = world.plain2.startedAttemptIds().size();
         world.ask("POST", "/p/1", "c5", "", "x");
         world.askSecond("/p/1", "c6", "x");
-        return before == world.plain2.ran().size()
+        return before == world.plain2.startedAttemptIds().size()
                 && !world.dump().contains("id=p2")
                 && !world.dumpSecond().contains("id=p2");
     }
--- a/src/test/java/io/waxwingquay/scenario/AnswerSteps.java
+++ b/src/test/java/io/waxwingquay/scenario/AnswerSteps.java
@@ -10,8 +10,8 @@
 import io.waxwingquay.common.HostPort;
 import io.waxwingquay.common.HttpCalls;
 import io.waxwingquay.engine.HttpModelEngine;
+import io.waxwingquay.standin.FaultInjectingProxy;
 import io.waxwingquay.standin.Faults;
-import io.waxwingquay.standin.LinkStandin;
 import io.waxwingquay.standin.ModelEngineStandin;
 import io.waxwingquay.testing.Await;
 import java.net.Socket;
@@ -110,23 +110,23 @@
     private void during(String fault) {
         switch (fault) {
             case "side connections go silent" -> SIDES.forEach(
-                    side -> world.sideLink(side).silenceOpen());
+                    side -> world.sideLink(side).blackholeOpen());
             case "side connections closed" -> SIDES.forEach(
                     side -> world.sideLink(side).closeOpen());
             case "target connections silent" -> SIDES.forEach(
-                    side -> world.targetLink(side).silenceOpen());
+                    side -> world.targetLink(side).blackholeOpen());
             default -> {}
         }
     }
 
     private void engines(Faults.Kind fault) {
         world.engines().forEach(engine -> {
-            engine.faults().set(Faults.Settings.NONE.withStreamTokens(FAULT_AFTER_TOKENS));
-            engine.faults().next(fault, SIDES.size());
+            engine.faults().apply(Faults.Settings.NONE.withStreamTokens(FAULT_AFTER_TOKENS));
+            engine.faults().inject(fault, SIDES.size());
         });
     }
 
-    private void links(Consumer<LinkStandin> change) {
+    private void links(Consumer<FaultInjectingProxy> change) {
         SIDES.forEach(side -> {
             change.accept(world.sideLink(side));
             change.accept(world.targetLink(side));
--- a/src/test/java/io/waxwingquay/scenario/BundleSteps.java
+++ b/src/test/java/io/waxwingquay/scenario/BundleSteps.java
@@ -55,9 +55,9 @@
     @When("an operator submits version {int} and its answers are lost, then again")
     public void lostAnswer(int version) {
         Faults faults = world.deployment().platform().faults();
-        faults.next(Faults.Kind.LOSE_ANSWER, 2);
+        faults.inject(Faults.Kind.LOSE_ANSWER, 2);
         Outcome lost = submit(version, UnaryOperator.identity());
-        faults.next(Faults.Kind.LOSE_ANSWER, 0);
+        faults.inject(Faults.Kind.LOSE_ANSWER, 0);
         outcomes = List.of(lost, submit(version, UnaryOperator.identity()));
     }
 
@@ -118,7 +118,7 @@
     /** Lets the platform answer again. */
     @When("the platform answers again")
     public void platformBack() {
-        world.deployment().platform().faults().next(Faults.Kind.OUT, 0);
+        world.deployment().platform().faults().inject(Faults.Kind.OUT, 0);
     }
 
     /** Checks the verdicts. */
--- a/src/test/java/io/waxwingquay/scenario/CallPathWorld.java
+++ b/src/test/java/io/waxwingquay/scenario/CallPathWorld.java
@@ -25,7 +25,7 @@
 import io.waxwingquay.settings.EntrySettings;
 import io.waxwingquay.settings.SideSettings;
 import io.waxwingquay.side.AdmissionRule;
-import io.waxwingquay.standin.LinkStandin;
+import io.waxwingquay.standin.FaultInjectingProxy;
 import io.waxwingquay.standin.ModelEngineStandin;
 import io.waxwingquay.standin.PlainServiceStandin;
 import io.waxwingquay.standin.PlatformStandin;
@@ -82,9 +82,9 @@
     private final Caller caller = new Caller();
     private final Map<String, ModelEngineStandin> engines = new LinkedHashMap<>();
     private final Map<String, PlainServiceStandin> plains = new LinkedHashMap<>();
-    private final Map<String, LinkStandin> targetLinks = new LinkedHashMap<>();
+    private final Map<String, FaultInjectingProxy> targetLinks = new LinkedHashMap<>();
     private final Map<String, SideProcess> sides = new LinkedHashMap<>();
-    private final Map<HostPort, LinkStandin> sideLinks = new ConcurrentHashMap<>();
+    private final Map<HostPort, FaultInjectingProxy> sideLinks = new ConcurrentHashMap<>();
     private final List<EntryProcess> processes = new ArrayList<>();
     private final List<EntryNode> entries = new ArrayList<>();
     private final List<ThriftConnections> connections = new ArrayList<>();
@@ -128,12 +128,12 @@
         return sides.get(name);
     }
 
-    LinkStandin targetLink(String name) {
+    FaultInjectingProxy targetLink(String name) {
         return targetLinks.get(name);
     }
 
     /** The link over which entries 0 and 1 reach a side. */
-    LinkStandin sideLink(String name) {
+    FaultInjectingProxy sideLink(String name) {
         return linkTo(sides.get(name).address());
     }
 
@@ -169,7 +169,8 @@
     void reopenTarget(String name) {
         int port = targetLinks.get(name).port();
         int target = plains.get(name).port();
-        targetLinks.put(name, LinkStandin.between(new HostPort(LOOPBACK, port), new HostPort(LOOPBACK, target)));
+        targetLinks.put(
+                name, FaultInjectingProxy.between(new HostPort(LOOPBACK, port), new HostPort(LOOPBACK, target)));
     }
 
     /** Ends an entry at once, as a process that dies: what it had in flight is dropped. */
@@ -238,8 +239,8 @@
         connections.forEach(ThriftConnections::close);
         processes.forEach(EntryProcess::close);
         sides.values().forEach(SideProcess::close);
-        sideLinks.values().forEach(LinkStandin::close);
-        targetLinks.values().forEach(LinkStandin::close);
+        sideLinks.values().forEach(FaultInjectingProxy::close);
+        targetLinks.values().forEach(FaultInjectingProxy::close);
         engines.values().forEach(ModelEngineStandin::close);
         plains.values().forEach(PlainServiceStandin::close);
         platform.close();
@@ -305,7 +306,7 @@
                             .start());
             port = engines.get(name).port();
         }
-        targetLinks.put(name, LinkStandin.to(new HostPort(LOOPBACK, port)));
+        targetLinks.put(name, FaultInjectingProxy.to(new HostPort(LOOPBACK, port)));
     }
 
     private void startSide(Bundle.Service service, int replica) {
@@ -344,8 +345,8 @@
         return new Plan(shares, Map.of(), List.of());
     }
 
-    private LinkStandin linkTo(HostPort address) {
-        return sideLinks.computeIfAbsent(address, LinkStandin::to);
+    private FaultInjectingProxy linkTo(HostPort address) {
+        return sideLinks.computeIfAbsent(address, FaultInjectingProxy::to);
     }
 
     /** The bundle that every process of this world serves. */
--- a/src/test/java/io/waxwingquay/scenario/ClaimSteps.java
+++ b/src/test/java/io/waxwingquay/scenario/ClaimSteps.java
@@ -128,17 +128,17 @@
     private void before(String fault) throws Exception {
         switch (fault) {
             case "entry dies after its claim" -> SIDES.forEach(
-                    side -> path().sideLink(side).silenceAll());
-            case "store answer lost" -> path().platform().faults().next(Faults.Kind.LOSE_ANSWER, 1);
-            case "store out" -> path().platform().faults().next(Faults.Kind.OUT, Faults.FOREVER);
+                    side -> path().sideLink(side).blackholeAll());
+            case "store answer lost" -> path().platform().faults().inject(Faults.Kind.LOSE_ANSWER, 1);
+            case "store out" -> path().platform().faults().inject(Faults.Kind.OUT, Faults.UNLIMITED);
             case "target not reachable" -> {
                 freshPath();
                 SIDES.forEach(path()::closeTarget);
             }
             case "target drops connections" -> SIDES.forEach(
-                    side -> path().targetLink(side).cut());
+                    side -> path().targetLink(side).disconnect());
             case "answer lost after the run", "target replaced after the run" -> IntStream.range(0, SIDES.size())
-                    .forEach(replica -> path().plain(replica).faults().next(Faults.Kind.LOSE_ANSWER, LOST_ANSWERS));
+                    .forEach(replica -> path().plain(replica).faults().inject(Faults.Kind.LOSE_ANSWER, LOST_ANSWERS));
             default -> {}
         }
     }
--- a/src/test/java/io/waxwingquay/scenario/EngineWorld.java
+++ b/src/test/java/io/waxwingquay/scenario/EngineWorld.java
@@ -65,7 +65,7 @@
         ModelEngineStandin.Builder builder = ModelEngineStandin.builder()
                 .capacityBytes(CAPACITY_BYTES)
                 .timer(time)
-                .weights(WeightSource.after(time, LOAD_MICROS));
+                .weights(WeightSource.withFixedLatency(time, LOAD_MICROS));
         this.engine = (fenced ? builder : builder.ignoringFences()).start();
     }
 
@@ -179,7 +179,7 @@
         }
 
         @Override
-        public synchronized void after(long delayMicros, Runnable step) {
+        public synchronized void schedule(long delayMicros, Runnable step) {
             steps.add(new Step(nowMicros + delayMicros, count++, step));
         }
 
--- a/src/test/java/io/waxwingquay/scenario/LeavingSteps.java
+++ b/src/test/java/io/waxwingquay/scenario/LeavingSteps.java
@@ -101,8 +101,8 @@
     @When("the platform's list goes back")
     public void goBack() {
         Faults faults = world.deployment().platform().faults();
-        faults.set(Faults.Settings.NONE.withBackwardsMillis(FAR_BACK_MILLIS));
-        faults.next(Faults.Kind.LIST_BACKWARDS, Faults.FOREVER);
+        faults.apply(Faults.Settings.NONE.withBackwardsMillis(FAR_BACK_MILLIS));
+        faults.inject(Faults.Kind.LIST_BACKWARDS, Faults.UNLIMITED);
     }
 
     /** Asks on, through both entries; each must be answered elsewhere. */
--- a/src/test/java/io/waxwingquay/scenario/MemorySteps.java
+++ b/src/test/java/io/waxwingquay/scenario/MemorySteps.java
@@ -38,26 +38,26 @@
     /** Loses orders on their way. */
     @When("the next order is lost")
     public void loseOrder() {
-        world().engine().faults().next(Faults.Kind.LOSE_ORDER, 1);
+        world().engine().faults().inject(Faults.Kind.LOSE_ORDER, 1);
     }
 
     /** Delays an order whose sender sees a time-out. */
     @When("the next order lands {int} s after its time-out")
     public void delayOrder(int seconds) {
-        world().engine().faults().set(Faults.Settings.NONE.withOrderDelayMillis(seconds * MILLIS_PER_SECOND));
-        world().engine().faults().next(Faults.Kind.DELAY_ORDER, 1);
+        world().engine().faults().apply(Faults.Settings.NONE.withOrderDelayMillis(seconds * MILLIS_PER_SECOND));
+        world().engine().faults().inject(Faults.Kind.DELAY_ORDER, 1);
     }
 
     /** Takes orders and forgets them. */
     @When("the engine takes orders and never does them")
     public void forgetOrders() {
-        world().engine().faults().next(Faults.Kind.FORGET_ORDER, Faults.FOREVER);
+        world().engine().faults().inject(Faults.Kind.FORGET_ORDER, Faults.UNLIMITED);
     }
 
     /** Ends the forgetting. */
     @When("the engine does its orders again")
     public void doOrders() {
-        world().engine().faults().next(Faults.Kind.FORGET_ORDER, 0);
+        world().engine().faults().inject(Faults.Kind.FORGET_ORDER, 0);
     }
 
     /** Holds the next order between the side and the engine. */
--- a/src/test/java/io/waxwingquay/scenario/PoisonSteps.java
+++ b/src/test/java/io/waxwingquay/scenario/PoisonSteps.java
@@ -40,9 +40,9 @@
     public void startPath(String store) throws Exception {
         CallPathWorld started = CallPathWorld.start(4, 1);
         world = Optional.of(started);
-        started.engines().forEach(engine -> engine.faults().set(Faults.Settings.NONE.withCrash(POISON, AWAY_MILLIS)));
+        started.engines().forEach(engine -> engine.faults().apply(Faults.Settings.NONE.withCrash(POISON, AWAY_MILLIS)));
         if (store.equals("out")) {
-            started.platform().faults().next(Faults.Kind.OUT, Faults.FOREVER);
+            started.platform().faults().inject(Faults.Kind.OUT, Faults.UNLIMITED);
         }
     }
 
--- a/src/test/java/io/waxwingquay/scenario/ReachSteps.java
+++ b/src/test/java/io/waxwingquay/scenario/ReachSteps.java
@@ -60,7 +60,7 @@
     /** Takes the platform out. */
     @When("the platform is out")
     public void platformOut() {
-        world.deployment().platform().faults().next(Faults.Kind.OUT, Faults.FOREVER);
+        world.deployment().platform().faults().inject(Faults.Kind.OUT, Faults.UNLIMITED);
     }
 
     /** Asks far more for one model than for any other, in waves. */
--- a/src/test/java/io/waxwingquay/scenario/RefusalSteps.java
+++ b/src/test/java/io/waxwingquay/scenario/RefusalSteps.java
@@ -91,18 +91,18 @@
     private void before(String fault) throws Exception {
         switch (fault) {
             case "answer lost after the run" -> plains(
-                    plain -> plain.faults().next(Faults.Kind.LOSE_ANSWER, Faults.FOREVER));
+                    plain -> plain.faults().inject(Faults.Kind.LOSE_ANSWER, Faults.UNLIMITED));
             case "target not reachable" -> {
                 freshPath();
                 broken = true;
                 SIDES.forEach(path()::closeTarget);
             }
-            case "table out" -> path().platform().faults().next(Faults.Kind.OUT, Faults.FOREVER);
-            case "table answer lost" -> path().platform().faults().next(Faults.Kind.LOSE_ANSWER, TABLE_ANSWERS);
+            case "table out" -> path().platform().faults().inject(Faults.Kind.OUT, Faults.UNLIMITED);
+            case "table answer lost" -> path().platform().faults().inject(Faults.Kind.LOSE_ANSWER, TABLE_ANSWERS);
             case "side ends between take and run",
                     "link cut between take and run",
                     "link silent between take and run" -> plains(
-                    plain -> plain.faults().set(Faults.Settings.NONE.withSlowMillis(SLOW_MILLIS)));
+                    plain -> plain.faults().apply(Faults.Settings.NONE.withSlowMillis(SLOW_MILLIS)));
             default -> {}
         }
     }
@@ -111,16 +111,18 @@
         if (!fault.endsWith("between take and run")) {
             return;
         }
-        Await.until(() ->
-                SIDES.stream().mapToInt(side -> path().targetLink(side).open()).sum() >= sent.size());
+        Await.until(() -> SIDES.stream()
+                        .mapToInt(side -> path().targetLink(side).openConnections())
+                        .sum()
+                >= sent.size());
         switch (fault) {
             case "side ends between take and run" -> {
                 broken = true;
                 SIDES.forEach(side -> path().stopSide(side));
             }
             case "link cut between take and run" -> SIDES.forEach(
-                    side -> path().sideLink(side).cut());
-            default -> SIDES.forEach(side -> path().sideLink(side).silenceAll());
+                    side -> path().sideLink(side).disconnect());
+            default -> SIDES.forEach(side -> path().sideLink(side).blackholeAll());
         }
     }
 
--- a/src/test/java/io/waxwingquay/scenario/SilenceSteps.java
+++ b/src/test/java/io/waxwingquay/scenario/SilenceSteps.java
@@ -34,7 +34,7 @@
     @When("silence: every open connection to the sides goes silent while {int} completions are streamed")
     public void silenceSides(int count) throws Exception {
         send(count);
-        SIDES.forEach(side -> world.sideLink(side).silenceOpen());
+        SIDES.forEach(side -> world.sideLink(side).blackholeOpen());
     }
 
     /** Silences what leads to the sides, and again once the streams go on over fresh connections. */
@@ -42,22 +42,22 @@
     public void silenceSidesTwice(int count) throws Exception {
         silenceSides(count);
         Await.until(() -> resumes() >= count);
-        SIDES.forEach(side -> world.sideLink(side).silenceOpen());
+        SIDES.forEach(side -> world.sideLink(side).blackholeOpen());
     }
 
     /** Silences what leads to the engines. */
     @When("silence: every open connection to the engines goes silent while {int} completions are streamed")
     public void silenceEngines(int count) throws Exception {
         send(count);
-        SIDES.forEach(side -> world.targetLink(side).silenceOpen());
+        SIDES.forEach(side -> world.targetLink(side).blackholeOpen());
     }
 
     /** Silences all. */
     @When("silence: every open connection goes silent while {int} completions are streamed")
     public void silenceAll(int count) throws Exception {
         send(count);
-        SIDES.forEach(side -> world.targetLink(side).silenceOpen());
-        SIDES.forEach(side -> world.sideLink(side).silenceOpen());
+        SIDES.forEach(side -> world.targetLink(side).blackholeOpen());
+        SIDES.forEach(side -> world.sideLink(side).blackholeOpen());
     }
 
     /** Compares every text. */
--- a/src/test/java/io/waxwingquay/standin/BatchTest.java
+++ b/src/test/java/io/waxwingquay/standin/BatchTest.java
@@ -11,7 +11,7 @@
 
 class BatchTest {
 
-    private final StandinTimer.ByHand timer = new StandinTimer.ByHand();
+    private final StandinTimer.Manual timer = new StandinTimer.Manual();
     private final CostModel costs = new CostModel(10, 1, 1_000, 100, 2, 1_024, 0, 5_000, 0);
     private final Batch batch = new Batch(timer, costs, prompt -> false, () -> {});
 
--- a/src/test/java/io/waxwingquay/standin/LoadPaceTest.java
+++ b/src/test/java/io/waxwingquay/standin/LoadPacerTest.java
@@ -7,15 +7,15 @@
 import java.util.concurrent.CompletableFuture;
 import org.junit.jupiter.api.Test;
 
-class LoadPaceTest {
+class LoadPacerTest {
 
     private static final long LOAD_MICROS = 1_000L;
 
-    private final StandinTimer.ByHand timer = new StandinTimer.ByHand();
+    private final StandinTimer.Manual timer = new StandinTimer.Manual();
 
     @Test
     void loadBeyondTheLimitTakesProportionallyLonger() {
-        LoadPace pace = new LoadPace(timer, 2, Double.POSITIVE_INFINITY, item -> LOAD_MICROS);
+        LoadPacer pace = new LoadPacer(timer, 2, Double.POSITIVE_INFINITY, item -> LOAD_MICROS);
         CompletableFuture<Void> first = pace.load("a");
         pace.load("b");
         pace.load("c");
@@ -32,7 +32,7 @@
 
     @Test
     void startsAreSpacedByTheRate() {
-        LoadPace pace = new LoadPace(timer, 8, 2.0, item -> LOAD_MICROS);
+        LoadPacer pace = new LoadPacer(timer, 8, 2.0, item -> LOAD_MICROS);
         pace.load("a");
         CompletableFuture<Void> second = pace.load("b");
 
--- a/src/test/java/io/waxwingquay/standin/VmHistoryTest.java
+++ b/src/test/java/io/waxwingquay/standin/VmHistoryTest.java
@@ -10,7 +10,7 @@
 
     private static final long SECOND_MICROS = 1_000_000L;
 
-    private final StandinTimer.ByHand timer = new StandinTimer.ByHand();
+    private final StandinTimer.Manual timer = new StandinTimer.Manual();
     private final VmHistory history = new VmHistory(timer, 20_000L, 10_000L);
 
     @Test
--- a/src/test/java/io/waxwingquay/standin/prepared/RehearsalTest.java
+++ b/src/test/java/io/waxwingquay/standin/prepared/TrainingRunTest.java
@@ -11,7 +11,7 @@
 import java.util.concurrent.ExecutionException;
 import org.junit.jupiter.api.Test;
 
-class RehearsalTest {
+class TrainingRunTest {
 
     // The port for callers is taken. The failure was only logged, and the build waited for it until its limit.
     @Test
@@ -19,7 +19,7 @@
         int base = FreePorts.adjacent(10, List.of("127.0.0.1", "127.0.0.2", "127.0.0.3"));
         try (ServerSocket taken = new ServerSocket(base + 2, 1, InetAddress.getByName("127.0.0.1"))) {
             ExecutionException failure =
-                    assertThrows(ExecutionException.class, () -> Rehearsal.play(taken.getLocalPort() - 2));
+                    assertThrows(ExecutionException.class, () -> TrainingRun.run(taken.getLocalPort() - 2));
             assertInstanceOf(UncheckedIOException.class, failure.getCause());
         }
     }
--- a/src/test/java/io/waxwingquay/store/HttpPlatformTest.java
+++ b/src/test/java/io/waxwingquay/store/HttpPlatformTest.java
@@ -64,7 +64,7 @@
     void commitWhoseAnswerIsLostIsUnavailableAndTookEffect() throws Exception {
         // The table commits and the answer is lost. The writer learns only that the service did not answer, and
         // must read back: the row is there. The client itself writes no second time.
-        standin.faults().next(Faults.Kind.LOSE_ANSWER, 1);
+        standin.faults().inject(Faults.Kind.LOSE_ANSWER, 1);
 
         Await.failure(
                 PlatformException.Unavailable.class,
@@ -80,9 +80,9 @@
     void platformThatIsOutOrSilentIsUnavailableAndTheWriteDidNotHappen() throws Exception {
         // Out: the connection closes before any effect. Silent: it stays open and the time-out ends the wait. The
         // client tells both as "may have taken effect", since it cannot tell them from a lost answer.
-        standin.faults().next(Faults.Kind.OUT, 1);
+        standin.faults().inject(Faults.Kind.OUT, 1);
         Await.failure(PlatformException.Unavailable.class, table.commit(List.of(new Write("a", 0, "1"))));
-        standin.faults().next(Faults.Kind.SILENT, 1);
+        standin.faults().inject(Faults.Kind.SILENT, 1);
         TableService impatient = new HttpTableService(client, address, 200L);
         Await.failure(PlatformException.Unavailable.class, impatient.commit(List.of(new Write("a", 0, "1"))));
 
