--- a/src/main/java/io/waxwingquay/standin/Batch.java
+++ b/src/main/java/io/waxwingquay/standin/Batch.java
@@ -18,60 +18,60 @@
  */
 public final class Batch {
 
-    private static final int MAX_KNOWN = 20_000;
-    private static final int REPORTS_PER_LAG = 8;
-    private static final long MAX_LATE_MICROS = 100_000L;
+    private static final int MAX_RETAINED_SEQUENCES = 20_000;
+    private static final int SAMPLES_PER_LAG = 8;
+    private static final long MAX_CATCH_UP_MICROS = 100_000L;
 
     private final StandinTimer timer;
     private final CostModel costs;
-    private final PrefixCache prefixes;
-    private final Predicate<String> crashesOn;
-    private final Runnable crash;
-    private final Map<String, Sequence> known = new LinkedHashMap<>();
+    private final PrefixCache prefixCache;
+    private final Predicate<String> crashTrigger;
+    private final Runnable onCrash;
+    private final Map<String, Sequence> sequencesById = new LinkedHashMap<>();
     private final PriorityQueue<Sequence> queue = new PriorityQueue<>(Comparator.comparingInt(
                     (Sequence sequence) -> -sequence.generation().priority())
-            .thenComparingLong(Sequence::arrival));
+            .thenComparingLong(Sequence::arrivalNumber));
     private final List<Sequence> running = new ArrayList<>();
-    private final Deque<Report> reports = new ArrayDeque<>();
-    private long arrivals;
+    private final Deque<LoadSample> loadSamples = new ArrayDeque<>();
+    private long startedCount;
     private long epoch;
-    private boolean stepping;
-    private long dueMicros = Long.MIN_VALUE;
+    private boolean stepInProgress;
+    private long stepEndMicros = Long.MIN_VALUE;
     private long tokens;
     private long cachedPromptTokens;
     private long promptTokens;
 
-    Batch(StandinTimer timer, CostModel costs, Predicate<String> crashesOn, Runnable crash) {
+    Batch(StandinTimer timer, CostModel costs, Predicate<String> crashTrigger, Runnable onCrash) {
         this.timer = timer;
         this.costs = costs;
-        this.prefixes = new PrefixCache(costs.prefixCacheTokens());
-        this.crashesOn = crashesOn;
-        this.crash = crash;
+        this.prefixCache = new PrefixCache(costs.prefixCacheTokens());
+        this.crashTrigger = crashTrigger;
+        this.onCrash = onCrash;
     }
 
     /** Starts a generation, or finds the one that was started under its id. */
     synchronized Sequence start(Generation generation) {
-        Sequence present = known.get(generation.id());
-        if (present != null) {
-            return present;
+        Sequence existing = sequencesById.get(generation.id());
+        if (existing != null) {
+            return existing;
         }
-        Sequence sequence = new Sequence(generation, arrivals++);
-        known.put(generation.id(), sequence);
+        Sequence sequence = new Sequence(generation, startedCount++);
+        sequencesById.put(generation.id(), sequence);
         queue.add(sequence);
-        forgetOldest();
+        removeOldestEnded();
         beginStep();
         return sequence;
     }
 
-    synchronized boolean knows(String generationId) {
-        return known.containsKey(generationId);
+    synchronized boolean contains(String generationId) {
+        return sequencesById.containsKey(generationId);
     }
 
     void cancel(String generationId) {
         Sequence sequence;
         synchronized (this) {
-            sequence = known.get(generationId);
-            if (sequence == null || sequence.whole()) {
+            sequence = sequencesById.get(generationId);
+            if (sequence == null || sequence.isComplete()) {
                 return;
             }
             remove(sequence);
@@ -80,62 +80,62 @@
     }
 
     /** Ends what runs on an item that has left memory. */
-    void end(String item) {
-        List<Sequence> ended;
+    void failSequencesUsing(String item) {
+        List<Sequence> affected;
         synchronized (this) {
-            ended = Stream.concat(queue.stream(), running.stream())
+            affected = Stream.concat(queue.stream(), running.stream())
                     .filter(sequence -> uses(sequence.generation(), item))
                     .toList();
-            ended.forEach(this::remove);
+            affected.forEach(this::remove);
         }
-        ended.forEach(sequence -> sequence.fail(item + " was evicted"));
+        affected.forEach(sequence -> sequence.fail(item + " was evicted"));
     }
 
     synchronized void reset() {
         epoch++;
-        stepping = false;
-        dueMicros = Long.MIN_VALUE;
-        known.clear();
+        stepInProgress = false;
+        stepEndMicros = Long.MIN_VALUE;
+        sequencesById.clear();
         queue.clear();
         running.clear();
-        prefixes.clear();
-        reports.clear();
+        prefixCache.clear();
+        loadSamples.clear();
     }
 
     synchronized EngineLoad load() {
-        report();
+        sampleLoad();
         long nowMicros = timer.nowMicros();
-        Report shown = reports.getFirst();
-        for (Report report : reports) {
-            shown = report.atMicros() <= nowMicros - costs.loadReportLagMicros() ? report : shown;
+        LoadSample reported = loadSamples.getFirst();
+        for (LoadSample sample : loadSamples) {
+            reported = sample.atMicros() <= nowMicros - costs.loadReportLagMicros() ? sample : reported;
         }
-        return shown.asOf(nowMicros);
+        return reported.asOf(nowMicros);
     }
 
     synchronized Stats stats() {
-        return new Stats(arrivals, tokens, promptTokens, cachedPromptTokens);
+        return new Stats(startedCount, tokens, promptTokens, cachedPromptTokens);
     }
 
     private void beginStep() {
-        report();
-        if (stepping) {
+        sampleLoad();
+        if (stepInProgress) {
             return;
         }
         double prefillMicros = 0;
         while (running.size() < costs.maxBatch() && !queue.isEmpty()) {
             Sequence joining = queue.poll();
-            if (crashesOn.test(joining.generation().prompt())) {
-                crash.run();
+            if (crashTrigger.test(joining.generation().prompt())) {
+                onCrash.run();
                 return;
             }
-            prefillMicros += prefill(joining.generation());
+            prefillMicros += prefillMicros(joining.generation());
             running.add(joining);
         }
         if (running.isEmpty()) {
-            dueMicros = Long.MIN_VALUE;
+            stepEndMicros = Long.MIN_VALUE;
             return;
         }
-        stepping = true;
+        stepInProgress = true;
         long stepEpoch = epoch;
         timer.schedule(delayMicros(prefillMicros + costs.stepMicros(running.size())), () -> finishStep(stepEpoch));
     }
@@ -146,17 +146,17 @@
      */
     private long delayMicros(double stepMicros) {
         long nowMicros = timer.nowMicros();
-        long startMicros = dueMicros > nowMicros - MAX_LATE_MICROS ? dueMicros : nowMicros;
-        dueMicros = startMicros + Math.round(stepMicros);
-        return Math.max(0, dueMicros - nowMicros);
+        long startMicros = stepEndMicros > nowMicros - MAX_CATCH_UP_MICROS ? stepEndMicros : nowMicros;
+        stepEndMicros = startMicros + Math.round(stepMicros);
+        return Math.max(0, stepEndMicros - nowMicros);
     }
 
-    private double prefill(Generation generation) {
-        int prompt = StandinText.promptTokens(generation.prompt());
-        int cached = prefixes.take(generation);
-        promptTokens += prompt;
-        cachedPromptTokens += cached;
-        return costs.prefillMicros(prompt, cached);
+    private double prefillMicros(Generation generation) {
+        int tokenCount = StandinText.promptTokens(generation.prompt());
+        int cachedTokens = prefixCache.countCachedAndAdd(generation);
+        promptTokens += tokenCount;
+        cachedPromptTokens += cachedTokens;
+        return costs.prefillMicros(tokenCount, cachedTokens);
     }
 
     private void finishStep(long stepEpoch) {
@@ -167,13 +167,13 @@
             }
             stepped = List.copyOf(running);
             tokens += stepped.size();
-            running.removeIf(sequence -> sequence.remaining() <= 1);
+            running.removeIf(sequence -> sequence.remainingTokens() <= 1);
         }
         // Until all have their token no other step may begin: it would count from the tokens left before this one.
-        stepped.forEach(Sequence::produceOne);
+        stepped.forEach(Sequence::produceToken);
         synchronized (this) {
             if (stepEpoch == epoch) {
-                stepping = false;
+                stepInProgress = false;
                 beginStep();
             }
         }
@@ -189,30 +189,32 @@
                 || generation.adapter().filter(item::equals).isPresent();
     }
 
-    private void forgetOldest() {
-        var oldestFirst = known.values().iterator();
-        while (known.size() > MAX_KNOWN && oldestFirst.hasNext()) {
+    private void removeOldestEnded() {
+        var oldestFirst = sequencesById.values().iterator();
+        while (sequencesById.size() > MAX_RETAINED_SEQUENCES && oldestFirst.hasNext()) {
             Sequence oldest = oldestFirst.next();
-            if (oldest.whole() || oldest.error().isPresent()) {
+            if (oldest.isComplete() || oldest.error().isPresent()) {
                 oldestFirst.remove();
             }
         }
     }
 
-    private void report() {
+    private void sampleLoad() {
         long nowMicros = timer.nowMicros();
-        boolean recent = !reports.isEmpty()
-                && reports.getLast().atMicros() > nowMicros - costs.loadReportLagMicros() / REPORTS_PER_LAG;
+        boolean recent = !loadSamples.isEmpty()
+                && loadSamples.getLast().atMicros() > nowMicros - costs.loadReportLagMicros() / SAMPLES_PER_LAG;
         if (recent) {
             return;
         }
-        long left = Stream.concat(queue.stream(), running.stream())
-                .mapToLong(Sequence::remaining)
+        long remainingTokens = Stream.concat(queue.stream(), running.stream())
+                .mapToLong(Sequence::remainingTokens)
                 .sum();
-        double speed = running.isEmpty() ? 0 : running.size() * 1_000_000.0 / costs.stepMicros(running.size());
-        reports.addLast(new Report(nowMicros, new EngineLoad(running.size(), queue.size(), left, speed, 0)));
-        while (reports.size() > 2 * REPORTS_PER_LAG) {
-            reports.removeFirst();
+        double tokensPerSecond =
+                running.isEmpty() ? 0 : running.size() * 1_000_000.0 / costs.stepMicros(running.size());
+        loadSamples.addLast(new LoadSample(
+                nowMicros, new EngineLoad(running.size(), queue.size(), remainingTokens, tokensPerSecond, 0)));
+        while (loadSamples.size() > 2 * SAMPLES_PER_LAG) {
+            loadSamples.removeFirst();
         }
     }
 
@@ -226,7 +228,7 @@
      */
     public record Stats(long started, long tokens, long promptTokens, long cachedPromptTokens) {}
 
-    private record Report(long atMicros, EngineLoad load) {
+    private record LoadSample(long atMicros, EngineLoad load) {
 
         private EngineLoad asOf(long nowMicros) {
             return new EngineLoad(
--- a/src/main/java/io/waxwingquay/standin/CostModel.java
+++ b/src/main/java/io/waxwingquay/standin/CostModel.java
@@ -50,16 +50,16 @@
     /**
      * Sets the largest batch.
      *
-     * @param sequences the most sequences in a step.
+     * @param newMaxBatch the most sequences in a step.
      * @return the new costs.
      */
-    public CostModel withMaxBatch(int sequences) {
+    public CostModel withMaxBatch(int newMaxBatch) {
         return new CostModel(
                 prefillMicrosPerToken,
                 cachedMicrosPerToken,
                 stepBaseMicros,
                 stepPerSequenceMicros,
-                sequences,
+                newMaxBatch,
                 prefixCacheTokens,
                 evictMicros,
                 loadReportLagMicros,
--- a/src/main/java/io/waxwingquay/standin/EngineMemory.java
+++ b/src/main/java/io/waxwingquay/standin/EngineMemory.java
@@ -23,16 +23,16 @@
 
     private final StandinTimer timer;
     private final long capacityBytes;
-    private final boolean fenced;
+    private final boolean enforceFencing;
     private final long evictMicros;
     private final WeightSource weights;
-    private final Consumer<String> evicted;
-    private final Map<String, Long> residents = new LinkedHashMap<>();
-    private final Map<String, Long> loading = new HashMap<>();
-    private final Map<String, Order> open = new LinkedHashMap<>();
-    private final Set<String> seen = new HashSet<>();
+    private final Consumer<String> onEvicted;
+    private final Map<String, Long> residentBytesByItem = new LinkedHashMap<>();
+    private final Map<String, Long> loadingBytesByItem = new HashMap<>();
+    private final Map<String, Order> openOrders = new LinkedHashMap<>();
+    private final Set<String> seenOrderIds = new HashSet<>();
     private String bootId = UUID.randomUUID().toString();
-    private long newestFence;
+    private long highestFence;
     private long maxUsedBytes;
     private long overcommits;
     private long loads;
@@ -46,28 +46,28 @@
     EngineMemory(
             StandinTimer timer,
             long capacityBytes,
-            boolean fenced,
+            boolean enforceFencing,
             long evictMicros,
             WeightSource weights,
-            Consumer<String> evicted) {
+            Consumer<String> onEvicted) {
         this.timer = timer;
         this.capacityBytes = capacityBytes;
-        this.fenced = fenced;
+        this.enforceFencing = enforceFencing;
         this.evictMicros = evictMicros;
         this.weights = weights;
-        this.evicted = evicted;
+        this.onEvicted = onEvicted;
     }
 
-    synchronized OrderAnswer take(Order order) {
-        if (fenced && order.fence() < newestFence) {
+    synchronized OrderAnswer submit(Order order) {
+        if (enforceFencing && order.fence() < highestFence) {
             staleOrders++;
             return OrderAnswer.STALE_FENCE;
         }
-        newestFence = Math.max(newestFence, order.fence());
-        if (!seen.add(order.id())) {
+        highestFence = Math.max(highestFence, order.fence());
+        if (!seenOrderIds.add(order.id())) {
             return OrderAnswer.TAKEN;
         }
-        open.put(order.id(), order);
+        openOrders.put(order.id(), order);
         if (order.kind() == OrderKind.LOAD) {
             load(order);
         } else {
@@ -76,29 +76,29 @@
         return OrderAnswer.TAKEN;
     }
 
-    synchronized boolean holds(String item) {
-        return residents.containsKey(item);
+    synchronized boolean isResident(String item) {
+        return residentBytesByItem.containsKey(item);
     }
 
     synchronized Residency residency() {
-        List<Resident> held = residents.entrySet().stream()
+        List<Resident> residents = residentBytesByItem.entrySet().stream()
                 .map(entry -> new Resident(entry.getKey(), entry.getValue()))
                 .toList();
-        return new Residency(bootId, capacityBytes, held, List.copyOf(open.values()));
+        return new Residency(bootId, capacityBytes, residents, List.copyOf(openOrders.values()));
     }
 
     synchronized void reset() {
         bootId = UUID.randomUUID().toString();
-        residents.clear();
-        loading.clear();
-        open.clear();
-        seen.clear();
+        residentBytesByItem.clear();
+        loadingBytesByItem.clear();
+        openOrders.clear();
+        seenOrderIds.clear();
     }
 
     /** Puts an item into memory at once, as it is after an engine that started with it. */
     synchronized void preload(String item, long bytes) {
-        residents.put(item, bytes);
-        recordUse();
+        residentBytesByItem.put(item, bytes);
+        recordUsage();
     }
 
     synchronized Stats stats() {
@@ -117,51 +117,52 @@
     }
 
     private void load(Order order) {
-        if (residents.containsKey(order.item())) {
-            open.remove(order.id());
+        if (residentBytesByItem.containsKey(order.item())) {
+            openOrders.remove(order.id());
             return;
         }
-        loading.put(order.item(), order.bytes());
-        maxLoading = Math.max(maxLoading, loading.size());
-        recordUse();
-        String boot = bootId;
-        weights.load(order.item(), order.bytes()).whenComplete((done, failure) -> loaded(boot, order, failure));
+        loadingBytesByItem.put(order.item(), order.bytes());
+        maxLoading = Math.max(maxLoading, loadingBytesByItem.size());
+        recordUsage();
+        String startBootId = bootId;
+        weights.load(order.item(), order.bytes())
+                .whenComplete((done, failure) -> completeLoad(startBootId, order, failure));
     }
 
-    private synchronized void loaded(String boot, Order order, Throwable failure) {
-        if (!boot.equals(bootId)) {
+    private synchronized void completeLoad(String startBootId, Order order, Throwable failure) {
+        if (!startBootId.equals(bootId)) {
             return;
         }
-        open.remove(order.id());
-        Long bytes = loading.remove(order.item());
+        openOrders.remove(order.id());
+        Long bytes = loadingBytesByItem.remove(order.item());
         if (failure != null) {
             failedLoads++;
         } else if (bytes != null) {
             loads++;
             adapterLoads += isAdapter(order.item()) ? 1 : 0;
-            residents.put(order.item(), bytes);
+            residentBytesByItem.put(order.item(), bytes);
         }
-        recordUse();
+        recordUsage();
     }
 
     private void evict(Order order) {
-        String boot = bootId;
-        timer.schedule(evictMicros, () -> evictNow(boot, order));
+        String startBootId = bootId;
+        timer.schedule(evictMicros, () -> completeEviction(startBootId, order));
     }
 
-    private void evictNow(String boot, Order order) {
+    private void completeEviction(String startBootId, Order order) {
         synchronized (this) {
-            if (!boot.equals(bootId)) {
+            if (!startBootId.equals(bootId)) {
                 return;
             }
-            open.remove(order.id());
-            if (residents.remove(order.item()) == null) {
+            openOrders.remove(order.id());
+            if (residentBytesByItem.remove(order.item()) == null) {
                 return;
             }
             evictions++;
             adapterEvictions += isAdapter(order.item()) ? 1 : 0;
         }
-        evicted.accept(order.item());
+        onEvicted.accept(order.item());
     }
 
     private static boolean isAdapter(String item) {
@@ -169,15 +170,17 @@
     }
 
     private long usedBytes() {
-        long loadingBytes = loading.entrySet().stream()
-                .filter(entry -> !residents.containsKey(entry.getKey()))
+        long loadingBytes = loadingBytesByItem.entrySet().stream()
+                .filter(entry -> !residentBytesByItem.containsKey(entry.getKey()))
                 .mapToLong(Map.Entry::getValue)
                 .sum();
         return loadingBytes
-                + residents.values().stream().mapToLong(Long::longValue).sum();
+                + residentBytesByItem.values().stream()
+                        .mapToLong(Long::longValue)
+                        .sum();
     }
 
-    private void recordUse() {
+    private void recordUsage() {
         long usedBytes = usedBytes();
         maxUsedBytes = Math.max(maxUsedBytes, usedBytes);
         if (usedBytes > capacityBytes) {
--- a/src/main/java/io/waxwingquay/standin/EventWriter.java
+++ b/src/main/java/io/waxwingquay/standin/EventWriter.java
@@ -13,27 +13,27 @@
     private static final String KEEP_ALIVE = ": waiting\n\n";
 
     private final Sequence sequence;
-    private final StandinServer.Answering answering;
+    private final StandinServer.PendingResponse response;
     private final StandinTimer timer;
     private final long keepAliveMicros;
     private final StreamFault fault;
-    private final Runnable wake = this::wake;
+    private final Runnable progressListener = this::writeAvailable;
     private long nextOffset;
-    private long sent;
-    private long writes;
+    private long sentTokens;
+    private long writeCount;
     private boolean writing;
     private boolean closed;
 
     EventWriter(
             Sequence sequence,
             long fromOffset,
-            StandinServer.Answering answering,
+            StandinServer.PendingResponse response,
             StandinTimer timer,
             long keepAliveMicros,
             StreamFault fault) {
         this.sequence = sequence;
         this.nextOffset = fromOffset;
-        this.answering = answering;
+        this.response = response;
         this.timer = timer;
         this.keepAliveMicros = keepAliveMicros;
         this.fault = fault;
@@ -53,129 +53,129 @@
     }
 
     void open() {
-        sequence.watch(wake);
-        keepAlive(0);
+        sequence.addListener(progressListener);
+        sendKeepAliveIfIdle(0);
     }
 
-    private void keepAlive(long writesBefore) {
+    private void sendKeepAliveIfIdle(long previousWriteCount) {
         boolean idle;
-        long writesNow;
+        long currentWriteCount;
         synchronized (this) {
             if (closed) {
                 return;
             }
-            idle = writes == writesBefore && !writing;
-            writesNow = idle ? claimWrite() : writes;
+            idle = writeCount == previousWriteCount && !writing;
+            currentWriteCount = idle ? beginWrite() : writeCount;
         }
         if (idle) {
             write(KEEP_ALIVE);
         }
-        timer.schedule(keepAliveMicros, () -> keepAlive(writesNow));
+        timer.schedule(keepAliveMicros, () -> sendKeepAliveIfIdle(currentWriteCount));
     }
 
     /** One write at a time: a second one would be refused by the connection and its tokens lost. */
-    private long claimWrite() {
+    private long beginWrite() {
         writing = true;
-        return ++writes;
+        return ++writeCount;
     }
 
-    private void wake() {
+    private void writeAvailable() {
         String text;
         boolean last;
         synchronized (this) {
             if (closed || writing) {
                 return;
             }
-            long available = sequence.produced();
-            text = tokens(available);
+            long available = sequence.producedTokens();
+            text = nextTokenEvents(available);
             last = nextOffset >= available
-                    && (sequence.whole() || sequence.error().isPresent());
+                    && (sequence.isComplete() || sequence.error().isPresent());
             if (faultDue()) {
                 close();
-                showFault(text);
+                applyFault(text);
                 return;
             }
             if (last) {
-                text += ending();
+                text += endEvent();
                 close();
             } else if (!text.isEmpty()) {
-                claimWrite();
+                beginWrite();
             }
         }
         if (last) {
-            answering.write(text, Callback.from(answering::finish, failure -> answering.drop()));
+            response.write(text, Callback.from(response::finish, failure -> response.closeConnection()));
         } else if (!text.isEmpty()) {
             write(text);
         }
     }
 
-    private String tokens(long available) {
+    private String nextTokenEvents(long available) {
         StringBuilder events = new StringBuilder();
         int repeats = fault.is(Faults.Kind.DUPLICATE_STREAM) ? 2 : 1;
-        long until = Math.min(available, nextOffset + MAX_TOKENS_PER_WRITE);
-        for (; nextOffset < until && !faultDue(); nextOffset++) {
-            events.append(token(nextOffset).repeat(repeats));
-            sent++;
+        long endOffset = Math.min(available, nextOffset + MAX_TOKENS_PER_WRITE);
+        for (; nextOffset < endOffset && !faultDue(); nextOffset++) {
+            events.append(tokenEvent(nextOffset).repeat(repeats));
+            sentTokens++;
         }
         return events.toString();
     }
 
     private boolean faultDue() {
-        boolean breaks = fault.is(Faults.Kind.SILENT_STREAM) || fault.is(Faults.Kind.TRUNCATE_STREAM);
-        return breaks && sent >= fault.afterTokens();
+        boolean interrupts = fault.is(Faults.Kind.SILENT_STREAM) || fault.is(Faults.Kind.TRUNCATE_STREAM);
+        return interrupts && sentTokens >= fault.afterTokens();
     }
 
-    private void showFault(String text) {
+    private void applyFault(String text) {
         if (fault.is(Faults.Kind.TRUNCATE_STREAM)) {
-            answering.write(text, Callback.from(answering::finish, failure -> answering.drop()));
+            response.write(text, Callback.from(response::finish, failure -> response.closeConnection()));
         } else {
-            answering.write(text, Callback.NOOP);
+            response.write(text, Callback.NOOP);
         }
     }
 
-    private String token(long offset) {
-        return data(new StreamEvent(
+    private String tokenEvent(long offset) {
+        return serialize(new StreamEvent(
                 Optional.of(offset),
-                Optional.of(sequence.text(offset)),
+                Optional.of(sequence.tokenText(offset)),
                 Optional.empty(),
                 Optional.empty(),
                 Optional.empty()));
     }
 
-    private String ending() {
-        boolean whole = sequence.error().isEmpty();
-        return data(new StreamEvent(
+    private String endEvent() {
+        boolean complete = sequence.error().isEmpty();
+        return serialize(new StreamEvent(
                 Optional.empty(),
                 Optional.empty(),
-                whole ? Optional.of(true) : Optional.empty(),
-                whole ? Optional.of(sequence.produced()) : Optional.empty(),
+                complete ? Optional.of(true) : Optional.empty(),
+                complete ? Optional.of(sequence.producedTokens()) : Optional.empty(),
                 sequence.error()));
     }
 
-    private static String data(StreamEvent event) {
+    private static String serialize(StreamEvent event) {
         return "data: " + StandinServer.json(event) + "\n\n";
     }
 
     private void write(String text) {
-        answering.write(text, Callback.from(this::written, failure -> broken()));
+        response.write(text, Callback.from(this::onWritten, failure -> onWriteFailure()));
     }
 
-    private void written() {
+    private void onWritten() {
         synchronized (this) {
             writing = false;
         }
-        wake();
+        writeAvailable();
     }
 
-    private void broken() {
+    private void onWriteFailure() {
         synchronized (this) {
             close();
         }
-        answering.drop();
+        response.closeConnection();
     }
 
     private void close() {
         closed = true;
-        sequence.unwatch(wake);
+        sequence.removeListener(progressListener);
     }
 }
--- a/src/main/java/io/waxwingquay/standin/FaultInjectingProxy.java
+++ b/src/main/java/io/waxwingquay/standin/FaultInjectingProxy.java
@@ -21,26 +21,26 @@
 
     private static final int BUFFER_BYTES = 16 * 1024;
     private static final int DIRECTIONS = 2;
-    private static final int CONNECT_MILLIS = 2_000;
+    private static final int CONNECT_TIMEOUT_MILLIS = 2_000;
 
     private final HostPort destination;
-    private final ServerSocket listening;
+    private final ServerSocket serverSocket;
     private final Set<Connection> connections = ConcurrentHashMap.newKeySet();
-    private volatile State state = State.UP;
+    private volatile State state = State.CONNECTED;
     private volatile long delayMillis;
 
     private FaultInjectingProxy(HostPort listen, HostPort destination) throws IOException {
         this.destination = destination;
-        this.listening = new ServerSocket();
-        listening.setReuseAddress(true);
-        listening.bind(new InetSocketAddress(InetAddress.getByName(listen.host()), listen.port()));
-        daemon("link-accept", this::acceptAll);
+        this.serverSocket = new ServerSocket();
+        serverSocket.setReuseAddress(true);
+        serverSocket.bind(new InetSocketAddress(InetAddress.getByName(listen.host()), listen.port()));
+        startDaemon("link-accept", this::acceptConnections);
     }
 
     private enum State {
-        UP,
-        CUT,
-        SILENT
+        CONNECTED,
+        DISCONNECTED,
+        BLACKHOLED
     }
 
     /**
@@ -74,7 +74,7 @@
      * @return the port.
      */
     public int port() {
-        return listening.getLocalPort();
+        return serverSocket.getLocalPort();
     }
 
     /**
@@ -88,7 +88,7 @@
 
     /** Closes every open connection, and each new one at once, until {@link #heal()}. */
     public void disconnect() {
-        state = State.CUT;
+        state = State.DISCONNECTED;
         connections.forEach(Connection::close);
     }
 
@@ -99,18 +99,18 @@
 
     /** Makes every open connection silent for good, in both directions; new ones work. */
     public void blackholeOpen() {
-        connections.forEach(Connection::silence);
+        connections.forEach(Connection::blackhole);
     }
 
     /** Makes every connection silent, new ones too, until {@link #heal()}; those of now stay silent for good. */
     public void blackholeAll() {
-        state = State.SILENT;
+        state = State.BLACKHOLED;
         blackholeOpen();
     }
 
     /** Lets new connections work again. */
     public void heal() {
-        state = State.UP;
+        state = State.CONNECTED;
     }
 
     /**
@@ -125,36 +125,36 @@
     /** {@inheritDoc} */
     @Override
     public void close() {
-        state = State.CUT;
-        closeQuietly(listening);
+        state = State.DISCONNECTED;
+        closeQuietly(serverSocket);
         connections.forEach(Connection::close);
     }
 
-    private void acceptAll() {
-        while (!listening.isClosed()) {
+    private void acceptConnections() {
+        while (!serverSocket.isClosed()) {
             try {
-                take(listening.accept());
+                acceptConnection(serverSocket.accept());
             } catch (IOException failure) {
                 continue;
             }
         }
     }
 
-    private void take(Socket near) throws IOException {
-        if (state == State.CUT) {
-            closeQuietly(near);
+    private void acceptConnection(Socket client) throws IOException {
+        if (state == State.DISCONNECTED) {
+            closeQuietly(client);
             return;
         }
-        Socket far = new Socket();
-        Connection connection = new Connection(near, far);
+        Socket server = new Socket();
+        Connection connection = new Connection(client, server);
         connections.add(connection);
-        if (state == State.SILENT) {
-            connection.silence();
+        if (state == State.BLACKHOLED) {
+            connection.blackhole();
         }
-        daemon("link", connection::open);
+        startDaemon("link", connection::connect);
     }
 
-    private static void daemon(String name, Runnable task) {
+    private static void startDaemon(String name, Runnable task) {
         Thread thread = new Thread(task, name);
         thread.setDaemon(true);
         thread.start();
@@ -171,36 +171,36 @@
 
     private final class Connection {
 
-        private final Socket near;
-        private final Socket far;
-        private final AtomicInteger ended = new AtomicInteger();
-        private volatile boolean silent;
+        private final Socket client;
+        private final Socket server;
+        private final AtomicInteger endedDirections = new AtomicInteger();
+        private volatile boolean blackholed;
 
-        private Connection(Socket near, Socket far) {
-            this.near = near;
-            this.far = far;
+        private Connection(Socket client, Socket server) {
+            this.client = client;
+            this.server = server;
         }
 
-        private void open() {
+        private void connect() {
             try {
-                near.setTcpNoDelay(true);
-                far.setTcpNoDelay(true);
-                far.connect(new InetSocketAddress(destination.host(), destination.port()), CONNECT_MILLIS);
-                daemon("link-back", () -> pump(far, near));
-                pump(near, far);
+                client.setTcpNoDelay(true);
+                server.setTcpNoDelay(true);
+                server.connect(new InetSocketAddress(destination.host(), destination.port()), CONNECT_TIMEOUT_MILLIS);
+                startDaemon("link-back", () -> copy(server, client));
+                copy(client, server);
             } catch (IOException failure) {
                 close();
             }
         }
 
-        private void silence() {
-            silent = true;
+        private void blackhole() {
+            blackholed = true;
         }
 
         /**
          * A silent connection swallows bytes and even the close of either end, so neither end learns of it.
          */
-        private void pump(Socket from, Socket to) {
+        private void copy(Socket from, Socket to) {
             byte[] buffer = new byte[BUFFER_BYTES];
             try {
                 InputStream input = from.getInputStream();
@@ -212,7 +212,7 @@
                 System.getLogger("waxwingquay.standin")
                         .log(System.Logger.Level.DEBUG, "standin: a link's connection ended.", failure);
             }
-            if (!silent || ended.incrementAndGet() == DIRECTIONS) {
+            if (!blackholed || endedDirections.incrementAndGet() == DIRECTIONS) {
                 close();
             }
         }
@@ -221,7 +221,7 @@
             if (delayMillis > 0) {
                 LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(delayMillis));
             }
-            if (!silent) {
+            if (!blackholed) {
                 output.write(buffer, 0, count);
                 output.flush();
             }
@@ -229,8 +229,8 @@
 
         private void close() {
             connections.remove(this);
-            closeQuietly(near);
-            closeQuietly(far);
+            closeQuietly(client);
+            closeQuietly(server);
         }
     }
 }
--- a/src/main/java/io/waxwingquay/standin/Faults.java
+++ b/src/main/java/io/waxwingquay/standin/Faults.java
@@ -129,17 +129,17 @@
          * Sets which prompts crash an engine, and how long it stays away.
          *
          * @param marker part of such a prompt.
-         * @param awayMillis how long the engine stays away.
+         * @param downtimeMillis how long the engine stays away.
          * @return the new settings.
          */
-        public Settings withCrash(String marker, long awayMillis) {
+        public Settings withCrash(String marker, long downtimeMillis) {
             return new Settings(
                     counts,
                     slowMillis,
                     orderDelayMillis,
                     streamTokens,
                     Optional.of(marker),
-                    Optional.of(awayMillis),
+                    Optional.of(downtimeMillis),
                     backwardsMillis);
         }
 
@@ -160,7 +160,7 @@
                     Optional.of(millis));
         }
 
-        private Settings over(Settings older) {
+        private Settings overriding(Settings older) {
             return new Settings(
                     Map.of(),
                     slowMillis.or(older::slowMillis),
@@ -179,7 +179,7 @@
      */
     public synchronized void apply(Settings newer) {
         counts.putAll(newer.counts());
-        settings = newer.over(settings);
+        settings = newer.overriding(settings);
     }
 
     /**
@@ -213,12 +213,12 @@
      * @param kind the fault.
      * @return whether the fault hits.
      */
-    synchronized boolean hits(Kind kind) {
-        int left = counts.getOrDefault(kind, 0);
-        if (left > 0 && left != UNLIMITED) {
-            counts.put(kind, left - 1);
+    synchronized boolean consume(Kind kind) {
+        int remaining = counts.getOrDefault(kind, 0);
+        if (remaining > 0 && remaining != UNLIMITED) {
+            counts.put(kind, remaining - 1);
         }
-        return left > 0;
+        return remaining > 0;
     }
 
     boolean crashesOn(String prompt) {
@@ -226,6 +226,6 @@
                 .crashMarker()
                 .filter(marker -> !marker.isEmpty() && prompt.contains(marker))
                 .isPresent();
-        return marked || hits(Kind.CRASH);
+        return marked || consume(Kind.CRASH);
     }
 }
--- a/src/main/java/io/waxwingquay/standin/LoadPacer.java
+++ b/src/main/java/io/waxwingquay/standin/LoadPacer.java
@@ -9,11 +9,11 @@
  */
 public final class LoadPacer {
 
-    private static final double SECOND_MICROS = 1_000_000.0;
+    private static final double MICROS_PER_SECOND = 1_000_000.0;
 
     private final StandinTimer timer;
-    private final int atOnce;
-    private final long spacingMicros;
+    private final int concurrencyLimit;
+    private final long startIntervalMicros;
     private final ToLongFunction<String> loadMicros;
     private final RateCounter starts;
     private long nextStartMicros;
@@ -21,10 +21,10 @@
     private int maxInFlight;
     private long overLimit;
 
-    LoadPacer(StandinTimer timer, int atOnce, double perSecond, ToLongFunction<String> loadMicros) {
+    LoadPacer(StandinTimer timer, int concurrencyLimit, double startsPerSecond, ToLongFunction<String> loadMicros) {
         this.timer = timer;
-        this.atOnce = atOnce;
-        this.spacingMicros = Math.round(SECOND_MICROS / perSecond);
+        this.concurrencyLimit = concurrencyLimit;
+        this.startIntervalMicros = Math.round(MICROS_PER_SECOND / startsPerSecond);
         this.loadMicros = loadMicros;
         this.starts = new RateCounter(timer);
         this.nextStartMicros = timer.nowMicros();
@@ -33,7 +33,7 @@
     synchronized CompletableFuture<Void> load(String item) {
         long nowMicros = timer.nowMicros();
         long startMicros = Math.max(nowMicros, nextStartMicros);
-        nextStartMicros = startMicros + spacingMicros;
+        nextStartMicros = startMicros + startIntervalMicros;
         CompletableFuture<Void> done = new CompletableFuture<>();
         if (startMicros == nowMicros) {
             start(item, done);
@@ -47,10 +47,10 @@
         starts.add(1);
         inFlight++;
         maxInFlight = Math.max(maxInFlight, inFlight);
-        if (inFlight > atOnce) {
+        if (inFlight > concurrencyLimit) {
             overLimit++;
         }
-        double slowdown = Math.max(1.0, (double) inFlight / atOnce);
+        double slowdown = Math.max(1.0, (double) inFlight / concurrencyLimit);
         timer.schedule(Math.round(loadMicros.applyAsLong(item) * slowdown), () -> finish(done));
     }
 
--- a/src/main/java/io/waxwingquay/standin/ModelEngineStandin.java
+++ b/src/main/java/io/waxwingquay/standin/ModelEngineStandin.java
@@ -34,7 +34,12 @@
         this.costs = builder.costs.scaled(builder.timeScale);
         this.batch = new Batch(timer, costs, faults::crashesOn, this::crash);
         this.memory = new EngineMemory(
-                timer, builder.capacityBytes, builder.fenced, costs.evictMicros(), builder.weights, batch::end);
+                timer,
+                builder.capacityBytes,
+                builder.enforceFencing,
+                costs.evictMicros(),
+                builder.weights,
+                batch::failSequencesUsing);
         this.server = StandinServer.start(builder.address, timer, faults, this::stats, this::serve);
     }
 
@@ -87,8 +92,8 @@
     /** Loses memory and connections, and comes back empty after the faults' restart time. */
     public void crash() {
         crashes.incrementAndGet();
-        long awayMillis = faults.settings().restartMillis().orElse(DEFAULT_RESTART_MILLIS);
-        server.goAway(awayMillis * MICROS_PER_MILLI);
+        long downtimeMillis = faults.settings().restartMillis().orElse(DEFAULT_RESTART_MILLIS);
+        server.restart(downtimeMillis * MICROS_PER_MILLI);
         batch.reset();
         memory.reset();
     }
@@ -104,20 +109,20 @@
     }
 
     private StandinReply reply(StandinExchange exchange) {
-        if (exchange.is("POST", "/generations")) {
-            return generate(exchange.read(StreamRequest.class));
+        if (exchange.matches("POST", "/generations")) {
+            return generate(exchange.parseBody(StreamRequest.class));
         }
-        if (exchange.isUnder("DELETE", GENERATIONS)) {
-            batch.cancel(exchange.after(GENERATIONS));
-            return StandinReply.empty(StandinReply.NO_CONTENT).written();
+        if (exchange.matchesPrefix("DELETE", GENERATIONS)) {
+            batch.cancel(exchange.pathAfter(GENERATIONS));
+            return StandinReply.empty(StandinReply.NO_CONTENT).withStateChanged();
         }
-        if (exchange.is("POST", "/orders")) {
-            return order(exchange.read(Order.class));
+        if (exchange.matches("POST", "/orders")) {
+            return takeOrder(exchange.parseBody(Order.class));
         }
-        if (exchange.is("GET", "/residency")) {
+        if (exchange.matches("GET", "/residency")) {
             return StandinReply.json(StandinReply.OK, memory.residency());
         }
-        if (exchange.is("GET", "/load")) {
+        if (exchange.matches("GET", "/load")) {
             return StandinReply.json(StandinReply.OK, batch.load());
         }
         return StandinReply.error(StandinReply.NOT_FOUND, "no such path");
@@ -125,47 +130,47 @@
 
     private StandinReply generate(StreamRequest request) {
         Generation generation = request.generation();
-        Optional<String> missing = missing(generation);
-        if (missing.isPresent() && !batch.knows(generation.id())) {
+        Optional<String> missingItem = firstMissingItem(generation);
+        if (missingItem.isPresent() && !batch.contains(generation.id())) {
             notResident.incrementAndGet();
-            return StandinReply.error(StandinReply.CONFLICT, missing.get() + " is not resident");
+            return StandinReply.error(StandinReply.CONFLICT, missingItem.get() + " is not resident");
         }
         Sequence sequence = batch.start(generation);
-        EventWriter.StreamFault fault = streamFault();
-        return StandinReply.events(answering -> new EventWriter(
-                                sequence, request.fromOffset(), answering, timer, costs.keepAliveMicros(), fault)
+        EventWriter.StreamFault fault = nextStreamFault();
+        return StandinReply.eventStream(response -> new EventWriter(
+                                sequence, request.fromOffset(), response, timer, costs.keepAliveMicros(), fault)
                         .open())
-                .written();
+                .withStateChanged();
     }
 
-    private Optional<String> missing(Generation generation) {
-        if (!memory.holds(generation.model())) {
+    private Optional<String> firstMissingItem(Generation generation) {
+        if (!memory.isResident(generation.model())) {
             return Optional.of(generation.model());
         }
-        return generation.adapter().filter(adapter -> !memory.holds(adapter));
+        return generation.adapter().filter(adapter -> !memory.isResident(adapter));
     }
 
-    private EventWriter.StreamFault streamFault() {
+    private EventWriter.StreamFault nextStreamFault() {
         long afterTokens = faults.settings().streamTokens().orElse(0L);
         Optional<Faults.Kind> kind = Stream.of(
                         Faults.Kind.SILENT_STREAM, Faults.Kind.TRUNCATE_STREAM, Faults.Kind.DUPLICATE_STREAM)
-                .filter(faults::hits)
+                .filter(faults::consume)
                 .findFirst();
         return new EventWriter.StreamFault(kind, afterTokens);
     }
 
-    private StandinReply order(Order order) {
-        if (faults.hits(Faults.Kind.LOSE_ORDER)) {
+    private StandinReply takeOrder(Order order) {
+        if (faults.consume(Faults.Kind.LOSE_ORDER)) {
             return StandinReply.closedConnection();
         }
-        if (faults.hits(Faults.Kind.DELAY_ORDER)) {
+        if (faults.consume(Faults.Kind.DELAY_ORDER)) {
             long delayMillis = faults.settings().orderDelayMillis().orElse(0L);
-            timer.schedule(delayMillis * MICROS_PER_MILLI, () -> memory.take(order));
+            timer.schedule(delayMillis * MICROS_PER_MILLI, () -> memory.submit(order));
             return StandinReply.closedConnection();
         }
-        OrderAnswer answer = faults.hits(Faults.Kind.FORGET_ORDER) ? OrderAnswer.TAKEN : memory.take(order);
+        OrderAnswer answer = faults.consume(Faults.Kind.FORGET_ORDER) ? OrderAnswer.TAKEN : memory.submit(order);
         int status = answer == OrderAnswer.TAKEN ? StandinReply.ACCEPTED : StandinReply.PRECONDITION_FAILED;
-        return StandinReply.json(status, new OrderReply(answer)).written();
+        return StandinReply.json(status, new OrderReply(answer)).withStateChanged();
     }
 
     /**
@@ -193,7 +198,7 @@
         private CostModel costs = CostModel.DEFAULT;
         private double timeScale = 1.0;
         private long capacityBytes = 80_000_000_000L;
-        private boolean fenced = true;
+        private boolean enforceFencing = true;
         private WeightSource weights = WeightSource.withFixedLatency(StandinTimer.SYSTEM, 10 * MICROS_PER_MILLI);
 
         private Builder() {}
@@ -259,7 +264,7 @@
          * @return this builder.
          */
         public Builder ignoringFences() {
-            this.fenced = false;
+            this.enforceFencing = false;
             return this;
         }
 
--- a/src/main/java/io/waxwingquay/standin/PlainServiceStandin.java
+++ b/src/main/java/io/waxwingquay/standin/PlainServiceStandin.java
@@ -73,7 +73,7 @@
     }
 
     private CompletableFuture<StandinReply> serve(StandinExchange exchange) {
-        if (!exchange.isUnder("POST", OPERATIONS)) {
+        if (!exchange.matchesPrefix("POST", OPERATIONS)) {
             return CompletableFuture.completedFuture(StandinReply.error(StandinReply.NOT_FOUND, "no such path"));
         }
         CompletableFuture<StandinReply> reply = new CompletableFuture<>();
@@ -87,11 +87,11 @@
         runsByRequest.merge(requestId, 1, Integer::sum);
         exchange.header(HttpPlainService.IDEMPOTENCY_KEY_HEADER)
                 .ifPresent(key -> runsByKey.merge(key, 1, Integer::sum));
-        String operation = URLDecoder.decode(exchange.after(OPERATIONS), StandardCharsets.UTF_8);
+        String operation = URLDecoder.decode(exchange.pathAfter(OPERATIONS), StandardCharsets.UTF_8);
         return StandinReply.json(
                         StandinReply.OK,
                         new OperationResult(operation, requestId, DigestUtils.sha256Hex(exchange.body())))
-                .written();
+                .withStateChanged();
     }
 
     /**
--- a/src/main/java/io/waxwingquay/standin/PlatformStandin.java
+++ b/src/main/java/io/waxwingquay/standin/PlatformStandin.java
@@ -108,29 +108,29 @@
     }
 
     private StandinReply serve(StandinExchange exchange) {
-        if (exchange.is("POST", "/table/read")) {
-            return read(exchange.read(HttpTableService.ReadRequest.class));
+        if (exchange.matches("POST", "/table/read")) {
+            return readRows(exchange.parseBody(HttpTableService.ReadRequest.class));
         }
-        if (exchange.is("POST", "/table/commit")) {
-            return commit(exchange.read(HttpTableService.CommitRequest.class));
+        if (exchange.matches("POST", "/table/commit")) {
+            return commitWrites(exchange.parseBody(HttpTableService.CommitRequest.class));
         }
-        if (exchange.isUnder("PUT", OBJECTS)) {
-            return put(exchange);
+        if (exchange.matchesPrefix("PUT", OBJECTS)) {
+            return putObject(exchange);
         }
-        if (exchange.isUnder("GET", OBJECTS)) {
-            return get(exchange);
+        if (exchange.matchesPrefix("GET", OBJECTS)) {
+            return getObject(exchange);
         }
-        if (exchange.is("GET", "/vms")) {
-            return list();
+        if (exchange.matches("GET", "/vms")) {
+            return listVms();
         }
-        if (exchange.is("POST", "/vms")) {
-            vms.announce(exchange.read(VmList.Vm.class));
-            return StandinReply.empty(StandinReply.NO_CONTENT).written();
+        if (exchange.matches("POST", "/vms")) {
+            vms.announce(exchange.parseBody(VmList.Vm.class));
+            return StandinReply.empty(StandinReply.NO_CONTENT).withStateChanged();
         }
         return StandinReply.error(StandinReply.NOT_FOUND, "no such path");
     }
 
-    private StandinReply read(HttpTableService.ReadRequest request) {
+    private StandinReply readRows(HttpTableService.ReadRequest request) {
         reads.add(request.keys().size());
         Map<String, TableService.Row> found = new LinkedHashMap<>();
         synchronized (rows) {
@@ -139,7 +139,7 @@
         return StandinReply.json(StandinReply.OK, new HttpTableService.ReadReply(found));
     }
 
-    private StandinReply commit(HttpTableService.CommitRequest request) {
+    private StandinReply commitWrites(HttpTableService.CommitRequest request) {
         transactions.add(1);
         Map<String, Optional<TableService.Row>> conflicts = new LinkedHashMap<>();
         synchronized (rows) {
@@ -147,14 +147,14 @@
                     .filter(write -> versionOf(write.key()) != write.expectedVersion())
                     .forEach(write -> conflicts.put(write.key(), Optional.ofNullable(rows.get(write.key()))));
             if (conflicts.isEmpty()) {
-                request.writes().forEach(this::write);
+                request.writes().forEach(this::writeRow);
             }
         }
         TableService.CommitResult result = new TableService.CommitResult(conflicts.isEmpty(), conflicts);
-        return StandinReply.json(StandinReply.OK, result).written();
+        return StandinReply.json(StandinReply.OK, result).withStateChanged();
     }
 
-    private void write(TableService.Write write) {
+    private void writeRow(TableService.Write write) {
         writes.add(1);
         rows.put(write.key(), new TableService.Row(write.value(), write.expectedVersion() + 1));
     }
@@ -164,23 +164,23 @@
         return row == null ? TableService.ABSENT : row.version();
     }
 
-    private StandinReply put(StandinExchange exchange) {
+    private StandinReply putObject(StandinExchange exchange) {
         objectWrites.add(1);
-        objects.put(exchange.after(OBJECTS), exchange.body());
-        return StandinReply.empty(StandinReply.NO_CONTENT).written();
+        objects.put(exchange.pathAfter(OBJECTS), exchange.body());
+        return StandinReply.empty(StandinReply.NO_CONTENT).withStateChanged();
     }
 
-    private StandinReply get(StandinExchange exchange) {
+    private StandinReply getObject(StandinExchange exchange) {
         objectReads.add(1);
-        byte[] object = objects.get(exchange.after(OBJECTS));
+        byte[] object = objects.get(exchange.pathAfter(OBJECTS));
         return object == null
                 ? StandinReply.error(StandinReply.NOT_FOUND, "no such object")
                 : StandinReply.of(StandinReply.OK, "application/octet-stream", object);
     }
 
-    private StandinReply list() {
+    private StandinReply listVms() {
         listReads.add(1);
-        long backwardsMillis = faults.hits(Faults.Kind.LIST_BACKWARDS)
+        long backwardsMillis = faults.consume(Faults.Kind.LIST_BACKWARDS)
                 ? faults.settings().backwardsMillis().orElse(0L)
                 : 0L;
         return StandinReply.json(StandinReply.OK, new HttpVmList.Listing(vms.list(backwardsMillis)));
--- a/src/main/java/io/waxwingquay/standin/PrefixCache.java
+++ b/src/main/java/io/waxwingquay/standin/PrefixCache.java
@@ -21,19 +21,21 @@
     }
 
     /** Counts the prompt's cached tokens, and caches the whole prompt. */
-    int take(Generation generation) {
+    int countCachedAndAdd(Generation generation) {
         String prompt = generation.prompt();
-        long chain = 31L * generation.model().hashCode() + generation.adapter().hashCode();
-        boolean unbroken = true;
+        long chainedHash =
+                31L * generation.model().hashCode() + generation.adapter().hashCode();
+        boolean prefixCached = true;
         int cachedTokens = 0;
         for (int end = BLOCK_CHARACTERS; end <= prompt.length(); end += BLOCK_CHARACTERS) {
-            chain = 0x9E3779B97F4A7C15L
-                    * (chain ^ prompt.substring(end - BLOCK_CHARACTERS, end).hashCode());
-            unbroken = unbroken && blocks.containsKey(chain);
-            cachedTokens += unbroken ? BLOCK_TOKENS : 0;
-            blocks.put(chain, true);
+            chainedHash = 0x9E3779B97F4A7C15L
+                    * (chainedHash
+                            ^ prompt.substring(end - BLOCK_CHARACTERS, end).hashCode());
+            prefixCached = prefixCached && blocks.containsKey(chainedHash);
+            cachedTokens += prefixCached ? BLOCK_TOKENS : 0;
+            blocks.put(chainedHash, true);
         }
-        trim();
+        evictOldest();
         return cachedTokens;
     }
 
@@ -41,7 +43,7 @@
         blocks.clear();
     }
 
-    private void trim() {
+    private void evictOldest() {
         var oldestFirst = blocks.keySet().iterator();
         while (blocks.size() > maxBlocks) {
             oldestFirst.next();
--- a/src/main/java/io/waxwingquay/standin/RateCounter.java
+++ b/src/main/java/io/waxwingquay/standin/RateCounter.java
@@ -5,12 +5,12 @@
  */
 public final class RateCounter {
 
-    private static final long SECOND_MICROS = 1_000_000L;
+    private static final long MICROS_PER_SECOND = 1_000_000L;
 
     private final StandinTimer timer;
     private long total;
-    private long second;
-    private long inSecond;
+    private long currentSecond;
+    private long currentSecondCount;
     private long maxPerSecond;
 
     RateCounter(StandinTimer timer) {
@@ -18,14 +18,14 @@
     }
 
     synchronized void add(long events) {
-        long current = timer.nowMicros() / SECOND_MICROS;
-        if (current != second) {
-            second = current;
-            inSecond = 0;
+        long nowSecond = timer.nowMicros() / MICROS_PER_SECOND;
+        if (nowSecond != currentSecond) {
+            currentSecond = nowSecond;
+            currentSecondCount = 0;
         }
         total += events;
-        inSecond += events;
-        maxPerSecond = Math.max(maxPerSecond, inSecond);
+        currentSecondCount += events;
+        maxPerSecond = Math.max(maxPerSecond, currentSecondCount);
     }
 
     synchronized Count count() {
--- a/src/main/java/io/waxwingquay/standin/Sequence.java
+++ b/src/main/java/io/waxwingquay/standin/Sequence.java
@@ -11,15 +11,15 @@
 final class Sequence {
 
     private final Generation generation;
-    private final long arrival;
+    private final long arrivalNumber;
     private final long seed;
-    private final List<Runnable> watchers = new ArrayList<>();
-    private long produced;
+    private final List<Runnable> listeners = new ArrayList<>();
+    private long producedTokens;
     private Optional<String> error = Optional.empty();
 
-    Sequence(Generation generation, long arrival) {
+    Sequence(Generation generation, long arrivalNumber) {
         this.generation = generation;
-        this.arrival = arrival;
+        this.arrivalNumber = arrivalNumber;
         this.seed = StandinText.seed(generation);
     }
 
@@ -27,61 +27,61 @@
         return generation;
     }
 
-    long arrival() {
-        return arrival;
+    long arrivalNumber() {
+        return arrivalNumber;
     }
 
-    synchronized long produced() {
-        return produced;
+    synchronized long producedTokens() {
+        return producedTokens;
     }
 
-    synchronized long remaining() {
-        return generation.maxTokens() - produced;
+    synchronized long remainingTokens() {
+        return generation.maxTokens() - producedTokens;
     }
 
-    synchronized boolean whole() {
-        return produced >= generation.maxTokens();
+    synchronized boolean isComplete() {
+        return producedTokens >= generation.maxTokens();
     }
 
     synchronized Optional<String> error() {
         return error;
     }
 
-    String text(long offset) {
+    String tokenText(long offset) {
         return StandinText.tokenOf(seed, offset);
     }
 
     /** Runs a step now and whenever the sequence moves on. */
-    void watch(Runnable step) {
+    void addListener(Runnable listener) {
         synchronized (this) {
-            watchers.add(step);
+            listeners.add(listener);
         }
-        step.run();
+        listener.run();
     }
 
-    synchronized void unwatch(Runnable step) {
-        watchers.remove(step);
+    synchronized void removeListener(Runnable listener) {
+        listeners.remove(listener);
     }
 
-    void produceOne() {
+    void produceToken() {
         synchronized (this) {
-            produced++;
+            producedTokens++;
         }
-        tell();
+        notifyListeners();
     }
 
     void fail(String reason) {
         synchronized (this) {
             error = Optional.of(reason);
         }
-        tell();
+        notifyListeners();
     }
 
-    private void tell() {
-        List<Runnable> steps;
+    private void notifyListeners() {
+        List<Runnable> notified;
         synchronized (this) {
-            steps = List.copyOf(watchers);
+            notified = List.copyOf(listeners);
         }
-        steps.forEach(Runnable::run);
+        notified.forEach(Runnable::run);
     }
 }
--- a/src/main/java/io/waxwingquay/standin/StandinCommand.java
+++ b/src/main/java/io/waxwingquay/standin/StandinCommand.java
@@ -28,7 +28,7 @@
         })
 public final class StandinCommand {
 
-    private static int serve(AutoCloseable standin, String kind, int port) throws Exception {
+    private static int serveUntilStopped(AutoCloseable standin, String kind, int port) throws Exception {
         try (standin) {
             // The commands log warnings only, but whoever starts a stand-in on port 0 has to learn its port.
             Logging.configure(LogFormat.TEXT, LogLevel.INFO);
@@ -40,7 +40,7 @@
     }
 
     /** Where to listen. */
-    static final class Listen {
+    static final class ListenOptions {
 
         @Option(names = "--host", defaultValue = "127.0.0.1", description = "IP address (default ${DEFAULT-VALUE}).")
         private String host;
@@ -57,12 +57,12 @@
     @Command(name = "engine", mixinStandardHelpOptions = true, description = "A model engine.")
     static final class Engine implements Callable<Integer> {
 
-        private static final int STORE_CONNECTIONS = 64;
-        private static final long CONNECT_MILLIS = 2_000L;
-        private static final long LOAD_MILLIS = 600_000L;
+        private static final int MAX_STORE_CONNECTIONS = 64;
+        private static final long CONNECT_TIMEOUT_MILLIS = 2_000L;
+        private static final long LOAD_TIMEOUT_MILLIS = 600_000L;
 
         @Mixin
-        private Listen listen;
+        private ListenOptions listen;
 
         @Option(
                 names = "--capacity-bytes",
@@ -105,9 +105,9 @@
             if (ignoreFences) {
                 builder.ignoringFences();
             }
-            weights.map(HostPort::of).ifPresent(address -> builder.weights(store(address)));
+            weights.map(HostPort::of).ifPresent(address -> builder.weights(weightStore(address)));
             ModelEngineStandin standin = builder.start();
-            return serve(standin, "engine", standin.port());
+            return serveUntilStopped(standin, "engine", standin.port());
         }
 
         private CostModel costs() {
@@ -124,9 +124,9 @@
                     defaults.keepAliveMicros());
         }
 
-        private static WeightSource store(HostPort address) {
-            HttpClient client = HttpCalls.startClient(STORE_CONNECTIONS, CONNECT_MILLIS);
-            return WeightSource.http(client, address, LOAD_MILLIS);
+        private static WeightSource weightStore(HostPort address) {
+            HttpClient client = HttpCalls.startClient(MAX_STORE_CONNECTIONS, CONNECT_TIMEOUT_MILLIS);
+            return WeightSource.http(client, address, LOAD_TIMEOUT_MILLIS);
         }
     }
 
@@ -135,7 +135,7 @@
     static final class Plain implements Callable<Integer> {
 
         @Mixin
-        private Listen listen;
+        private ListenOptions listen;
 
         @Option(names = "--latency-micros", defaultValue = "1000", description = "Default ${DEFAULT-VALUE}.")
         private long latencyMicros;
@@ -147,7 +147,7 @@
                     .address(listen.address())
                     .latencyMicros(latencyMicros)
                     .start();
-            return serve(standin, "plain", standin.port());
+            return serveUntilStopped(standin, "plain", standin.port());
         }
     }
 
@@ -156,7 +156,7 @@
     static final class Platform implements Callable<Integer> {
 
         @Mixin
-        private Listen listen;
+        private ListenOptions listen;
 
         @Option(names = "--list-lag-millis", defaultValue = "0", description = "Age of the VM list.")
         private long listLagMillis;
@@ -175,7 +175,7 @@
                     .listLagMillis(listLagMillis)
                     .listExpiryMillis(listExpiryMillis)
                     .start();
-            return serve(standin, "platform", standin.port());
+            return serveUntilStopped(standin, "platform", standin.port());
         }
     }
 
@@ -184,7 +184,7 @@
     static final class Weights implements Callable<Integer> {
 
         @Mixin
-        private Listen listen;
+        private ListenOptions listen;
 
         @Option(names = "--loads-at-once", defaultValue = "7", description = "Default ${DEFAULT-VALUE}.")
         private int loadsAtOnce;
@@ -210,7 +210,7 @@
                     .adapterLoadsAtOnce(adapterLoadsAtOnce)
                     .timeScale(timeScale)
                     .start();
-            return serve(standin, "weights", standin.port());
+            return serveUntilStopped(standin, "weights", standin.port());
         }
     }
 }
--- a/src/main/java/io/waxwingquay/standin/StandinExchange.java
+++ b/src/main/java/io/waxwingquay/standin/StandinExchange.java
@@ -13,11 +13,11 @@
  */
 record StandinExchange(Request request, byte[] body) {
 
-    boolean is(String method, String path) {
+    boolean matches(String method, String path) {
         return request.getMethod().equals(method) && path().equals(path);
     }
 
-    boolean isUnder(String method, String prefix) {
+    boolean matchesPrefix(String method, String prefix) {
         return request.getMethod().equals(method) && path().startsWith(prefix);
     }
 
@@ -25,7 +25,7 @@
         return Request.getPathInContext(request);
     }
 
-    String after(String prefix) {
+    String pathAfter(String prefix) {
         return path().substring(prefix.length());
     }
 
@@ -33,7 +33,7 @@
         return Optional.ofNullable(request.getHeaders().get(name));
     }
 
-    <T> T read(Class<T> type) {
+    <T> T parseBody(Class<T> type) {
         try {
             return Json.MAPPER.readValue(body, type);
         } catch (IOException failure) {
--- a/src/main/java/io/waxwingquay/standin/StandinReply.java
+++ b/src/main/java/io/waxwingquay/standin/StandinReply.java
@@ -12,17 +12,17 @@
  * @param statusCode the HTTP status.
  * @param contentType type of the body.
  * @param body the body.
- * @param wrote whether the request changed the stand-in, so that losing its answer matters.
- * @param dropped whether the connection is closed instead.
+ * @param stateChanged whether the request changed the stand-in, so that losing its answer matters.
+ * @param connectionClosed whether the connection is closed instead.
  * @param stream writes the body piece by piece instead.
  */
 record StandinReply(
         int statusCode,
         String contentType,
         byte[] body,
-        boolean wrote,
-        boolean dropped,
-        Optional<Consumer<StandinServer.Answering>> stream) {
+        boolean stateChanged,
+        boolean connectionClosed,
+        Optional<Consumer<StandinServer.PendingResponse>> stream) {
 
     static final int OK = 200;
     static final int ACCEPTED = 202;
@@ -32,7 +32,7 @@
     static final int CONFLICT = 409;
     static final int PRECONDITION_FAILED = 412;
 
-    private static final int SERVER_ERROR = 500;
+    private static final int INTERNAL_SERVER_ERROR = 500;
     private static final String JSON = "application/json";
 
     static StandinReply of(int statusCode, String contentType, byte[] body) {
@@ -52,14 +52,14 @@
     }
 
     static StandinReply closedConnection() {
-        return new StandinReply(SERVER_ERROR, JSON, new byte[0], false, true, Optional.empty());
+        return new StandinReply(INTERNAL_SERVER_ERROR, JSON, new byte[0], false, true, Optional.empty());
     }
 
-    static StandinReply events(Consumer<StandinServer.Answering> writer) {
+    static StandinReply eventStream(Consumer<StandinServer.PendingResponse> writer) {
         return new StandinReply(OK, "text/event-stream", new byte[0], false, false, Optional.of(writer));
     }
 
-    static StandinReply attempt(Supplier<StandinReply> supplier) {
+    static StandinReply fromSupplier(Supplier<StandinReply> supplier) {
         try {
             return supplier.get();
         } catch (RuntimeException failure) {
@@ -71,11 +71,11 @@
         Throwable cause = failure instanceof CompletionException ? failure.getCause() : failure;
         return cause instanceof IllegalArgumentException
                 ? error(BAD_REQUEST, String.valueOf(cause.getMessage()))
-                : error(SERVER_ERROR, String.valueOf(cause));
+                : error(INTERNAL_SERVER_ERROR, String.valueOf(cause));
     }
 
-    StandinReply written() {
-        return new StandinReply(statusCode, contentType, body, true, dropped, stream);
+    StandinReply withStateChanged() {
+        return new StandinReply(statusCode, contentType, body, true, connectionClosed, stream);
     }
 
     /**
--- a/src/main/java/io/waxwingquay/standin/StandinServer.java
+++ b/src/main/java/io/waxwingquay/standin/StandinServer.java
@@ -30,8 +30,8 @@
     private static final int MAX_BODY_BYTES = 64 * 1024 * 1024;
     private static final int MAX_THREADS = 400;
     private static final int MIN_THREADS = 8;
-    private static final long IDLE_MILLIS = 3_600_000L;
-    private static final Shared SHARED = Shared.start();
+    private static final long IDLE_TIMEOUT_MILLIS = 3_600_000L;
+    private static final SharedResources SHARED = SharedResources.start();
 
     private final Server server;
     private final ServerConnector connector;
@@ -39,7 +39,7 @@
     private final Faults faults;
     private final Supplier<Object> stats;
     private final Function<StandinExchange, CompletableFuture<StandinReply>> service;
-    private volatile boolean away;
+    private volatile boolean down;
 
     private StandinServer(
             HostPort address,
@@ -55,9 +55,9 @@
         this.connector = new ServerConnector(server, 0, 1);
         connector.setHost(address.host());
         connector.setPort(address.port());
-        connector.setIdleTimeout(IDLE_MILLIS);
+        connector.setIdleTimeout(IDLE_TIMEOUT_MILLIS);
         server.addConnector(connector);
-        server.setHandler(new Door());
+        server.setHandler(new FaultInjectingHandler());
     }
 
     static StandinServer start(
@@ -82,11 +82,11 @@
     }
 
     /** Closes every connection and the port for a while, as a crashed process would. */
-    void goAway(long awayMicros) {
-        away = true;
+    void restart(long downtimeMicros) {
+        down = true;
         SHARED.threads.execute(() -> {
             stopConnector();
-            timer.schedule(awayMicros, () -> SHARED.threads.execute(this::startConnector));
+            timer.schedule(downtimeMicros, () -> SHARED.threads.execute(this::startConnector));
         });
     }
 
@@ -103,7 +103,7 @@
             return;
         }
         try {
-            away = false;
+            down = false;
             connector.start();
         } catch (Exception failure) {
             LOG.log(System.Logger.Level.WARNING, "standin: cannot reopen port " + port() + ".", failure);
@@ -120,7 +120,7 @@
         }
     }
 
-    private final class Door extends Handler.Abstract.NonBlocking {
+    private final class FaultInjectingHandler extends Handler.Abstract.NonBlocking {
 
         /** {@inheritDoc} */
         @Override
@@ -131,46 +131,46 @@
                     return;
                 }
                 StandinExchange exchange = new StandinExchange(request, body);
-                Answering answering = new Answering(request, response, callback);
-                if (!control(exchange, answering)) {
-                    enter(exchange, answering);
+                PendingResponse pending = new PendingResponse(request, response, callback);
+                if (!handleControl(exchange, pending)) {
+                    serveWithFaults(exchange, pending);
                 }
             });
             return true;
         }
 
-        private boolean control(StandinExchange exchange, Answering answering) {
-            if (exchange.is("POST", "/faults")) {
-                answering.reply(StandinReply.attempt(() -> {
-                    faults.apply(exchange.read(Faults.Settings.class));
+        private boolean handleControl(StandinExchange exchange, PendingResponse pending) {
+            if (exchange.matches("POST", "/faults")) {
+                pending.send(StandinReply.fromSupplier(() -> {
+                    faults.apply(exchange.parseBody(Faults.Settings.class));
                     return StandinReply.empty(StandinReply.NO_CONTENT);
                 }));
                 return true;
             }
-            if (exchange.is("GET", "/stats")) {
-                answering.reply(StandinReply.json(StandinReply.OK, stats.get()));
+            if (exchange.matches("GET", "/stats")) {
+                pending.send(StandinReply.json(StandinReply.OK, stats.get()));
                 return true;
             }
             return false;
         }
 
-        private void enter(StandinExchange exchange, Answering answering) {
-            if (faults.hits(Faults.Kind.SILENT)) {
+        private void serveWithFaults(StandinExchange exchange, PendingResponse pending) {
+            if (faults.consume(Faults.Kind.SILENT)) {
                 return;
             }
-            if (away || faults.hits(Faults.Kind.OUT)) {
-                answering.drop();
+            if (down || faults.consume(Faults.Kind.OUT)) {
+                pending.closeConnection();
                 return;
             }
             long slowMicros = faults.settings().slowMillis().orElse(0L) * 1_000L;
             if (slowMicros == 0) {
-                serve(exchange, answering);
+                serve(exchange, pending);
             } else {
-                timer.schedule(slowMicros, () -> serve(exchange, answering));
+                timer.schedule(slowMicros, () -> serve(exchange, pending));
             }
         }
 
-        private void serve(StandinExchange exchange, Answering answering) {
+        private void serve(StandinExchange exchange, PendingResponse pending) {
             CompletableFuture<StandinReply> future;
             try {
                 future = service.apply(exchange);
@@ -178,31 +178,31 @@
                 future = CompletableFuture.completedFuture(StandinReply.ofFailure(failure));
             }
             future.exceptionally(StandinReply::ofFailure).thenAccept(reply -> {
-                if (reply.wrote() && faults.hits(Faults.Kind.LOSE_ANSWER)) {
-                    answering.drop();
+                if (reply.stateChanged() && faults.consume(Faults.Kind.LOSE_ANSWER)) {
+                    pending.closeConnection();
                 } else {
-                    answering.reply(reply);
+                    pending.send(reply);
                 }
             });
         }
     }
 
     /** One answer on its connection. */
-    static final class Answering {
+    static final class PendingResponse {
 
         private final Request request;
         private final Response response;
         private final Callback callback;
 
-        private Answering(Request request, Response response, Callback callback) {
+        private PendingResponse(Request request, Response response, Callback callback) {
             this.request = request;
             this.response = response;
             this.callback = callback;
         }
 
-        void reply(StandinReply reply) {
-            if (reply.dropped()) {
-                drop();
+        void send(StandinReply reply) {
+            if (reply.connectionClosed()) {
+                closeConnection();
                 return;
             }
             response.setStatus(reply.statusCode());
@@ -215,8 +215,8 @@
         }
 
         /** Writes part of a stream. */
-        void write(String text, Callback written) {
-            response.write(false, StandardCharsets.UTF_8.encode(text), written);
+        void write(String text, Callback callback) {
+            response.write(false, StandardCharsets.UTF_8.encode(text), callback);
         }
 
         void finish() {
@@ -224,21 +224,21 @@
         }
 
         /** Closes the connection without an answer. */
-        void drop() {
+        void closeConnection() {
             request.getConnectionMetaData().getConnection().getEndPoint().close();
             callback.failed(new EofException("dropped"));
         }
     }
 
     /** Threads shared by all stand-ins of this process, so that hundreds can run in one. */
-    private static final class Shared {
+    private static final class SharedResources {
 
         private final QueuedThreadPool threads = new QueuedThreadPool(MAX_THREADS, MIN_THREADS);
         private final ScheduledExecutorScheduler scheduler = new ScheduledExecutorScheduler("standin-http", true);
         private final ArrayByteBufferPool buffers = new ArrayByteBufferPool();
 
-        private static Shared start() {
-            Shared shared = new Shared();
+        private static SharedResources start() {
+            SharedResources shared = new SharedResources();
             shared.threads.setName("standin");
             shared.threads.setDaemon(true);
             try {
--- a/src/main/java/io/waxwingquay/standin/StandinTimer.java
+++ b/src/main/java/io/waxwingquay/standin/StandinTimer.java
@@ -24,9 +24,9 @@
      * Runs a step later.
      *
      * @param delayMicros how much later.
-     * @param step the step, which must be short.
+     * @param task the step, which must be short.
      */
-    void schedule(long delayMicros, Runnable step);
+    void schedule(long delayMicros, Runnable task);
 
     /** Real time. */
     final class ForSystem implements StandinTimer {
@@ -50,13 +50,13 @@
 
         /** {@inheritDoc} */
         @Override
-        public void schedule(long delayMicros, Runnable step) {
-            executor.schedule(() -> runLogged(step), delayMicros, TimeUnit.MICROSECONDS);
+        public void schedule(long delayMicros, Runnable task) {
+            executor.schedule(() -> runLogged(task), delayMicros, TimeUnit.MICROSECONDS);
         }
 
-        private static void runLogged(Runnable step) {
+        private static void runLogged(Runnable task) {
             try {
-                step.run();
+                task.run();
             } catch (RuntimeException failure) {
                 LOG.log(System.Logger.Level.ERROR, "standin: a step failed.", failure);
             }
@@ -66,10 +66,10 @@
     /** Time that a test moves by hand. */
     final class Manual implements StandinTimer {
 
-        private final PriorityQueue<Due> steps =
-                new PriorityQueue<>(Comparator.comparingLong(Due::atMicros).thenComparingLong(Due::order));
+        private final PriorityQueue<ScheduledTask> tasks = new PriorityQueue<>(
+                Comparator.comparingLong(ScheduledTask::atMicros).thenComparingLong(ScheduledTask::sequenceNumber));
         private long nowMicros;
-        private long order;
+        private long nextSequenceNumber;
 
         /** {@inheritDoc} */
         @Override
@@ -79,8 +79,8 @@
 
         /** {@inheritDoc} */
         @Override
-        public synchronized void schedule(long delayMicros, Runnable step) {
-            steps.add(new Due(nowMicros + Math.max(0, delayMicros), order++, step));
+        public synchronized void schedule(long delayMicros, Runnable task) {
+            tasks.add(new ScheduledTask(nowMicros + Math.max(0, delayMicros), nextSequenceNumber++, task));
         }
 
         /**
@@ -90,21 +90,21 @@
          */
         public void advance(long micros) {
             long untilMicros = nowMicros() + micros;
-            for (Due due = next(untilMicros); due != null; due = next(untilMicros)) {
-                due.step().run();
+            for (ScheduledTask due = nextDue(untilMicros); due != null; due = nextDue(untilMicros)) {
+                due.task().run();
             }
         }
 
-        private synchronized Due next(long untilMicros) {
-            Due due = steps.peek();
+        private synchronized ScheduledTask nextDue(long untilMicros) {
+            ScheduledTask due = tasks.peek();
             if (due == null || due.atMicros() > untilMicros) {
                 nowMicros = untilMicros;
                 return null;
             }
             nowMicros = due.atMicros();
-            return steps.poll();
+            return tasks.poll();
         }
 
-        private record Due(long atMicros, long order, Runnable step) {}
+        private record ScheduledTask(long atMicros, long sequenceNumber, Runnable task) {}
     }
 }
--- a/src/main/java/io/waxwingquay/standin/VmHistory.java
+++ b/src/main/java/io/waxwingquay/standin/VmHistory.java
@@ -14,13 +14,13 @@
  */
 final class VmHistory {
 
-    private static final long KEPT_MICROS = 300_000_000L;
+    private static final long RETENTION_MICROS = 300_000_000L;
     private static final long MICROS_PER_MILLI = 1_000L;
 
     private final StandinTimer timer;
     private final long lagMicros;
     private final long expiryMicros;
-    private final Map<String, Deque<Announcement>> announcements = new TreeMap<>();
+    private final Map<String, Deque<Announcement>> announcementsByVm = new TreeMap<>();
 
     VmHistory(StandinTimer timer, long lagMillis, long expiryMillis) {
         this.timer = timer;
@@ -30,22 +30,22 @@
 
     synchronized void announce(VmList.Vm vm) {
         long nowMicros = timer.nowMicros();
-        Deque<Announcement> ofVm = announcements.computeIfAbsent(vm.name(), name -> new ArrayDeque<>());
-        ofVm.addLast(new Announcement(nowMicros, vm));
-        while (ofVm.getFirst().atMicros() < nowMicros - KEPT_MICROS) {
-            ofVm.removeFirst();
+        Deque<Announcement> vmAnnouncements = announcementsByVm.computeIfAbsent(vm.name(), name -> new ArrayDeque<>());
+        vmAnnouncements.addLast(new Announcement(nowMicros, vm));
+        while (vmAnnouncements.getFirst().atMicros() < nowMicros - RETENTION_MICROS) {
+            vmAnnouncements.removeFirst();
         }
     }
 
     synchronized List<VmList.Vm> list(long backwardsMillis) {
         long atMicros = timer.nowMicros() - lagMicros - backwardsMillis * MICROS_PER_MILLI;
-        return announcements.values().stream()
-                .flatMap(ofVm -> latest(ofVm, atMicros).stream())
+        return announcementsByVm.values().stream()
+                .flatMap(vmAnnouncements -> listedAt(vmAnnouncements, atMicros).stream())
                 .toList();
     }
 
-    private Optional<VmList.Vm> latest(Deque<Announcement> ofVm, long atMicros) {
-        Iterator<Announcement> newestFirst = ofVm.descendingIterator();
+    private Optional<VmList.Vm> listedAt(Deque<Announcement> vmAnnouncements, long atMicros) {
+        Iterator<Announcement> newestFirst = vmAnnouncements.descendingIterator();
         while (newestFirst.hasNext()) {
             Announcement announcement = newestFirst.next();
             if (announcement.atMicros() <= atMicros) {
--- a/src/main/java/io/waxwingquay/standin/WeightSource.java
+++ b/src/main/java/io/waxwingquay/standin/WeightSource.java
@@ -51,10 +51,10 @@
                                         .method(HttpMethod.POST),
                                 new WeightStoreStandin.LoadRequest(item, bytes)),
                         timeoutMillis)
-                .thenAccept(WeightSource::check);
+                .thenAccept(WeightSource::requireSuccess);
     }
 
-    private static void check(HttpCalls.Reply reply) {
+    private static void requireSuccess(HttpCalls.Reply reply) {
         if (reply.statusCode() != StandinReply.NO_CONTENT) {
             throw new IllegalStateException("weight store answered with status " + reply.statusCode());
         }
--- a/src/main/java/io/waxwingquay/standin/WeightStoreStandin.java
+++ b/src/main/java/io/waxwingquay/standin/WeightStoreStandin.java
@@ -11,22 +11,22 @@
     private static final String ADAPTER_PREFIX = "adapter:";
 
     private final Faults faults = new Faults();
-    private final LoadPacer models;
-    private final LoadPacer adapters;
+    private final LoadPacer modelLoads;
+    private final LoadPacer adapterLoads;
     private final StandinServer server;
 
     private WeightStoreStandin(Builder builder) {
-        double micros = 1_000L * builder.timeScale;
-        this.models = new LoadPacer(
+        double microsPerMilli = 1_000L * builder.timeScale;
+        this.modelLoads = new LoadPacer(
                 builder.timer,
                 builder.loadsAtOnce,
                 builder.loadsPerSecond / builder.timeScale,
-                item -> Math.round(builder.loadMillis * micros));
-        this.adapters = new LoadPacer(
+                item -> Math.round(builder.loadMillis * microsPerMilli));
+        this.adapterLoads = new LoadPacer(
                 builder.timer,
                 builder.adapterLoadsAtOnce,
                 Double.POSITIVE_INFINITY,
-                item -> Math.round((5 + Math.floorMod(item.hashCode(), 11)) * micros));
+                item -> Math.round((5 + Math.floorMod(item.hashCode(), 11)) * microsPerMilli));
         this.server = StandinServer.start(builder.address, builder.timer, faults, this::stats, this::serve);
     }
 
@@ -63,7 +63,7 @@
      * @return the counts so far.
      */
     public Stats stats() {
-        return new Stats(models.stats(), adapters.stats());
+        return new Stats(modelLoads.stats(), adapterLoads.stats());
     }
 
     /** {@inheritDoc} */
@@ -73,12 +73,12 @@
     }
 
     private CompletableFuture<StandinReply> serve(StandinExchange exchange) {
-        if (!exchange.is("POST", "/loads")) {
+        if (!exchange.matches("POST", "/loads")) {
             return CompletableFuture.completedFuture(StandinReply.error(StandinReply.NOT_FOUND, "no such path"));
         }
-        String item = exchange.read(LoadRequest.class).item();
-        LoadPacer pace = item.startsWith(ADAPTER_PREFIX) ? adapters : models;
-        return pace.load(item).thenApply(done -> StandinReply.empty(StandinReply.NO_CONTENT));
+        String item = exchange.parseBody(LoadRequest.class).item();
+        LoadPacer pacer = item.startsWith(ADAPTER_PREFIX) ? adapterLoads : modelLoads;
+        return pacer.load(item).thenApply(done -> StandinReply.empty(StandinReply.NO_CONTENT));
     }
 
     /**
--- a/src/main/java/io/waxwingquay/standin/prepared/ReplicaStandin.java
+++ b/src/main/java/io/waxwingquay/standin/prepared/ReplicaStandin.java
@@ -33,17 +33,17 @@
 
     private final String id;
     private final HostPort address;
-    private final Map<String, Set<String>> models = new TreeMap<>();
+    private final Map<String, Set<String>> adaptersByModel = new TreeMap<>();
     private final List<String> startedAttemptIds = new CopyOnWriteArrayList<>();
     private volatile Behaviour behaviour;
     private volatile boolean unresponsive;
-    private long ordersTaken;
+    private long acceptedOrders;
 
     private ReplicaStandin(String id, HostPort address, List<String> models, Behaviour behaviour) {
         this.id = id;
         this.address = address;
         this.behaviour = behaviour;
-        models.forEach(model -> this.models.put(model, new TreeSet<>()));
+        models.forEach(model -> this.adaptersByModel.put(model, new TreeSet<>()));
     }
 
     /**
@@ -58,9 +58,9 @@
      */
     public static ReplicaStandin start(
             EventLoop loop, String id, HostPort address, List<String> models, Behaviour behaviour) {
-        ReplicaStandin engine = new ReplicaStandin(id, address, models, behaviour);
-        HttpServer.listen(loop, new InetSocketAddress(address.host(), address.port()), engine::answer);
-        return engine;
+        ReplicaStandin replica = new ReplicaStandin(id, address, models, behaviour);
+        HttpServer.listen(loop, new InetSocketAddress(address.host(), address.port()), replica::handle);
+        return replica;
     }
 
     /**
@@ -76,10 +76,10 @@
      * Stands still, as with its machine: it takes connections and bytes, and answers nothing, not even what it holds.
      * What it is asked meanwhile stays without an answer.
      *
-     * @param standsStill whether it does.
+     * @param isUnresponsive whether it does.
      */
-    public void unresponsive(boolean standsStill) {
-        unresponsive = standsStill;
+    public void unresponsive(boolean isUnresponsive) {
+        unresponsive = isUnresponsive;
     }
 
     /**
@@ -107,26 +107,26 @@
                 .put("slots", 8)
                 .put("state", state)
                 .put("born", 1);
-        row.set("models", models());
+        row.set("models", modelList());
         return row.toString();
     }
 
-    private void answer(ServerExchange caller) {
+    private void handle(ServerExchange caller) {
         if (unresponsive) {
             return;
         }
         switch (caller.request().path()) {
             case "/report" -> caller.respond(OK, HttpFields.EMPTY, report());
-            case "/order" -> order(caller);
-            default -> request(caller);
+            case "/order" -> carryOutOrder(caller);
+            default -> runRequest(caller);
         }
     }
 
-    private void request(ServerExchange caller) {
+    private void runRequest(ServerExchange caller) {
         HttpFields fields = caller.request().fields();
-        String wanted = fields.get("Target-Replica");
+        String targetReplica = fields.get("Target-Replica");
         String model = fields.get("Model");
-        if (wanted != null && !wanted.equals(id) || model != null && !holds(model)) {
+        if (targetReplica != null && !targetReplica.equals(id) || model != null && !holds(model)) {
             caller.respond(MISDIRECTED, HttpFields.build().put("Replica-Id", id), "not here");
             return;
         }
@@ -136,35 +136,35 @@
 
     private boolean holds(String model) {
         String[] parts = model.split("/", 2);
-        Set<String> adapters = models.get(parts[0]);
+        Set<String> adapters = adaptersByModel.get(parts[0]);
         return adapters != null && (parts.length == 1 || adapters.contains(parts[1]));
     }
 
-    private void order(ServerExchange caller) {
+    private void carryOutOrder(ServerExchange caller) {
         JsonNode order;
         try {
             order = MAPPER.readTree(caller.request().body());
         } catch (IOException failure) {
             throw new IllegalArgumentException("an order can't be read", failure);
         }
-        if (order.has("precondition") && order.get("precondition").longValue() != ordersTaken) {
+        if (order.has("precondition") && order.get("precondition").longValue() != acceptedOrders) {
             caller.respond(CONFLICT, HttpFields.EMPTY, "other orders came before");
             return;
         }
-        ordersTaken++;
+        acceptedOrders++;
         boolean load = order.path("op").asText().equals("load");
         String model = order.path("model").asText();
         if (order.has("adapter")) {
-            Set<String> adapters = models.get(model);
+            Set<String> adapters = adaptersByModel.get(model);
             if (load) {
                 adapters.add(order.get("adapter").textValue());
             } else {
                 adapters.remove(order.get("adapter").textValue());
             }
         } else if (load) {
-            models.put(model, new TreeSet<>());
+            adaptersByModel.put(model, new TreeSet<>());
         } else {
-            models.remove(model);
+            adaptersByModel.remove(model);
         }
         caller.respond(ACCEPTED, HttpFields.EMPTY, "");
     }
@@ -172,18 +172,18 @@
     private String report() {
         ObjectNode report = MAPPER.createObjectNode()
                 .put("busy", false)
-                .put("seq", ordersTaken)
+                .put("seq", acceptedOrders)
                 .put("running", 0)
                 .put("waiting", 0)
                 .put("kv_total", 10_000);
-        report.set("models", models());
+        report.set("models", modelList());
         report.putObject("at_hand").putArray("on_disk");
         return report.toString();
     }
 
-    private ArrayNode models() {
+    private ArrayNode modelList() {
         ArrayNode list = MAPPER.createArrayNode();
-        models.forEach((name, adapters) -> {
+        adaptersByModel.forEach((name, adapters) -> {
             ObjectNode model = list.addObject().put("name", name).put("version", 1);
             ArrayNode names = model.putArray("adapters");
             adapters.forEach(names::add);
@@ -210,19 +210,19 @@
         /**
          * Streams numbered events, from the one after {@code Last-Event-Id}.
          *
-         * @param last the last event's number.
-         * @param breaksAfter after which event it breaks off in the middle of the next; 0 for a whole stream.
+         * @param lastEvent the last event's number.
+         * @param breakAfterEvent after which event it breaks off in the middle of the next; 0 for a whole stream.
          * @return the behaviour.
          */
-        static Behaviour stream(int last, int breaksAfter) {
+        static Behaviour stream(int lastEvent, int breakAfterEvent) {
             return (engine, caller) -> {
-                String from = caller.request().fields().get("Last-Event-Id");
-                int first = from == null ? 1 : Integer.parseInt(from) + 1;
+                String lastEventId = caller.request().fields().get("Last-Event-Id");
+                int first = lastEventId == null ? 1 : Integer.parseInt(lastEventId) + 1;
                 caller.begin(
                         OK, HttpFields.build(engine.responseFields(caller)).put("Content-Type", "text/event-stream"));
-                for (int number = first; number <= last; number++) {
+                for (int number = first; number <= lastEvent; number++) {
                     String event = "id: " + number + "\ndata: event " + number + "\n\n";
-                    if (breaksAfter > 0 && number > breaksAfter) {
+                    if (breakAfterEvent > 0 && number > breakAfterEvent) {
                         caller.write(ByteBuffer.wrap(event.substring(0, 9).getBytes(StandardCharsets.UTF_8)));
                         caller.abort();
                         return;
--- a/src/main/java/io/waxwingquay/standin/prepared/StoreStandin.java
+++ b/src/main/java/io/waxwingquay/standin/prepared/StoreStandin.java
@@ -31,9 +31,9 @@
     private final EventLoop loop;
     private final HostPort address;
     private final Map<String, TreeMap<String, Row>> tables = new HashMap<>();
-    private final List<Follower> followers = new ArrayList<>();
+    private final List<LongPoll> longPolls = new ArrayList<>();
     private long version;
-    private long historyFrom;
+    private long historyStartVersion;
     private boolean unavailable;
 
     private StoreStandin(EventLoop loop, HostPort address) {
@@ -50,7 +50,7 @@
      */
     public static StoreStandin start(EventLoop loop, HostPort address) {
         StoreStandin store = new StoreStandin(loop, address);
-        HttpServer.listen(loop, new InetSocketAddress(address.host(), address.port()), store::answer);
+        HttpServer.listen(loop, new InetSocketAddress(address.host(), address.port()), store::handle);
         return store;
     }
 
@@ -71,7 +71,7 @@
      * @param value the value.
      */
     public void put(String table, String key, String value) {
-        onLoop(() -> change(table, key, value, false));
+        runOnLoop(() -> write(table, key, value, false));
     }
 
     /**
@@ -81,31 +81,31 @@
      * @param key the key.
      */
     public void remove(String table, String key) {
-        onLoop(() -> change(table, key, "", true));
+        runOnLoop(() -> write(table, key, "", true));
     }
 
     /** Forgets its history: whoever follows has to read again. */
     public void dropHistory() {
-        onLoop(() -> {
+        runOnLoop(() -> {
             version++;
-            historyFrom = version;
-            wake();
+            historyStartVersion = version;
+            completeReadyPolls();
         });
     }
 
     /**
      * Sets whether it turns every call away.
      *
-     * @param isAway whether it does.
+     * @param isUnavailable whether it does.
      */
-    public void unavailable(boolean isAway) {
-        onLoop(() -> {
-            unavailable = isAway;
-            wake();
+    public void unavailable(boolean isUnavailable) {
+        runOnLoop(() -> {
+            unavailable = isUnavailable;
+            completeReadyPolls();
         });
     }
 
-    private void onLoop(Runnable task) {
+    private void runOnLoop(Runnable task) {
         CompletableFuture<Void> done = new CompletableFuture<>();
         loop.execute(() -> {
             task.run();
@@ -114,50 +114,50 @@
         done.join();
     }
 
-    private void change(String table, String key, String value, boolean deleted) {
+    private void write(String table, String key, String value, boolean deleted) {
         version++;
         tables.computeIfAbsent(table, name -> new TreeMap<>()).put(key, new Row(key, value, version, deleted));
-        wake();
+        completeReadyPolls();
     }
 
-    private void answer(ServerExchange caller) {
+    private void handle(ServerExchange caller) {
         if (unavailable) {
             caller.respond(UNAVAILABLE, HttpFields.EMPTY, "away");
             return;
         }
-        Map<String, String> query = query(caller.request().target());
+        Map<String, String> query = parseQuery(caller.request().target());
         if (caller.request().path().equals("/rows-get")) {
-            caller.respond(OK, HttpFields.EMPTY, page(rows(query.get("table"), 0, false)));
+            caller.respond(OK, HttpFields.EMPTY, page(rowsAfter(query.get("table"), 0, false)));
             return;
         }
-        Follower follower = new Follower(caller, query.get("table"), Long.parseLong(query.get("after")));
-        followers.add(follower);
+        LongPoll poll = new LongPoll(caller, query.get("table"), Long.parseLong(query.get("after")));
+        longPolls.add(poll);
         loop.schedule(Long.parseLong(query.get("wait_ms")), () -> {
-            if (followers.remove(follower)) {
+            if (longPolls.remove(poll)) {
                 caller.respond(OK, HttpFields.EMPTY, page(List.of()));
             }
         });
-        wake();
+        completeReadyPolls();
     }
 
-    private void wake() {
-        new ArrayList<>(followers).forEach(follower -> {
-            List<Row> changed = rows(follower.table, follower.after, true);
-            if (unavailable || follower.after < historyFrom || !changed.isEmpty()) {
-                followers.remove(follower);
-                follower.caller.respond(status(follower), HttpFields.EMPTY, page(changed));
+    private void completeReadyPolls() {
+        new ArrayList<>(longPolls).forEach(poll -> {
+            List<Row> changed = rowsAfter(poll.table, poll.after, true);
+            if (unavailable || poll.after < historyStartVersion || !changed.isEmpty()) {
+                longPolls.remove(poll);
+                poll.caller.respond(status(poll), HttpFields.EMPTY, page(changed));
             }
         });
     }
 
-    private int status(Follower follower) {
+    private int status(LongPoll poll) {
         if (unavailable) {
             return UNAVAILABLE;
         }
-        return follower.after < historyFrom ? GONE : OK;
+        return poll.after < historyStartVersion ? GONE : OK;
     }
 
-    private List<Row> rows(String table, long after, boolean withDeleted) {
+    private List<Row> rowsAfter(String table, long after, boolean withDeleted) {
         return tables.getOrDefault(table, new TreeMap<>()).values().stream()
                 .filter(row -> row.version > after)
                 .filter(row -> withDeleted || !row.deleted)
@@ -178,7 +178,7 @@
         return page.put("has_more", false).put("ver", version).toString();
     }
 
-    private static Map<String, String> query(String target) {
+    private static Map<String, String> parseQuery(String target) {
         Map<String, String> pairs = new HashMap<>();
         for (String pair : target.substring(target.indexOf('?') + 1).split("&")) {
             String[] parts = pair.split("=", 2);
@@ -189,5 +189,5 @@
 
     private record Row(String key, String value, long version, boolean deleted) {}
 
-    private record Follower(ServerExchange caller, String table, long after) {}
+    private record LongPoll(ServerExchange caller, String table, long after) {}
 }
--- a/src/main/java/io/waxwingquay/standin/prepared/TrainingRun.java
+++ b/src/main/java/io/waxwingquay/standin/prepared/TrainingRun.java
@@ -28,8 +28,8 @@
     private static final String ENTRY_HOST = "127.0.0.1";
     private static final String SIDE_HOST = "127.0.0.2";
     private static final String PLAIN_HOST = "127.0.0.3";
-    private static final long LIMIT_SECONDS = 30L;
-    private static final long PAUSE_NANOS = TimeUnit.MILLISECONDS.toNanos(20);
+    private static final long TIMEOUT_SECONDS = 30L;
+    private static final long RETRY_DELAY_NANOS = TimeUnit.MILLISECONDS.toNanos(20);
     private static final int OK = 200;
     private static final String MANIFEST =
             """
@@ -76,8 +76,8 @@
         store.put("op", "config", MANIFEST);
         store.put("servers", "i-1", engine.row("engines", "z", "ready"));
         store.put("servers", "i-2", plain.row("plain", "z", "ready"));
-        HostPort callers = new HostPort(ENTRY_HOST, basePort + 2);
-        HostPort readiness = new HostPort(ENTRY_HOST, basePort + 3);
+        HostPort callerAddress = new HostPort(ENTRY_HOST, basePort + 2);
+        HostPort readinessAddress = new HostPort(ENTRY_HOST, basePort + 3);
         try (EventLoop processes = EventLoop.start("processes")) {
             CompletableFuture<HostedProcess> entry = new CompletableFuture<>();
             processes.execute(() -> {
@@ -85,22 +85,29 @@
                     HostedSide.start(
                             processes, settings(SIDE_HOST, Optional.empty(), Optional.of(engineAddress), store));
                     entry.complete(HostedEntry.start(
-                            processes, settings(ENTRY_HOST, Optional.of(callers), Optional.empty(), store, readiness)));
+                            processes,
+                            settings(
+                                    ENTRY_HOST,
+                                    Optional.of(callerAddress),
+                                    Optional.empty(),
+                                    store,
+                                    readinessAddress)));
                 } catch (RuntimeException failure) {
                     entry.completeExceptionally(failure);
                 }
             });
-            HostedProcess process = entry.get(LIMIT_SECONDS, TimeUnit.SECONDS);
-            ClientPool pool = new ClientPool(loop, new InetSocketAddress(callers.host(), callers.port()), 4);
+            HostedProcess process = entry.get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
+            ClientPool pool =
+                    new ClientPool(loop, new InetSocketAddress(callerAddress.host(), callerAddress.port()), 4);
             expectOk(pool, "GET", "/p/1", "");
             expectOk(pool, "POST", "/s/1", "m");
             expectOk(pool, "POST", "/s/2", "m/a1");
-            process.leave().get(LIMIT_SECONDS, TimeUnit.SECONDS);
+            process.leave().get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
         }
     }
 
     private void expectOk(ClientPool pool, String method, String path, String model) throws Exception {
-        long endNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(LIMIT_SECONDS);
+        long endNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_SECONDS);
         int status = 0;
         while (status != OK && System.nanoTime() < endNanos) {
             CompletableFuture<Integer> answer = new CompletableFuture<>();
@@ -113,8 +120,8 @@
             }
             ClientRequest request = new ClientRequest(method, path, fields, new byte[0], true);
             loop.execute(() -> pool.send(request, new StatusListener(answer)));
-            status = answer.get(LIMIT_SECONDS, TimeUnit.SECONDS);
-            LockSupport.parkNanos(PAUSE_NANOS);
+            status = answer.get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
+            LockSupport.parkNanos(RETRY_DELAY_NANOS);
         }
         if (status != OK) {
             throw new IllegalStateException(method + " " + path + " was answered " + status);
@@ -122,8 +129,13 @@
     }
 
     private HostSettings settings(
-            String host, Optional<HostPort> callers, Optional<HostPort> engine, StoreStandin store, HostPort... ready) {
-        Optional<HostPort> readiness = ready.length > 0 ? Optional.of(ready[0]) : Optional.empty();
+            String host,
+            Optional<HostPort> callerAddress,
+            Optional<HostPort> engineAddress,
+            StoreStandin store,
+            HostPort... optionalReadinessAddress) {
+        Optional<HostPort> readinessAddress =
+                optionalReadinessAddress.length > 0 ? Optional.of(optionalReadinessAddress[0]) : Optional.empty();
         HostSettings.Bounds bounds = new HostSettings.Bounds(2_000, 4_000, 0.2, 20, 5_000, 1.1);
         return new HostSettings(
                 host,
@@ -131,9 +143,9 @@
                 host,
                 basePort + 5,
                 basePort + 6,
-                callers,
-                readiness,
-                engine,
+                callerAddress,
+                readinessAddress,
+                engineAddress,
                 Optional.of("engines"),
                 store.address(),
                 true,
--- a/src/test/java/io/waxwingquay/standin/BatchTest.java
+++ b/src/test/java/io/waxwingquay/standin/BatchTest.java
@@ -20,23 +20,23 @@
         Sequence sequence = batch.start(generation("a", "x".repeat(40), 2, 0));
 
         timer.advance(1_000 + 100 + 10 * 10 - 1);
-        assertEquals(0, sequence.produced());
+        assertEquals(0, sequence.producedTokens());
         timer.advance(1);
-        assertEquals(1, sequence.produced());
+        assertEquals(1, sequence.producedTokens());
         timer.advance(1_100);
-        assertTrue(sequence.whole());
+        assertTrue(sequence.isComplete());
     }
 
     @Test
-    void higherPriorityJoinsFirstWhenThePlacesAreTaken() {
+    void higherPriorityJoinsFirstWhenTheSlotsAreTaken() {
         batch.start(generation("a", "p", 3, 0));
         batch.start(generation("b", "p", 3, 0));
         Sequence low = batch.start(generation("low", "p", 1, 0));
         Sequence high = batch.start(generation("high", "p", 50, 5));
 
         timer.advance(1_000_000);
-        assertTrue(low.whole());
-        assertTrue(high.whole());
+        assertTrue(low.isComplete());
+        assertTrue(high.isComplete());
         assertEquals(57, batch.stats().tokens());
     }
 
@@ -54,13 +54,13 @@
     // The caller sees an answer with a token more than was asked for. A request comes in while a step hands out its
     // tokens, and the step it begins ends first, on a busy machine, so both count from the same number of tokens left.
     @Test
-    void requestThatComesDuringAStepDoesNotBeginAnother() {
+    void requestArrivingDuringAStepDoesNotBeginASecondStep() {
         Sequence first = batch.start(generation("a", "p", 9, 0));
         Sequence second = batch.start(generation("b", "p", 2, 0));
         List<String> arrivals = new ArrayList<>(List.of("c"));
         timer.advance(1_000);
-        first.watch(() -> {
-            if (first.produced() == 2 && !arrivals.isEmpty()) {
+        first.addListener(() -> {
+            if (first.producedTokens() == 2 && !arrivals.isEmpty()) {
                 batch.start(generation(arrivals.remove(0), "p", 1, 0));
                 timer.advance(1_000_000);
             }
@@ -68,8 +68,8 @@
 
         timer.advance(1_000_000);
         timer.advance(1_000_000);
-        assertEquals(2, second.produced());
-        assertEquals(9, first.produced());
+        assertEquals(2, second.producedTokens());
+        assertEquals(9, first.producedTokens());
     }
 
     @Test
--- a/src/test/java/io/waxwingquay/standin/prepared/TrainingRunTest.java
+++ b/src/test/java/io/waxwingquay/standin/prepared/TrainingRunTest.java
@@ -15,7 +15,7 @@
 
     // The port for callers is taken. The failure was only logged, and the build waited for it until its limit.
     @Test
-    void takenPortFailsTheRehearsalWithItsCause() throws Exception {
+    void takenPortFailsTheTrainingRunWithItsCause() throws Exception {
         int base = FreePorts.adjacent(10, List.of("127.0.0.1", "127.0.0.2", "127.0.0.3"));
         try (ServerSocket taken = new ServerSocket(base + 2, 1, InetAddress.getByName("127.0.0.1"))) {
             ExecutionException failure =
