--- a/src/main/java/io/waxwingquay/standin/Batch.java
+++ b/src/main/java/io/waxwingquay/standin/Batch.java
@@ -14,12 +14,16 @@
 import java.util.stream.Stream;
 
 /**
- * An engine's continuous batch: sequences join and leave between steps, a higher priority first.
+ * Simulates continuous batching: sequences join and leave the batch between decoding steps. Queued sequences join in
+ * order of priority, then of arrival.
  */
 public final class Batch {
 
+    /** The number of sequences above which those that have ended are dropped, oldest first. */
     private static final int MAX_RETAINED_SEQUENCES = 20_000;
+    /** How often the load is sampled within the reporting lag. */
     private static final int SAMPLES_PER_LAG = 8;
+    /** The largest lateness that a following step makes up for. */
     private static final long MAX_CATCH_UP_MICROS = 100_000L;
 
     private final StandinTimer timer;
@@ -49,7 +53,7 @@
         this.onCrash = onCrash;
     }
 
-    /** Starts a generation, or finds the one that was started under its id. */
+    /** Queues a generation, or returns the sequence that was already started under its id. */
     synchronized Sequence start(Generation generation) {
         Sequence existing = sequencesById.get(generation.id());
         if (existing != null) {
@@ -79,7 +83,7 @@
         sequence.fail("cancelled");
     }
 
-    /** Ends what runs on an item that has left memory. */
+    /** Fails every queued or running sequence that uses an item evicted from memory. */
     void failSequencesUsing(String item) {
         List<Sequence> affected;
         synchronized (this) {
@@ -141,8 +145,9 @@
     }
 
     /**
-     * The time to the end of a step. A step follows the due end of the one before, not the instant a busy machine
-     * got round to it; else the machine's lateness would add to every step and the costs would not be those stated.
+     * Computes the delay until the end of a step. A step begins at the scheduled end of the previous step, not when
+     * a busy machine processed that end; otherwise the lateness would accumulate over the steps, and their duration
+     * would exceed the one that the cost model states.
      */
     private long delayMicros(double stepMicros) {
         long nowMicros = timer.nowMicros();
@@ -169,7 +174,7 @@
             tokens += stepped.size();
             running.removeIf(sequence -> sequence.remainingTokens() <= 1);
         }
-        // Until all have their token no other step may begin: it would count from the tokens left before this one.
+        // No other step may begin until every sequence has its token: it would use the remaining counts from before.
         stepped.forEach(Sequence::produceToken);
         synchronized (this) {
             if (stepEpoch == epoch) {
@@ -219,12 +224,12 @@
     }
 
     /**
-     * The recorded counts.
+     * The counters of a batch.
      *
-     * @param started generations started.
-     * @param tokens tokens generated.
-     * @param promptTokens prompt tokens read.
-     * @param cachedPromptTokens prompt tokens found in the prefix cache.
+     * @param started number of generations started.
+     * @param tokens number of tokens generated.
+     * @param promptTokens number of prompt tokens processed, cached ones included.
+     * @param cachedPromptTokens number of prompt tokens found in the prefix cache.
      */
     public record Stats(long started, long tokens, long promptTokens, long cachedPromptTokens) {}
 
--- a/src/main/java/io/waxwingquay/standin/CostModel.java
+++ b/src/main/java/io/waxwingquay/standin/CostModel.java
@@ -1,18 +1,18 @@
 package io.waxwingquay.standin;
 
 /**
- * What work costs a model engine, in microseconds. A step of the batch takes
- * {@code stepBaseMicros + stepPerSequenceMicros * batch}, plus the prefill of the prompts that join in it.
+ * The simulated cost of a model engine's work, in microseconds. A step of the batch takes
+ * {@code stepBaseMicros + stepPerSequenceMicros * batch}, plus the prefill of the sequences that join with it.
  *
- * @param prefillMicrosPerToken a prompt token that is not cached.
- * @param cachedMicrosPerToken a prompt token in a cached prefix.
- * @param stepBaseMicros a step whatever the batch.
- * @param stepPerSequenceMicros each sequence in a step.
- * @param maxBatch the most sequences in a step.
- * @param prefixCacheTokens how many prompt tokens the prefix cache holds.
- * @param evictMicros how long an eviction takes.
- * @param loadReportLagMicros how old the load report is.
- * @param keepAliveMicros how often a waiting stream sends a comment.
+ * @param prefillMicrosPerToken cost of a prompt token that is not cached.
+ * @param cachedMicrosPerToken cost of a prompt token within a cached prefix.
+ * @param stepBaseMicros cost of a step, independent of the batch size.
+ * @param stepPerSequenceMicros additional cost of a step for each sequence.
+ * @param maxBatch maximum number of sequences in a step.
+ * @param prefixCacheTokens capacity of the prefix cache in prompt tokens.
+ * @param evictMicros duration of an eviction.
+ * @param loadReportLagMicros age of the load that is reported.
+ * @param keepAliveMicros interval of the comments that keep an idle stream alive.
  */
 public record CostModel(
         double prefillMicrosPerToken,
@@ -25,14 +25,14 @@
         long loadReportLagMicros,
         long keepAliveMicros) {
 
-    /** A mid-sized model: 20 ms a step, 0.4 ms more for each sequence, at most 32. */
+    /** The costs of a mid-sized model: 20 ms a step plus 0.4 ms for each sequence, of which it runs at most 32. */
     public static final CostModel DEFAULT = new CostModel(200, 20, 20_000, 400, 32, 65_536, 50_000, 500_000, 250_000);
 
     /**
-     * Scales every time but the keep-alive, which belongs to the connection and not to the work.
+     * Scales every duration except the keep-alive interval, which depends on the connection and not on the work.
      *
-     * @param timeScale the factor; 0.1 is ten times as fast.
-     * @return the scaled costs.
+     * @param timeScale the factor; 0.1 runs ten times as fast.
+     * @return the scaled cost model.
      */
     public CostModel scaled(double timeScale) {
         return new CostModel(
@@ -48,10 +48,10 @@
     }
 
     /**
-     * Sets the largest batch.
+     * Sets the maximum batch size.
      *
-     * @param newMaxBatch the most sequences in a step.
-     * @return the new costs.
+     * @param newMaxBatch the maximum number of sequences in a step.
+     * @return the new cost model.
      */
     public CostModel withMaxBatch(int newMaxBatch) {
         return new CostModel(
--- a/src/main/java/io/waxwingquay/standin/EngineMemory.java
+++ b/src/main/java/io/waxwingquay/standin/EngineMemory.java
@@ -15,7 +15,8 @@
 import java.util.function.Consumer;
 
 /**
- * An engine's accelerator memory and its orders. It obeys every order and only records when they ask too much.
+ * Simulates an engine's accelerator memory and the orders that change it. Every order that passes fencing is carried
+ * out; loads beyond the capacity are not refused but counted as overcommits.
  */
 public final class EngineMemory {
 
@@ -58,6 +59,7 @@
         this.onEvicted = onEvicted;
     }
 
+    /** Accepts an order. An order with a stale fencing token is refused, and an order received again has no effect. */
     synchronized OrderAnswer submit(Order order) {
         if (enforceFencing && order.fence() < highestFence) {
             staleOrders++;
@@ -95,7 +97,7 @@
         seenOrderIds.clear();
     }
 
-    /** Puts an item into memory at once, as it is after an engine that started with it. */
+    /** Puts an item into memory immediately, as if the engine had started with it. */
     synchronized void preload(String item, long bytes) {
         residentBytesByItem.put(item, bytes);
         recordUsage();
@@ -189,19 +191,19 @@
     }
 
     /**
-     * The recorded counts.
+     * The counters of an engine's memory.
      *
-     * @param capacityBytes the accelerator memory.
-     * @param usedBytes what residents and running loads take.
-     * @param maxUsedBytes the most they ever took.
-     * @param overcommits instants at which they took more than there is.
-     * @param loads loads done.
-     * @param evictions evictions done.
-     * @param failedLoads loads that the weight store failed.
-     * @param staleOrders orders refused for their fencing number.
-     * @param maxLoading the most loads in flight at once.
-     * @param adapterLoads loads of adapters, also among all loads.
-     * @param adapterEvictions evictions of adapters, also among all evictions.
+     * @param capacityBytes size of the accelerator memory.
+     * @param usedBytes memory taken by resident items and loads in progress.
+     * @param maxUsedBytes maximum of the used memory so far.
+     * @param overcommits number of changes after which the used memory exceeded the capacity.
+     * @param loads number of completed loads.
+     * @param evictions number of completed evictions.
+     * @param failedLoads number of loads that failed in the weight store.
+     * @param staleOrders number of orders refused for a stale fencing token.
+     * @param maxLoading maximum number of items loading at once.
+     * @param adapterLoads number of completed adapter loads, which are also part of {@code loads}.
+     * @param adapterEvictions number of completed adapter evictions, which are also part of {@code evictions}.
      */
     public record Stats(
             long capacityBytes,
@@ -217,9 +219,9 @@
             long adapterEvictions) {
 
         /**
-         * Loads and evictions together.
+         * Returns the total of loads and evictions.
          *
-         * @return the moves.
+         * @return the number of moves.
          */
         public long moves() {
             return loads + evictions;
--- a/src/main/java/io/waxwingquay/standin/EventWriter.java
+++ b/src/main/java/io/waxwingquay/standin/EventWriter.java
@@ -5,7 +5,7 @@
 import org.eclipse.jetty.util.Callback;
 
 /**
- * Writes one sequence to one connection as server-sent events, as fast as the reader takes them.
+ * Streams a sequence to a connection as server-sent events, at the rate at which the reader accepts them.
  */
 final class EventWriter {
 
@@ -40,10 +40,10 @@
     }
 
     /**
-     * What goes wrong on one stream.
+     * The fault to simulate on a stream.
      *
-     * @param kind the fault, if any.
-     * @param afterTokens tokens sent before it shows.
+     * @param kind the kind of fault, if any.
+     * @param afterTokens number of tokens sent before the fault occurs.
      */
     record StreamFault(Optional<Faults.Kind> kind, long afterTokens) {
 
@@ -73,7 +73,7 @@
         timer.schedule(keepAliveMicros, () -> sendKeepAliveIfIdle(currentWriteCount));
     }
 
-    /** One write at a time: a second one would be refused by the connection and its tokens lost. */
+    /** Marks a write as pending. The connection would refuse a concurrent write, and its tokens would be lost. */
     private long beginWrite() {
         writing = true;
         return ++writeCount;
--- a/src/main/java/io/waxwingquay/standin/FaultInjectingProxy.java
+++ b/src/main/java/io/waxwingquay/standin/FaultInjectingProxy.java
@@ -15,7 +15,7 @@
 import java.util.concurrent.locks.LockSupport;
 
 /**
- * A link between two processes that forwards TCP and can fail as networks do.
+ * A TCP proxy between two processes that simulates network faults: closed, black-holed and slow connections.
  */
 public final class FaultInjectingProxy implements AutoCloseable {
 
@@ -44,32 +44,32 @@
     }
 
     /**
-     * Opens a link on a free port of 127.0.0.1.
+     * Starts a proxy on a free port of 127.0.0.1.
      *
-     * @param destination where connections go.
-     * @return the open link.
+     * @param destination the address that connections are forwarded to.
+     * @return the listening proxy.
      */
     public static FaultInjectingProxy to(HostPort destination) {
         return between(new HostPort("127.0.0.1", 0), destination);
     }
 
     /**
-     * Opens a link.
+     * Starts a proxy.
      *
-     * @param listen where to listen; port 0 takes a free one.
-     * @param destination where connections go.
-     * @return the open link.
+     * @param listen the address to listen on; port 0 selects a free port.
+     * @param destination the address that connections are forwarded to.
+     * @return the listening proxy.
      */
     public static FaultInjectingProxy between(HostPort listen, HostPort destination) {
         try {
             return new FaultInjectingProxy(listen, destination);
         } catch (IOException failure) {
-            throw new IllegalStateException("link cannot listen on " + listen, failure);
+            throw new IllegalStateException("fault-injecting proxy cannot listen on " + listen, failure);
         }
     }
 
     /**
-     * The port listened on.
+     * Returns the port that the proxy listens on.
      *
      * @return the port.
      */
@@ -78,45 +78,45 @@
     }
 
     /**
-     * The connections that are open, silent ones included.
+     * Returns the number of open connections, black-holed ones included.
      *
-     * @return how many.
+     * @return the number of open connections.
      */
     public int openConnections() {
         return connections.size();
     }
 
-    /** Closes every open connection, and each new one at once, until {@link #heal()}. */
+    /** Closes every open connection, and each new one immediately, until {@link #heal()}. */
     public void disconnect() {
         state = State.DISCONNECTED;
         connections.forEach(Connection::close);
     }
 
-    /** Closes every open connection; new ones work. */
+    /** Closes every open connection; new ones are forwarded. */
     public void closeOpen() {
         connections.forEach(Connection::close);
     }
 
-    /** Makes every open connection silent for good, in both directions; new ones work. */
+    /** Black-holes every open connection permanently, in both directions; new ones are forwarded. */
     public void blackholeOpen() {
         connections.forEach(Connection::blackhole);
     }
 
-    /** Makes every connection silent, new ones too, until {@link #heal()}; those of now stay silent for good. */
+    /** Black-holes every open connection permanently, and each new one until {@link #heal()} ends this state. */
     public void blackholeAll() {
         state = State.BLACKHOLED;
         blackholeOpen();
     }
 
-    /** Lets new connections work again. */
+    /** Forwards new connections again. */
     public void heal() {
         state = State.CONNECTED;
     }
 
     /**
-     * Delays what is forwarded from now on.
+     * Sets the delay of data forwarded from now on.
      *
-     * @param millis the delay of each piece in each direction.
+     * @param millis the delay of each chunk in each direction.
      */
     public void delayMillis(long millis) {
         this.delayMillis = millis;
@@ -165,7 +165,7 @@
             closeable.close();
         } catch (Exception failure) {
             System.getLogger("waxwingquay.standin")
-                    .log(System.Logger.Level.DEBUG, "standin: a link did not close.", failure);
+                    .log(System.Logger.Level.DEBUG, "standin: a socket of a proxy did not close.", failure);
         }
     }
 
@@ -198,7 +198,8 @@
         }
 
         /**
-         * A silent connection swallows bytes and even the close of either end, so neither end learns of it.
+         * Copies bytes in one direction until its end. A black-holed connection discards all bytes and hides even that
+         * either end has closed, so that neither end detects the fault.
          */
         private void copy(Socket from, Socket to) {
             byte[] buffer = new byte[BUFFER_BYTES];
@@ -210,7 +211,7 @@
                 }
             } catch (IOException failure) {
                 System.getLogger("waxwingquay.standin")
-                        .log(System.Logger.Level.DEBUG, "standin: a link's connection ended.", failure);
+                        .log(System.Logger.Level.DEBUG, "standin: a proxied connection ended.", failure);
             }
             if (!blackholed || endedDirections.incrementAndGet() == DIRECTIONS) {
                 close();
--- a/src/main/java/io/waxwingquay/standin/Faults.java
+++ b/src/main/java/io/waxwingquay/standin/Faults.java
@@ -6,52 +6,53 @@
 import java.util.Optional;
 
 /**
- * The faults a stand-in shows. Counted faults hit the next so many chances; the rest are settings.
+ * The faults that a stand-in simulates. A counted fault affects a given number of its next opportunities; the other
+ * faults are settings that stay in force.
  */
 public final class Faults {
 
-    /** A count that never runs out. */
+    /** A count that is never used up. */
     public static final int UNLIMITED = Integer.MAX_VALUE;
 
     private final Map<Kind, Integer> counts = new EnumMap<>(Kind.class);
     private Settings settings = Settings.NONE;
 
-    /** What can be counted. */
+    /** A kind of counted fault. */
     public enum Kind {
-        /** Close the connection of a request before it has any effect. */
+        /** Closes the connection of a request before the request has any effect. */
         OUT,
-        /** Take a request without effect, never answer it, and keep its connection open. */
+        /** Accepts a request without effect, never answers it and keeps its connection open. */
         SILENT,
-        /** Close the connection after a write took effect. */
+        /** Closes the connection instead of answering, after the request has changed state. */
         LOSE_ANSWER,
-        /** Close the connection of an order, which never arrives. */
+        /** Closes the connection of an order and discards the order. */
         LOSE_ORDER,
-        /** Close the connection of an order, which arrives after {@link Settings#orderDelayMillis()}. */
+        /** Closes the connection of an order and applies the order after {@link Settings#orderDelayMillis()}. */
         DELAY_ORDER,
-        /** Take an order and forget it. */
+        /** Acknowledges an order and discards it. */
         FORGET_ORDER,
-        /** Go silent on an open stream after {@link Settings#streamTokens()} tokens. */
+        /** Stops sending on an open stream after {@link Settings#streamTokens()} tokens. */
         SILENT_STREAM,
-        /** Finish a stream's body in order, but without its end event, after {@link Settings#streamTokens()} tokens. */
+        /** Ends the body of a stream properly but without end event, after {@link Settings#streamTokens()} tokens. */
         TRUNCATE_STREAM,
-        /** Send every token of a stream twice. */
+        /** Sends every token of a stream twice. */
         DUPLICATE_STREAM,
-        /** Crash an engine when a generation starts running. */
+        /** Crashes an engine when a generation starts running. */
         CRASH,
-        /** Show a VM list from {@link Settings#backwardsMillis()} before its lag. */
+        /** Serves the VM list as of {@link Settings#backwardsMillis()} earlier than its lag implies. */
         LIST_BACKWARDS
     }
 
     /**
-     * Settings of faults; an absent one is left as it is.
+     * The settings of faults. Applying them leaves every absent setting as it is.
      *
-     * @param counts how many of the next chances each fault hits; 0 clears it.
-     * @param slowMillis added before each request is handled.
-     * @param orderDelayMillis how late a delayed order arrives.
-     * @param streamTokens tokens sent before a stream's fault.
-     * @param crashMarker a prompt that contains this crashes the engine; an empty text clears it.
-     * @param restartMillis how long a crashed engine stays away.
-     * @param backwardsMillis how far back a list goes.
+     * @param counts number of next opportunities that each fault affects; 0 clears the fault.
+     * @param slowMillis delay before each request is handled.
+     * @param orderDelayMillis delay after which a delayed order is applied.
+     * @param streamTokens number of tokens sent before the fault of a stream.
+     * @param crashMarker text that crashes the engine if a prompt contains it; an empty text clears the marker.
+     * @param restartMillis time until a crashed engine is reachable again.
+     * @param backwardsMillis additional age of a VM list that goes backwards.
      */
     @JsonInclude(JsonInclude.Include.NON_EMPTY)
     public record Settings(
@@ -74,14 +75,14 @@
                 Optional.empty());
 
         /**
-         * Takes absent counts as none, as a JSON body may leave them out.
+         * Treats absent counts as empty, since a JSON body may omit them.
          */
         public Settings {
             counts = counts == null ? Map.of() : Map.copyOf(counts);
         }
 
         /**
-         * Sets the delay of each request.
+         * Returns these settings with a delay of each request.
          *
          * @param millis the delay.
          * @return the new settings.
@@ -98,7 +99,7 @@
         }
 
         /**
-         * Sets how late a delayed order arrives.
+         * Returns these settings with a delay of delayed orders.
          *
          * @param millis the delay.
          * @return the new settings.
@@ -109,9 +110,9 @@
         }
 
         /**
-         * Sets how many tokens a faulty stream still sends.
+         * Returns these settings with a number of tokens that a faulty stream sends before its fault.
          *
-         * @param tokens the tokens.
+         * @param tokens the number of tokens.
          * @return the new settings.
          */
         public Settings withStreamTokens(long tokens) {
@@ -126,10 +127,10 @@
         }
 
         /**
-         * Sets which prompts crash an engine, and how long it stays away.
+         * Returns these settings with a crash marker and the downtime after a crash.
          *
-         * @param marker part of such a prompt.
-         * @param downtimeMillis how long the engine stays away.
+         * @param marker the text in prompts that crashes the engine.
+         * @param downtimeMillis time until the engine is reachable again.
          * @return the new settings.
          */
         public Settings withCrash(String marker, long downtimeMillis) {
@@ -144,9 +145,9 @@
         }
 
         /**
-         * Sets how far back a list goes.
+         * Returns these settings with an additional age of VM lists that go backwards.
          *
-         * @param millis how far.
+         * @param millis the additional age.
          * @return the new settings.
          */
         public Settings withBackwardsMillis(long millis) {
@@ -173,9 +174,9 @@
     }
 
     /**
-     * Takes over new settings.
+     * Applies new settings over the present ones.
      *
-     * @param newer the settings; what is absent stays.
+     * @param newer the settings; absent ones leave the present ones in force.
      */
     public synchronized void apply(Settings newer) {
         counts.putAll(newer.counts());
@@ -183,23 +184,23 @@
     }
 
     /**
-     * Makes the next chances faulty.
+     * Injects a fault into its next opportunities.
      *
-     * @param kind the fault.
-     * @param times how many, or {@link #UNLIMITED}.
+     * @param kind the kind of fault.
+     * @param times the number of opportunities, or {@link #UNLIMITED}.
      */
     public synchronized void inject(Kind kind, int times) {
         counts.put(kind, times);
     }
 
-    /** Ends every fault. */
+    /** Clears all counts and settings. */
     public synchronized void clear() {
         counts.clear();
         settings = Settings.NONE;
     }
 
     /**
-     * The settings in force.
+     * Returns the settings in force.
      *
      * @return the settings, without counts.
      */
@@ -208,10 +209,10 @@
     }
 
     /**
-     * Uses up one chance.
+     * Consumes one injected fault at an opportunity for it.
      *
-     * @param kind the fault.
-     * @return whether the fault hits.
+     * @param kind the kind of fault.
+     * @return whether the fault occurs.
      */
     synchronized boolean consume(Kind kind) {
         int remaining = counts.getOrDefault(kind, 0);
--- a/src/main/java/io/waxwingquay/standin/LoadPacer.java
+++ b/src/main/java/io/waxwingquay/standin/LoadPacer.java
@@ -4,8 +4,8 @@
 import java.util.function.ToLongFunction;
 
 /**
- * Paces loads: starts are spaced by the rate, and a load that starts while more than the limit are in flight
- * takes proportionally longer.
+ * Simulates the rate and concurrency limits of loads: starts are spaced according to the rate, and a load that exceeds
+ * the concurrency limit when it starts takes proportionally longer.
  */
 public final class LoadPacer {
 
@@ -66,11 +66,11 @@
     }
 
     /**
-     * The recorded counts.
+     * The counters of loads.
      *
-     * @param starts loads started.
-     * @param maxInFlight the most loads in flight at once.
-     * @param overLimit loads that started beyond the limit.
+     * @param starts number of loads started.
+     * @param maxInFlight maximum number of loads in flight at once.
+     * @param overLimit number of loads that exceeded the concurrency limit when they started.
      */
     public record Stats(RateCounter.Count starts, int maxInFlight, long overLimit) {}
 }
--- a/src/main/java/io/waxwingquay/standin/ModelEngineStandin.java
+++ b/src/main/java/io/waxwingquay/standin/ModelEngineStandin.java
@@ -12,7 +12,7 @@
 import java.util.stream.Stream;
 
 /**
- * A model engine: a continuous batch, accelerator memory, orders, residency and load reports.
+ * A stand-in for a model engine, with continuous batching, accelerator memory, orders, residency and load reports.
  */
 public final class ModelEngineStandin implements AutoCloseable {
 
@@ -44,7 +44,8 @@
     }
 
     /**
-     * A builder: port 0, real time, 80 GB, fenced, default costs, weights in 10 ms.
+     * Returns a builder. Its defaults are port 0, real time, 80 GB of memory, fenced orders, the default costs, and
+     * weights that load within 10 ms.
      *
      * @return the builder.
      */
@@ -53,7 +54,7 @@
     }
 
     /**
-     * The port listened on.
+     * Returns the port that the stand-in listens on.
      *
      * @return the port.
      */
@@ -62,25 +63,25 @@
     }
 
     /**
-     * The faults to show.
+     * Returns the faults to simulate.
      *
-     * @return the faults, to be changed at any time.
+     * @return the faults, which can be changed at any time.
      */
     public Faults faults() {
         return faults;
     }
 
     /**
-     * The recorded counts.
+     * Returns the counters.
      *
-     * @return the counts so far.
+     * @return the counters so far.
      */
     public Stats stats() {
         return new Stats(memory.stats(), batch.stats(), notResident.get(), crashes.get());
     }
 
     /**
-     * Puts an item into memory at once, without an order.
+     * Puts an item into memory immediately, without an order.
      *
      * @param item the item's name.
      * @param bytes the memory it takes.
@@ -89,7 +90,7 @@
         memory.preload(item, bytes);
     }
 
-    /** Loses memory and connections, and comes back empty after the faults' restart time. */
+    /** Drops all memory and connections, and accepts requests again after {@link Faults.Settings#restartMillis()}. */
     public void crash() {
         crashes.incrementAndGet();
         long downtimeMillis = faults.settings().restartMillis().orElse(DEFAULT_RESTART_MILLIS);
@@ -174,23 +175,23 @@
     }
 
     /**
-     * Answer to an order.
+     * The reply to an order.
      *
-     * @param answer the answer.
+     * @param answer whether the order was accepted.
      */
     public record OrderReply(OrderAnswer answer) {}
 
     /**
-     * The recorded counts.
+     * The counters of a model engine.
      *
-     * @param memory memory and orders.
-     * @param batch generations.
-     * @param notResident generations refused because an item was not in memory.
-     * @param crashes crashes.
+     * @param memory counters of memory and orders.
+     * @param batch counters of generations.
+     * @param notResident number of generations refused because an item was not in memory.
+     * @param crashes number of crashes.
      */
     public record Stats(EngineMemory.Stats memory, Batch.Stats batch, long notResident, int crashes) {}
 
-    /** Builds a stand-in. */
+    /** A builder for a stand-in. */
     public static final class Builder {
 
         private HostPort address = new HostPort("127.0.0.1", 0);
@@ -204,9 +205,9 @@
         private Builder() {}
 
         /**
-         * Sets the address.
+         * Sets the address to listen on.
          *
-         * @param newAddress where to listen; port 0 takes a free one.
+         * @param newAddress the address; port 0 selects a free port.
          * @return this builder.
          */
         public Builder address(HostPort newAddress) {
@@ -226,9 +227,9 @@
         }
 
         /**
-         * Sets the costs.
+         * Sets the cost model.
          *
-         * @param newCosts the costs at scale 1.
+         * @param newCosts the cost model at time scale 1.
          * @return this builder.
          */
         public Builder costs(CostModel newCosts) {
@@ -237,7 +238,7 @@
         }
 
         /**
-         * Scales the costs; 0.1 is ten times as fast.
+         * Scales the durations of the cost model; 0.1 runs ten times as fast.
          *
          * @param scale the factor.
          * @return this builder.
@@ -248,9 +249,9 @@
         }
 
         /**
-         * Sets the accelerator memory.
+         * Sets the size of the accelerator memory.
          *
-         * @param bytes the memory.
+         * @param bytes the size.
          * @return this builder.
          */
         public Builder capacityBytes(long bytes) {
@@ -259,7 +260,7 @@
         }
 
         /**
-         * Makes the engine obey orders with an old fencing number.
+         * Makes the engine accept orders with a stale fencing token.
          *
          * @return this builder.
          */
@@ -269,7 +270,7 @@
         }
 
         /**
-         * Sets where weights and adapters come from.
+         * Sets the source of weights and adapters.
          *
          * @param newWeights the source.
          * @return this builder.
@@ -282,7 +283,7 @@
         /**
          * Starts the stand-in.
          *
-         * @return the listening stand-in.
+         * @return the stand-in, which accepts requests.
          */
         public ModelEngineStandin start() {
             return new ModelEngineStandin(this);
--- a/src/main/java/io/waxwingquay/standin/PlainServiceStandin.java
+++ b/src/main/java/io/waxwingquay/standin/PlainServiceStandin.java
@@ -10,7 +10,8 @@
 import org.apache.commons.codec.digest.DigestUtils;
 
 /**
- * A plain service that counts how often each key and each request was run. It repeats a run when asked to.
+ * A stand-in for a plain service that counts how often each idempotency key and each request was run. It doesn't
+ * deduplicate requests, so that repeated runs are visible in the counters.
  */
 public final class PlainServiceStandin implements AutoCloseable {
 
@@ -31,7 +32,7 @@
     }
 
     /**
-     * A builder: port 0, real time, 1 ms latency.
+     * Returns a builder. Its defaults are port 0, real time and a latency of 1 ms.
      *
      * @return the builder.
      */
@@ -40,7 +41,7 @@
     }
 
     /**
-     * The port listened on.
+     * Returns the port that the stand-in listens on.
      *
      * @return the port.
      */
@@ -49,18 +50,18 @@
     }
 
     /**
-     * The faults to show.
+     * Returns the faults to simulate.
      *
-     * @return the faults, to be changed at any time.
+     * @return the faults, which can be changed at any time.
      */
     public Faults faults() {
         return faults;
     }
 
     /**
-     * The recorded counts.
+     * Returns the counters.
      *
-     * @return the counts so far.
+     * @return the counters so far.
      */
     public synchronized Stats stats() {
         return new Stats(new TreeMap<>(runsByKey), new TreeMap<>(runsByRequest));
@@ -83,7 +84,7 @@
 
     private synchronized StandinReply run(StandinExchange exchange) {
         String requestId = exchange.header(HttpPlainService.REQUEST_ID_HEADER).orElse("");
-        LOG.log(System.Logger.Level.DEBUG, () -> "standin: request " + requestId + " runs.");
+        LOG.log(System.Logger.Level.DEBUG, () -> "standin: running request " + requestId + ".");
         runsByRequest.merge(requestId, 1, Integer::sum);
         exchange.header(HttpPlainService.IDEMPOTENCY_KEY_HEADER)
                 .ifPresent(key -> runsByKey.merge(key, 1, Integer::sum));
@@ -95,23 +96,23 @@
     }
 
     /**
-     * The answer of every operation: it names the request it belongs to.
+     * The response of every operation, which identifies the request that it belongs to.
      *
-     * @param operation the operation.
-     * @param requestId the caller's request identity.
-     * @param bodySha256 digest of the body received.
+     * @param operation the name of the operation.
+     * @param requestId the caller's request id.
+     * @param bodySha256 the digest of the received body.
      */
     public record OperationResult(String operation, String requestId, String bodySha256) {}
 
     /**
-     * The recorded counts.
+     * The counters of a plain service.
      *
-     * @param runsByKey runs for each idempotency key.
-     * @param runsByRequest runs for each request identity.
+     * @param runsByKey number of runs for each idempotency key.
+     * @param runsByRequest number of runs for each request id.
      */
     public record Stats(Map<String, Integer> runsByKey, Map<String, Integer> runsByRequest) {}
 
-    /** Builds a stand-in. */
+    /** A builder for a stand-in. */
     public static final class Builder {
 
         private HostPort address = new HostPort("127.0.0.1", 0);
@@ -121,9 +122,9 @@
         private Builder() {}
 
         /**
-         * Sets the address.
+         * Sets the address to listen on.
          *
-         * @param newAddress where to listen; port 0 takes a free one.
+         * @param newAddress the address; port 0 selects a free port.
          * @return this builder.
          */
         public Builder address(HostPort newAddress) {
@@ -143,7 +144,7 @@
         }
 
         /**
-         * Sets how long a run takes.
+         * Sets the duration of a run.
          *
          * @param micros the latency.
          * @return this builder.
@@ -156,7 +157,7 @@
         /**
          * Starts the stand-in.
          *
-         * @return the listening stand-in.
+         * @return the stand-in, which accepts requests.
          */
         public PlainServiceStandin start() {
             return new PlainServiceStandin(this);
--- a/src/main/java/io/waxwingquay/standin/PlatformStandin.java
+++ b/src/main/java/io/waxwingquay/standin/PlatformStandin.java
@@ -12,7 +12,7 @@
 import java.util.concurrent.ConcurrentHashMap;
 
 /**
- * The platform: a transactional table, an object store and a VM list.
+ * A stand-in for the platform, with a transactional table, an object store and a VM list.
  */
 public final class PlatformStandin implements AutoCloseable {
 
@@ -48,7 +48,8 @@
     }
 
     /**
-     * A builder: port 0, real time, a VM list without lag that forgets a VM 10 s after its last announcement.
+     * Returns a builder. Its defaults are port 0, real time, and a VM list without lag, from which a VM expires 10 s
+     * after its last announcement.
      *
      * @return the builder.
      */
@@ -57,7 +58,7 @@
     }
 
     /**
-     * The port listened on.
+     * Returns the port that the stand-in listens on.
      *
      * @return the port.
      */
@@ -66,18 +67,18 @@
     }
 
     /**
-     * The faults to show.
+     * Returns the faults to simulate.
      *
-     * @return the faults, to be changed at any time.
+     * @return the faults, which can be changed at any time.
      */
     public Faults faults() {
         return faults;
     }
 
     /**
-     * The recorded counts.
+     * Returns the counters.
      *
-     * @return the counts so far.
+     * @return the counters so far.
      */
     public Stats stats() {
         return new Stats(
@@ -90,10 +91,10 @@
     }
 
     /**
-     * A row as it stands, seen past every fault.
+     * Returns the present state of a row, regardless of any injected fault.
      *
      * @param key the key.
-     * @return the row, or empty.
+     * @return the row, or empty if there is none.
      */
     public Optional<TableService.Row> row(String key) {
         synchronized (rows) {
@@ -187,14 +188,14 @@
     }
 
     /**
-     * The recorded counts. Rows count each, so that one transaction of many claims is not counted as one write.
+     * The counters of a platform. Every row counts, so that a transaction with many claims isn't counted as one write.
      *
-     * @param transactions commits asked for.
-     * @param writes rows written.
-     * @param reads keys read.
-     * @param objectWrites objects stored.
-     * @param objectReads objects fetched.
-     * @param listReads listings of VMs.
+     * @param transactions number of commits requested.
+     * @param writes number of rows written.
+     * @param reads number of keys read.
+     * @param objectWrites number of objects stored.
+     * @param objectReads number of objects requested.
+     * @param listReads number of requests for the VM list.
      */
     public record Stats(
             RateCounter.Count transactions,
@@ -204,7 +205,7 @@
             RateCounter.Count objectReads,
             RateCounter.Count listReads) {}
 
-    /** Builds a stand-in. */
+    /** A builder for a stand-in. */
     public static final class Builder {
 
         private HostPort address = new HostPort("127.0.0.1", 0);
@@ -215,9 +216,9 @@
         private Builder() {}
 
         /**
-         * Sets the address.
+         * Sets the address to listen on.
          *
-         * @param newAddress where to listen; port 0 takes a free one.
+         * @param newAddress the address; port 0 selects a free port.
          * @return this builder.
          */
         public Builder address(HostPort newAddress) {
@@ -237,7 +238,7 @@
         }
 
         /**
-         * Sets how old the VM list is.
+         * Sets the age of the VM list that is served.
          *
          * @param millis the lag.
          * @return this builder.
@@ -261,7 +262,7 @@
         /**
          * Starts the stand-in.
          *
-         * @return the listening stand-in.
+         * @return the stand-in, which accepts requests.
          */
         public PlatformStandin start() {
             return new PlatformStandin(this);
--- a/src/main/java/io/waxwingquay/standin/PrefixCache.java
+++ b/src/main/java/io/waxwingquay/standin/PrefixCache.java
@@ -5,7 +5,8 @@
 import java.util.Map;
 
 /**
- * A cache of prompt prefixes in blocks, limited, least recently used out first. Not safe for concurrent use.
+ * A bounded cache of prompt prefixes, split into blocks; the least recently used block is evicted first. Not safe for
+ * concurrent use.
  */
 final class PrefixCache {
 
@@ -20,7 +21,7 @@
         this.maxBlocks = maxTokens / BLOCK_TOKENS;
     }
 
-    /** Counts the prompt's cached tokens, and caches the whole prompt. */
+    /** Returns the number of prompt tokens in the longest cached prefix, then adds all full blocks of the prompt. */
     int countCachedAndAdd(Generation generation) {
         String prompt = generation.prompt();
         long chainedHash =
@@ -44,10 +45,10 @@
     }
 
     private void evictOldest() {
-        var oldestFirst = blocks.keySet().iterator();
+        var leastRecentlyUsedFirst = blocks.keySet().iterator();
         while (blocks.size() > maxBlocks) {
-            oldestFirst.next();
-            oldestFirst.remove();
+            leastRecentlyUsedFirst.next();
+            leastRecentlyUsedFirst.remove();
         }
     }
 }
--- a/src/main/java/io/waxwingquay/standin/RateCounter.java
+++ b/src/main/java/io/waxwingquay/standin/RateCounter.java
@@ -1,7 +1,7 @@
 package io.waxwingquay.standin;
 
 /**
- * Counts events, in all and in the fullest second.
+ * Counts events in total and records the maximum within one second.
  */
 public final class RateCounter {
 
@@ -33,10 +33,10 @@
     }
 
     /**
-     * The events so far.
+     * The number of events so far.
      *
-     * @param total all events.
-     * @param maxPerSecond events in the fullest second.
+     * @param total number of events in total.
+     * @param maxPerSecond maximum number of events within one second.
      */
     public record Count(long total, long maxPerSecond) {}
 }
--- a/src/main/java/io/waxwingquay/standin/Sequence.java
+++ b/src/main/java/io/waxwingquay/standin/Sequence.java
@@ -6,7 +6,8 @@
 import java.util.Optional;
 
 /**
- * One generation in an engine. Its text is computed, so a finished one keeps only its length.
+ * The progress of one generation in an engine. Its text is derived from the generation and the offset of a token, so
+ * only the number of produced tokens is stored.
  */
 final class Sequence {
 
@@ -51,7 +52,7 @@
         return StandinText.tokenOf(seed, offset);
     }
 
-    /** Runs a step now and whenever the sequence moves on. */
+    /** Adds a listener, and runs it immediately and whenever the sequence produces a token or fails. */
     void addListener(Runnable listener) {
         synchronized (this) {
             listeners.add(listener);
--- a/src/main/java/io/waxwingquay/standin/StandinCommand.java
+++ b/src/main/java/io/waxwingquay/standin/StandinCommand.java
@@ -14,12 +14,12 @@
 import picocli.CommandLine.Option;
 
 /**
- * Runs a stand-in as a process of its own, until the process is stopped.
+ * Runs a stand-in as a separate process until the process is stopped.
  */
 @Command(
         name = "standin",
         mixinStandardHelpOptions = true,
-        description = "Run a stand-in of an outside system; no part of the product.",
+        description = "Run a stand-in for an external system; not part of the product.",
         subcommands = {
             StandinCommand.Engine.class,
             StandinCommand.Plain.class,
@@ -30,7 +30,7 @@
 
     private static int serveUntilStopped(AutoCloseable standin, String kind, int port) throws Exception {
         try (standin) {
-            // The commands log warnings only, but whoever starts a stand-in on port 0 has to learn its port.
+            // Commands log warnings only, but the port of a stand-in that was started on port 0 is found in its log.
             Logging.configure(LogFormat.TEXT, LogLevel.INFO);
             System.getLogger("waxwingquay.standin")
                     .log(System.Logger.Level.INFO, "standin: {0} listens on port {1}", kind, String.valueOf(port));
@@ -39,13 +39,13 @@
         return 0;
     }
 
-    /** Where to listen. */
+    /** The options for the address to listen on. */
     static final class ListenOptions {
 
         @Option(names = "--host", defaultValue = "127.0.0.1", description = "IP address (default ${DEFAULT-VALUE}).")
         private String host;
 
-        @Option(names = "--port", required = true, description = "TCP port; 0 takes a free one.")
+        @Option(names = "--port", required = true, description = "TCP port; 0 selects a free one.")
         private int port;
 
         private HostPort address() {
@@ -53,7 +53,7 @@
         }
     }
 
-    /** A model engine. */
+    /** Runs a model engine. */
     @Command(name = "engine", mixinStandardHelpOptions = true, description = "A model engine.")
     static final class Engine implements Callable<Integer> {
 
@@ -67,31 +67,49 @@
         @Option(
                 names = "--capacity-bytes",
                 defaultValue = "80000000000",
-                description = "Accelerator memory (default ${DEFAULT-VALUE}).")
+                description = "Size of the accelerator memory (default ${DEFAULT-VALUE}).")
         private long capacityBytes;
 
-        @Option(names = "--ignore-fences", description = "Obey orders with an old fencing number.")
+        @Option(names = "--ignore-fences", description = "Accept orders with a stale fencing token.")
         private boolean ignoreFences;
 
-        @Option(names = "--weights", description = "host:port of the weight store; without it a load takes 10 ms.")
+        @Option(names = "--weights", description = "host:port of the weight store; if absent, a load takes 10 ms.")
         private Optional<String> weights = Optional.empty();
 
-        @Option(names = "--prefill-micros-per-token", defaultValue = "200", description = "Default ${DEFAULT-VALUE}.")
+        @Option(
+                names = "--prefill-micros-per-token",
+                defaultValue = "200",
+                description = "Cost of a prompt token that is not cached (default ${DEFAULT-VALUE}).")
         private double prefillMicros;
 
-        @Option(names = "--step-base-micros", defaultValue = "20000", description = "Default ${DEFAULT-VALUE}.")
+        @Option(
+                names = "--step-base-micros",
+                defaultValue = "20000",
+                description = "Cost of a step, independent of the batch size (default ${DEFAULT-VALUE}).")
         private double stepBaseMicros;
 
-        @Option(names = "--step-per-sequence-micros", defaultValue = "400", description = "Default ${DEFAULT-VALUE}.")
+        @Option(
+                names = "--step-per-sequence-micros",
+                defaultValue = "400",
+                description = "Cost of a step for each sequence (default ${DEFAULT-VALUE}).")
         private double stepPerSequenceMicros;
 
-        @Option(names = "--max-batch", defaultValue = "32", description = "Default ${DEFAULT-VALUE}.")
+        @Option(
+                names = "--max-batch",
+                defaultValue = "32",
+                description = "Maximum number of sequences in a step (default ${DEFAULT-VALUE}).")
         private int maxBatch;
 
-        @Option(names = "--prefix-cache-tokens", defaultValue = "65536", description = "Default ${DEFAULT-VALUE}.")
+        @Option(
+                names = "--prefix-cache-tokens",
+                defaultValue = "65536",
+                description = "Capacity of the prefix cache in prompt tokens (default ${DEFAULT-VALUE}).")
         private int prefixCacheTokens;
 
-        @Option(names = "--time-scale", defaultValue = "1.0", description = "0.1 is ten times as fast.")
+        @Option(
+                names = "--time-scale",
+                defaultValue = "1.0",
+                description = "Factor for every duration; 0.1 runs ten times as fast.")
         private double timeScale;
 
         /** {@inheritDoc} */
@@ -130,14 +148,17 @@
         }
     }
 
-    /** A plain service. */
+    /** Runs a plain service. */
     @Command(name = "plain", mixinStandardHelpOptions = true, description = "A plain service.")
     static final class Plain implements Callable<Integer> {
 
         @Mixin
         private ListenOptions listen;
 
-        @Option(names = "--latency-micros", defaultValue = "1000", description = "Default ${DEFAULT-VALUE}.")
+        @Option(
+                names = "--latency-micros",
+                defaultValue = "1000",
+                description = "Duration of a run (default ${DEFAULT-VALUE}).")
         private long latencyMicros;
 
         /** {@inheritDoc} */
@@ -151,20 +172,20 @@
         }
     }
 
-    /** The platform. */
+    /** Runs the platform. */
     @Command(name = "platform", mixinStandardHelpOptions = true, description = "Table, object store and VM list.")
     static final class Platform implements Callable<Integer> {
 
         @Mixin
         private ListenOptions listen;
 
-        @Option(names = "--list-lag-millis", defaultValue = "0", description = "Age of the VM list.")
+        @Option(names = "--list-lag-millis", defaultValue = "0", description = "Age of the VM list that is served.")
         private long listLagMillis;
 
         @Option(
                 names = "--list-expiry-millis",
                 defaultValue = "10000",
-                description = "How long a VM stays listed after its last announcement (default ${DEFAULT-VALUE}).")
+                description = "Time until a VM expires after its last announcement (default ${DEFAULT-VALUE}).")
         private long listExpiryMillis;
 
         /** {@inheritDoc} */
@@ -179,26 +200,41 @@
         }
     }
 
-    /** The weight store. */
+    /** Runs the weight store. */
     @Command(name = "weights", mixinStandardHelpOptions = true, description = "The weight store.")
     static final class Weights implements Callable<Integer> {
 
         @Mixin
         private ListenOptions listen;
 
-        @Option(names = "--loads-at-once", defaultValue = "7", description = "Default ${DEFAULT-VALUE}.")
+        @Option(
+                names = "--loads-at-once",
+                defaultValue = "7",
+                description = "Model loads that run at full speed concurrently (default ${DEFAULT-VALUE}).")
         private int loadsAtOnce;
 
-        @Option(names = "--loads-per-second", defaultValue = "1.0", description = "Default ${DEFAULT-VALUE}.")
+        @Option(
+                names = "--loads-per-second",
+                defaultValue = "1.0",
+                description = "Rate at which model loads start (default ${DEFAULT-VALUE}).")
         private double loadsPerSecond;
 
-        @Option(names = "--load-millis", defaultValue = "2000", description = "Default ${DEFAULT-VALUE}.")
+        @Option(
+                names = "--load-millis",
+                defaultValue = "2000",
+                description = "Duration of a model load at full speed (default ${DEFAULT-VALUE}).")
         private long loadMillis;
 
-        @Option(names = "--adapter-loads-at-once", defaultValue = "55", description = "Default ${DEFAULT-VALUE}.")
+        @Option(
+                names = "--adapter-loads-at-once",
+                defaultValue = "55",
+                description = "Adapter loads that run at full speed concurrently (default ${DEFAULT-VALUE}).")
         private int adapterLoadsAtOnce;
 
-        @Option(names = "--time-scale", defaultValue = "1.0", description = "0.1 is ten times as fast.")
+        @Option(
+                names = "--time-scale",
+                defaultValue = "1.0",
+                description = "Factor for every duration; 0.1 runs ten times as fast.")
         private double timeScale;
 
         /** {@inheritDoc} */
--- a/src/main/java/io/waxwingquay/standin/StandinExchange.java
+++ b/src/main/java/io/waxwingquay/standin/StandinExchange.java
@@ -6,10 +6,10 @@
 import org.eclipse.jetty.server.Request;
 
 /**
- * One request to a stand-in, with its whole body.
+ * A request to a stand-in, after its body was received completely.
  *
  * @param request the request.
- * @param body the body.
+ * @param body the complete body.
  */
 record StandinExchange(Request request, byte[] body) {
 
--- a/src/main/java/io/waxwingquay/standin/StandinReply.java
+++ b/src/main/java/io/waxwingquay/standin/StandinReply.java
@@ -7,14 +7,14 @@
 import java.util.function.Supplier;
 
 /**
- * What a stand-in answers.
+ * A stand-in's reply to a request.
  *
- * @param statusCode the HTTP status.
- * @param contentType type of the body.
+ * @param statusCode the HTTP status code.
+ * @param contentType the media type of the body.
  * @param body the body.
- * @param stateChanged whether the request changed the stand-in, so that losing its answer matters.
- * @param connectionClosed whether the connection is closed instead.
- * @param stream writes the body piece by piece instead.
+ * @param stateChanged whether the request changed the state of the stand-in, so that its reply may be lost on purpose.
+ * @param connectionClosed whether the connection is closed instead of sending a reply.
+ * @param stream writes the body incrementally, if present.
  */
 record StandinReply(
         int statusCode,
@@ -79,9 +79,9 @@
     }
 
     /**
-     * Why a request was not served.
+     * The body of an error reply.
      *
-     * @param error a sentence.
+     * @param error the reason why the request was not served.
      */
     record Problem(String error) {}
 }
--- a/src/main/java/io/waxwingquay/standin/StandinServer.java
+++ b/src/main/java/io/waxwingquay/standin/StandinServer.java
@@ -22,7 +22,8 @@
 import org.eclipse.jetty.util.thread.ScheduledExecutorScheduler;
 
 /**
- * The HTTP side that all stand-ins share: threads, faults at the door, {@code POST /faults}, {@code GET /stats}.
+ * The HTTP server of a stand-in. It injects the faults that are common to all stand-ins, and serves
+ * {@code POST /faults} and {@code GET /stats}.
  */
 final class StandinServer implements AutoCloseable {
 
@@ -81,7 +82,7 @@
         return connector.getPort();
     }
 
-    /** Closes every connection and the port for a while, as a crashed process would. */
+    /** Closes the port and every connection, as a crashed process would, and reopens the port after the downtime. */
     void restart(long downtimeMicros) {
         down = true;
         SHARED.threads.execute(() -> {
@@ -187,7 +188,7 @@
         }
     }
 
-    /** One answer on its connection. */
+    /** The response to a request, which is still to be written to its connection. */
     static final class PendingResponse {
 
         private final Request request;
@@ -214,23 +215,23 @@
             }
         }
 
-        /** Writes part of a stream. */
-        void write(String text, Callback callback) {
-            response.write(false, StandardCharsets.UTF_8.encode(text), callback);
+        /** Writes part of a streamed body. */
+        void write(String text, Callback onWritten) {
+            response.write(false, StandardCharsets.UTF_8.encode(text), onWritten);
         }
 
         void finish() {
             response.write(true, null, callback);
         }
 
-        /** Closes the connection without an answer. */
+        /** Closes the connection without a response. */
         void closeConnection() {
             request.getConnectionMetaData().getConnection().getEndPoint().close();
-            callback.failed(new EofException("dropped"));
+            callback.failed(new EofException("the stand-in closed the connection"));
         }
     }
 
-    /** Threads shared by all stand-ins of this process, so that hundreds can run in one. */
+    /** The threads and buffers that all stand-ins of this process share, so that hundreds of them can run in it. */
     private static final class SharedResources {
 
         private final QueuedThreadPool threads = new QueuedThreadPool(MAX_THREADS, MIN_THREADS);
@@ -245,7 +246,7 @@
                 shared.threads.start();
                 shared.scheduler.start();
             } catch (Exception failure) {
-                throw new IllegalStateException("cannot start the stand-ins' threads", failure);
+                throw new IllegalStateException("cannot start the threads shared by the stand-ins", failure);
             }
             return shared;
         }
@@ -255,7 +256,7 @@
         try {
             return Json.MAPPER.writeValueAsString(value);
         } catch (JsonProcessingException failure) {
-            throw new IllegalArgumentException("cannot write " + value, failure);
+            throw new IllegalArgumentException("cannot serialize " + value, failure);
         }
     }
 }
--- a/src/main/java/io/waxwingquay/standin/StandinText.java
+++ b/src/main/java/io/waxwingquay/standin/StandinText.java
@@ -8,23 +8,23 @@
 import org.apache.commons.codec.digest.MurmurHash3;
 
 /**
- * The text a stand-in engine generates: a function of model, adapter, prompt and offset, so that a test can tell
- * that an answer is whole and belongs to its request.
+ * The text that a stand-in engine generates. It is a pure function of model, adapter, prompt and offset, so that a test
+ * can verify that an answer is complete and belongs to its request.
  */
 public final class StandinText {
 
-    /** Characters of a prompt that count as one token. */
+    /** The number of prompt characters that count as one token. */
     public static final int CHARACTERS_PER_TOKEN = 4;
 
     private StandinText() {}
 
     /**
-     * One token.
+     * Returns the text of one token.
      *
      * @param model the model's item.
      * @param adapter the adapter's item, if any.
      * @param prompt the prompt.
-     * @param offset position of the token.
+     * @param offset the position of the token.
      * @return the token's text.
      */
     public static String token(String model, Optional<String> adapter, String prompt, long offset) {
@@ -32,13 +32,13 @@
     }
 
     /**
-     * A whole answer.
+     * Returns a complete answer.
      *
      * @param model the model's item.
      * @param adapter the adapter's item, if any.
      * @param prompt the prompt.
-     * @param tokens its length.
-     * @return the text.
+     * @param tokens the length of the answer in tokens.
+     * @return the answer's text.
      */
     public static String answer(String model, Optional<String> adapter, String prompt, long tokens) {
         long seed = seed(model, adapter, prompt);
--- a/src/main/java/io/waxwingquay/standin/StandinTimer.java
+++ b/src/main/java/io/waxwingquay/standin/StandinTimer.java
@@ -6,29 +6,29 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Runs the stand-ins' steps at their due time.
+ * A clock with a scheduler, on which the stand-ins run delayed tasks.
  */
 public interface StandinTimer {
 
-    /** Real time, on a few threads shared by all stand-ins of this process. */
+    /** A timer on real time, whose few threads are shared by all stand-ins of this process. */
     StandinTimer SYSTEM = new ForSystem();
 
     /**
-     * The time.
+     * Returns the present time.
      *
-     * @return microseconds since an arbitrary origin.
+     * @return the time in microseconds since an arbitrary origin.
      */
     long nowMicros();
 
     /**
-     * Runs a step later.
+     * Schedules a task.
      *
-     * @param delayMicros how much later.
-     * @param task the step, which must be short.
+     * @param delayMicros the delay.
+     * @param task the task, which must be short, because it occupies a shared thread.
      */
     void schedule(long delayMicros, Runnable task);
 
-    /** Real time. */
+    /** A timer on real time. */
     final class ForSystem implements StandinTimer {
 
         private static final System.Logger LOG = System.getLogger("waxwingquay.standin");
@@ -58,12 +58,12 @@
             try {
                 task.run();
             } catch (RuntimeException failure) {
-                LOG.log(System.Logger.Level.ERROR, "standin: a step failed.", failure);
+                LOG.log(System.Logger.Level.ERROR, "standin: a scheduled task failed.", failure);
             }
         }
     }
 
-    /** Time that a test moves by hand. */
+    /** A timer whose time advances only on request, for deterministic tests. */
     final class Manual implements StandinTimer {
 
         private final PriorityQueue<ScheduledTask> tasks = new PriorityQueue<>(
@@ -84,9 +84,9 @@
         }
 
         /**
-         * Moves the time on and runs every step that falls due, in order.
+         * Advances the time and runs every task that becomes due, in order of due time, then of scheduling.
          *
-         * @param micros how far.
+         * @param micros the time to advance by.
          */
         public void advance(long micros) {
             long untilMicros = nowMicros() + micros;
--- a/src/main/java/io/waxwingquay/standin/VmHistory.java
+++ b/src/main/java/io/waxwingquay/standin/VmHistory.java
@@ -10,7 +10,7 @@
 import java.util.TreeMap;
 
 /**
- * Every recent announcement of every VM, so that the list can be shown as it was.
+ * The recent announcements of all VMs, from which the VM list can be served as of an earlier time.
  */
 final class VmHistory {
 
@@ -37,6 +37,7 @@
         }
     }
 
+    /** Returns the VMs that were listed at the time that the lag and an additional age imply. */
     synchronized List<VmList.Vm> list(long backwardsMillis) {
         long atMicros = timer.nowMicros() - lagMicros - backwardsMillis * MICROS_PER_MILLI;
         return announcementsByVm.values().stream()
--- a/src/main/java/io/waxwingquay/standin/WeightSource.java
+++ b/src/main/java/io/waxwingquay/standin/WeightSource.java
@@ -7,7 +7,7 @@
 import org.eclipse.jetty.http.HttpMethod;
 
 /**
- * Where an engine gets weights and adapters from.
+ * A source from which an engine loads weights and adapters.
  */
 @FunctionalInterface
 public interface WeightSource {
@@ -17,15 +17,15 @@
      *
      * @param item the item's name.
      * @param bytes the item's size.
-     * @return completes when it is loaded.
+     * @return a future that completes when the item is loaded.
      */
     CompletableFuture<Void> load(String item, long bytes);
 
     /**
-     * A source that takes the same time for every item.
+     * Returns a source that takes the same time for every item.
      *
      * @param timer the timer.
-     * @param micros the time.
+     * @param micros the duration of a load.
      * @return the source.
      */
     static WeightSource withFixedLatency(StandinTimer timer, long micros) {
@@ -37,11 +37,11 @@
     }
 
     /**
-     * A weight store over HTTP.
+     * Returns a source that loads from a weight store over HTTP.
      *
      * @param client the shared, started HTTP client.
      * @param address the weight store's address.
-     * @param timeoutMillis the most time one load may take.
+     * @param timeoutMillis the timeout of one load.
      * @return the source.
      */
     static WeightSource http(HttpClient client, HostPort address, long timeoutMillis) {
--- a/src/main/java/io/waxwingquay/standin/WeightStoreStandin.java
+++ b/src/main/java/io/waxwingquay/standin/WeightStoreStandin.java
@@ -4,7 +4,8 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * The weight store. It also paces adapter loads, whose limit is shared by all replicas.
+ * A stand-in for the weight store. It also paces adapter loads, because their concurrency limit is shared by all
+ * replicas.
  */
 public final class WeightStoreStandin implements AutoCloseable {
 
@@ -31,7 +32,8 @@
     }
 
     /**
-     * A builder: port 0, real time, 7 loads at once of 2 s each, 1 start a second, 55 adapter loads at once.
+     * Returns a builder. Its defaults are port 0, real time, 7 concurrent model loads of 2 s each, 1 start of a model
+     * load per second, and 55 concurrent adapter loads.
      *
      * @return the builder.
      */
@@ -40,7 +42,7 @@
     }
 
     /**
-     * The port listened on.
+     * Returns the port that the stand-in listens on.
      *
      * @return the port.
      */
@@ -49,18 +51,18 @@
     }
 
     /**
-     * The faults to show.
+     * Returns the faults to simulate.
      *
-     * @return the faults, to be changed at any time.
+     * @return the faults, which can be changed at any time.
      */
     public Faults faults() {
         return faults;
     }
 
     /**
-     * The recorded counts.
+     * Returns the counters.
      *
-     * @return the counts so far.
+     * @return the counters so far.
      */
     public Stats stats() {
         return new Stats(modelLoads.stats(), adapterLoads.stats());
@@ -82,22 +84,22 @@
     }
 
     /**
-     * Body of a load.
+     * The body of a load request.
      *
-     * @param item the item's name; an adapter's begins with {@code adapter:}.
+     * @param item the item's name, which begins with {@code adapter:} for an adapter.
      * @param bytes the item's size.
      */
     public record LoadRequest(String item, long bytes) {}
 
     /**
-     * The recorded counts.
+     * The counters of a weight store.
      *
-     * @param models loads of models.
-     * @param adapters loads of adapters.
+     * @param models counters of model loads.
+     * @param adapters counters of adapter loads.
      */
     public record Stats(LoadPacer.Stats models, LoadPacer.Stats adapters) {}
 
-    /** Builds a stand-in. */
+    /** A builder for a stand-in. */
     public static final class Builder {
 
         private HostPort address = new HostPort("127.0.0.1", 0);
@@ -111,9 +113,9 @@
         private Builder() {}
 
         /**
-         * Sets the address.
+         * Sets the address to listen on.
          *
-         * @param newAddress where to listen; port 0 takes a free one.
+         * @param newAddress the address; port 0 selects a free port.
          * @return this builder.
          */
         public Builder address(HostPort newAddress) {
@@ -135,9 +137,9 @@
         /**
          * Sets the limits of model loads.
          *
-         * @param atOnce loads that run at full speed together.
-         * @param perSecond starts a second; more wait.
-         * @param millis time of one load at full speed.
+         * @param atOnce number of loads that run at full speed concurrently.
+         * @param perSecond number of starts per second; further loads wait.
+         * @param millis duration of a load at full speed.
          * @return this builder.
          */
         public Builder loads(int atOnce, double perSecond, long millis) {
@@ -148,9 +150,9 @@
         }
 
         /**
-         * Sets the limit of adapter loads.
+         * Sets the concurrency limit of adapter loads.
          *
-         * @param atOnce loads that run at full speed together.
+         * @param atOnce number of loads that run at full speed concurrently.
          * @return this builder.
          */
         public Builder adapterLoadsAtOnce(int atOnce) {
@@ -159,7 +161,7 @@
         }
 
         /**
-         * Scales every time; 0.1 is ten times as fast.
+         * Scales every duration; 0.1 runs ten times as fast.
          *
          * @param scale the factor.
          * @return this builder.
@@ -172,7 +174,7 @@
         /**
          * Starts the stand-in.
          *
-         * @return the listening stand-in.
+         * @return the stand-in, which accepts requests.
          */
         public WeightStoreStandin start() {
             return new WeightStoreStandin(this);
--- a/src/main/java/io/waxwingquay/standin/package-info.java
+++ b/src/main/java/io/waxwingquay/standin/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Small stand-ins of the outside systems, for the demo, the bench and the tests; no part of the product.
+ * Lightweight stand-ins for external systems, used by the demo, the benchmarks and the tests; not part of the product.
  */
 package io.waxwingquay.standin;
--- a/src/main/java/io/waxwingquay/standin/prepared/ReplicaStandin.java
+++ b/src/main/java/io/waxwingquay/standin/prepared/ReplicaStandin.java
@@ -21,7 +21,8 @@
 import org.eclipse.jetty.http.HttpFields;
 
 /**
- * A model engine or a plain service: it answers requests as it is told, and carries out orders at once.
+ * A stand-in for a replica, which is a model engine or a plain service. It answers requests according to a configured
+ * behaviour and carries out orders immediately.
  */
 public final class ReplicaStandin {
 
@@ -49,11 +50,11 @@
     /**
      * Starts a replica.
      *
-     * @param loop where it runs.
-     * @param id its id.
-     * @param address where it listens.
-     * @param models what it holds at first; empty for a plain service.
-     * @param behaviour what it does with a request.
+     * @param loop the event loop to run on.
+     * @param id the id of the replica.
+     * @param address the address to listen on.
+     * @param models the models in memory at the start; empty for a plain service.
+     * @param behaviour the behaviour for each request.
      * @return the replica.
      */
     public static ReplicaStandin start(
@@ -64,40 +65,40 @@
     }
 
     /**
-     * Sets what it does with requests from now on.
+     * Sets the behaviour for requests from now on.
      *
-     * @param newBehaviour what it does.
+     * @param newBehaviour the behaviour.
      */
     public void behaviour(Behaviour newBehaviour) {
         behaviour = newBehaviour;
     }
 
     /**
-     * Stands still, as with its machine: it takes connections and bytes, and answers nothing, not even what it holds.
-     * What it is asked meanwhile stays without an answer.
+     * Makes the replica unresponsive, as if its machine were suspended: it accepts connections and bytes, but answers
+     * neither requests nor queries of its state. Requests received in this state are never answered.
      *
-     * @param isUnresponsive whether it does.
+     * @param isUnresponsive whether the replica is unresponsive.
      */
     public void unresponsive(boolean isUnresponsive) {
         unresponsive = isUnresponsive;
     }
 
     /**
-     * The requests that it began to run.
+     * Returns the attempts that the replica started to run.
      *
-     * @return their ids, in order.
+     * @return the attempt ids, in order of their start.
      */
     public List<String> startedAttemptIds() {
         return startedAttemptIds;
     }
 
     /**
-     * What it says of itself in the list of replicas.
+     * Returns this replica's row in the table of replicas.
      *
-     * @param service the service.
-     * @param zone its data centre.
+     * @param service the service that the replica belongs to.
+     * @param zone the data centre of the replica.
      * @param state {@code ready} or {@code draining}.
-     * @return the row's value.
+     * @return the row's value as JSON.
      */
     public String row(String service, String zone, String state) {
         ObjectNode row = MAPPER.createObjectNode()
@@ -145,7 +146,7 @@
         try {
             order = MAPPER.readTree(caller.request().body());
         } catch (IOException failure) {
-            throw new IllegalArgumentException("an order can't be read", failure);
+            throw new IllegalArgumentException("cannot parse an order", failure);
         }
         if (order.has("precondition") && order.get("precondition").longValue() != acceptedOrders) {
             caller.respond(CONFLICT, HttpFields.EMPTY, "other orders came before");
@@ -191,35 +192,36 @@
         return list;
     }
 
-    /** What a replica does with a request that it runs. */
+    /** The behaviour of a replica for a request that it runs. */
     @FunctionalInterface
     public interface Behaviour {
 
-        /** Answers at once with the request's body. */
-        Behaviour ECHO = (engine, caller) -> caller.respond(
-                OK, engine.responseFields(caller), caller.request().body());
+        /** Responds immediately with the request's body. */
+        Behaviour ECHO = (replica, caller) -> caller.respond(
+                OK, replica.responseFields(caller), caller.request().body());
 
         /**
          * Runs a request.
          *
-         * @param engine the replica.
-         * @param caller the request and the way back.
+         * @param replica the replica.
+         * @param caller the request, with its response channel.
          */
-        void run(ReplicaStandin engine, ServerExchange caller);
+        void run(ReplicaStandin replica, ServerExchange caller);
 
         /**
-         * Streams numbered events, from the one after {@code Last-Event-Id}.
+         * Returns a behaviour that streams numbered events, starting after {@code Last-Event-Id}.
          *
-         * @param lastEvent the last event's number.
-         * @param breakAfterEvent after which event it breaks off in the middle of the next; 0 for a whole stream.
+         * @param lastEvent the number of the last event.
+         * @param breakAfterEvent the event after which the stream is aborted, in the middle of the next event; 0 for a
+         *     complete stream.
          * @return the behaviour.
          */
         static Behaviour stream(int lastEvent, int breakAfterEvent) {
-            return (engine, caller) -> {
+            return (replica, caller) -> {
                 String lastEventId = caller.request().fields().get("Last-Event-Id");
                 int first = lastEventId == null ? 1 : Integer.parseInt(lastEventId) + 1;
                 caller.begin(
-                        OK, HttpFields.build(engine.responseFields(caller)).put("Content-Type", "text/event-stream"));
+                        OK, HttpFields.build(replica.responseFields(caller)).put("Content-Type", "text/event-stream"));
                 for (int number = first; number <= lastEvent; number++) {
                     String event = "id: " + number + "\ndata: event " + number + "\n\n";
                     if (breakAfterEvent > 0 && number > breakAfterEvent) {
@@ -235,7 +237,7 @@
     }
 
     /**
-     * The header fields of an answer: the request's id and the replica's seal.
+     * Returns the header fields of a response: the attempt id and the replica's seal.
      *
      * @param caller the request.
      * @return the fields.
--- a/src/main/java/io/waxwingquay/standin/prepared/StoreStandin.java
+++ b/src/main/java/io/waxwingquay/standin/prepared/StoreStandin.java
@@ -19,7 +19,8 @@
 import org.eclipse.jetty.http.HttpFields;
 
 /**
- * The platform's store, as far as tables are read and followed. Its own methods may be called from any thread.
+ * A stand-in for the platform's store, which serves reads of a table and long polls for its changes. The public methods
+ * may be called from any thread.
  */
 public final class StoreStandin {
 
@@ -42,10 +43,10 @@
     }
 
     /**
-     * Starts a store without rows.
+     * Starts an empty store.
      *
-     * @param loop where it runs.
-     * @param address where it listens.
+     * @param loop the event loop to run on.
+     * @param address the address to listen on.
      * @return the store.
      */
     public static StoreStandin start(EventLoop loop, HostPort address) {
@@ -55,7 +56,7 @@
     }
 
     /**
-     * Where it listens.
+     * Returns the address that the store listens on.
      *
      * @return the address.
      */
@@ -75,7 +76,7 @@
     }
 
     /**
-     * Drops a row.
+     * Deletes a row.
      *
      * @param table the table.
      * @param key the key.
@@ -84,7 +85,7 @@
         runOnLoop(() -> write(table, key, "", true));
     }
 
-    /** Forgets its history: whoever follows has to read again. */
+    /** Discards the history of changes, so that every follower of a table has to read it again. */
     public void dropHistory() {
         runOnLoop(() -> {
             version++;
@@ -94,9 +95,9 @@
     }
 
     /**
-     * Sets whether it turns every call away.
+     * Sets whether the store answers every call as unavailable.
      *
-     * @param isUnavailable whether it does.
+     * @param isUnavailable whether the store is unavailable.
      */
     public void unavailable(boolean isUnavailable) {
         runOnLoop(() -> {
@@ -122,7 +123,7 @@
 
     private void handle(ServerExchange caller) {
         if (unavailable) {
-            caller.respond(UNAVAILABLE, HttpFields.EMPTY, "away");
+            caller.respond(UNAVAILABLE, HttpFields.EMPTY, "unavailable");
             return;
         }
         Map<String, String> query = parseQuery(caller.request().target());
@@ -140,6 +141,7 @@
         completeReadyPolls();
     }
 
+    /** Answers the long polls that have changes or precede the history, and all of them while the store is unavailable. */
     private void completeReadyPolls() {
         new ArrayList<>(longPolls).forEach(poll -> {
             List<Row> changed = rowsAfter(poll.table, poll.after, true);
--- a/src/main/java/io/waxwingquay/standin/prepared/TrainingRun.java
+++ b/src/main/java/io/waxwingquay/standin/prepared/TrainingRun.java
@@ -19,9 +19,9 @@
 import org.eclipse.jetty.http.HttpFields;
 
 /**
- * Plays the whole path on loopback against stand-ins: a manifest, an engine with an adapter to load, a plain service,
- * and requests through an entry. The build runs it once, to know which classes a process needs; they are kept in an
- * archive that starts processes faster and in less memory.
+ * Runs the complete request path on loopback against stand-ins: a manifest, an engine with an adapter to load, a plain
+ * service, and requests through an entry. The build executes it once to record which classes a process loads; they are
+ * stored in a class archive, with which processes start faster and use less memory.
  */
 public final class TrainingRun {
 
@@ -52,10 +52,10 @@
     }
 
     /**
-     * Plays it.
+     * Executes the training run.
      *
-     * @param basePort the first of ten ports on loopback that it may use.
-     * @throws Exception if a request is not answered as it should be.
+     * @param basePort the first of ten ports on loopback that the run may use.
+     * @throws Exception if a process does not start or a request is not answered successfully.
      */
     public static void run(int basePort) throws Exception {
         EventLoop loop = EventLoop.start("rehearsal");
@@ -124,7 +124,7 @@
             LockSupport.parkNanos(RETRY_DELAY_NANOS);
         }
         if (status != OK) {
-            throw new IllegalStateException(method + " " + path + " was answered " + status);
+            throw new IllegalStateException(method + " " + path + " was answered with status " + status);
         }
     }
 
@@ -133,9 +133,9 @@
             Optional<HostPort> callerAddress,
             Optional<HostPort> engineAddress,
             StoreStandin store,
-            HostPort... optionalReadinessAddress) {
+            HostPort... readinessAddresses) {
         Optional<HostPort> readinessAddress =
-                optionalReadinessAddress.length > 0 ? Optional.of(optionalReadinessAddress[0]) : Optional.empty();
+                readinessAddresses.length > 0 ? Optional.of(readinessAddresses[0]) : Optional.empty();
         HostSettings.Bounds bounds = new HostSettings.Bounds(2_000, 4_000, 0.2, 20, 5_000, 1.1);
         return new HostSettings(
                 host,
--- a/src/main/java/io/waxwingquay/standin/prepared/package-info.java
+++ b/src/main/java/io/waxwingquay/standin/prepared/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Small stand-ins of the prepared platform: its store, and replicas that take requests and orders. For tests and for the
- * rehearsal that the build makes; no part of the product.
+ * Lightweight stand-ins for the prepared platform: its store, and replicas that accept requests and orders. They are
+ * used by tests and by the training run of the build; not part of the product.
  */
 package io.waxwingquay.standin.prepared;
--- a/src/test/java/io/waxwingquay/standin/BatchTest.java
+++ b/src/test/java/io/waxwingquay/standin/BatchTest.java
@@ -51,8 +51,9 @@
         assertEquals(160, batch.stats().cachedPromptTokens());
     }
 
-    // The caller sees an answer with a token more than was asked for. A request comes in while a step hands out its
-    // tokens, and the step it begins ends first, on a busy machine, so both count from the same number of tokens left.
+    // Guards against a sequence that exceeds its token limit. A request that arrives while a step is delivering tokens
+    // must not begin a second step: on a busy machine that step could end first, and both steps would then use the same
+    // remaining counts.
     @Test
     void requestArrivingDuringAStepDoesNotBeginASecondStep() {
         Sequence first = batch.start(generation("a", "p", 9, 0));
--- a/src/test/java/io/waxwingquay/standin/VmHistoryTest.java
+++ b/src/test/java/io/waxwingquay/standin/VmHistoryTest.java
@@ -15,8 +15,8 @@
 
     @Test
     void listLagsAndCanGoBackwards() {
-        // A VM announces that it leaves. The list still shows it live for the lag, then leaving, and a list that
-        // goes backwards shows it live again: why a reader must never resurrect a VM by an older list.
+        // A VM announces that it is leaving. Within the lag the list still shows it as live, then as leaving. A list
+        // that goes backwards shows it as live again, so a reader must never resurrect a VM because of an older list.
         timer.advance(100 * SECOND_MICROS);
         history.announce(vm(false));
         timer.advance(5 * SECOND_MICROS);
--- a/src/test/java/io/waxwingquay/standin/prepared/TrainingRunTest.java
+++ b/src/test/java/io/waxwingquay/standin/prepared/TrainingRunTest.java
@@ -13,7 +13,7 @@
 
 class TrainingRunTest {
 
-    // The port for callers is taken. The failure was only logged, and the build waited for it until its limit.
+    // Guards against a failure that is only logged while the build waits until its timeout: the caller port is taken.
     @Test
     void takenPortFailsTheTrainingRunWithItsCause() throws Exception {
         int base = FreePorts.adjacent(10, List.of("127.0.0.1", "127.0.0.2", "127.0.0.3"));
