--- a/src/main/java/io/waxwingquay/standin/StandinCommand.java
+++ b/src/main/java/io/waxwingquay/standin/StandinCommand.java
@@ -109,7 +109,7 @@
         @Option(
                 names = "--time-scale",
                 defaultValue = "1.0",
-                description = "Factor for every duration; 0.1 runs ten times as fast.")
+                description = "Factor for simulated durations; 0.1 runs ten times as fast.")
         private double timeScale;
 
         /** {@inheritDoc} */
@@ -234,7 +234,7 @@
         @Option(
                 names = "--time-scale",
                 defaultValue = "1.0",
-                description = "Factor for every duration; 0.1 runs ten times as fast.")
+                description = "Factor for simulated durations; 0.1 runs ten times as fast.")
         private double timeScale;
 
         /** {@inheritDoc} */
--- a/src/main/java/io/waxwingquay/standin/StandinServer.java
+++ b/src/main/java/io/waxwingquay/standin/StandinServer.java
@@ -224,10 +224,10 @@
             response.write(true, null, callback);
         }
 
-        /** Closes the connection without a response. */
+        /** Closes the connection without completing the response. */
         void closeConnection() {
             request.getConnectionMetaData().getConnection().getEndPoint().close();
-            callback.failed(new EofException("the stand-in closed the connection"));
+            callback.failed(new EofException("dropped"));
         }
     }
 
--- a/src/main/java/io/waxwingquay/standin/prepared/StoreStandin.java
+++ b/src/main/java/io/waxwingquay/standin/prepared/StoreStandin.java
@@ -123,7 +123,7 @@
 
     private void handle(ServerExchange caller) {
         if (unavailable) {
-            caller.respond(UNAVAILABLE, HttpFields.EMPTY, "unavailable");
+            caller.respond(UNAVAILABLE, HttpFields.EMPTY, "away");
             return;
         }
         Map<String, String> query = parseQuery(caller.request().target());
@@ -141,7 +141,7 @@
         completeReadyPolls();
     }
 
-    /** Answers the long polls that have changes or precede the history, and all of them while the store is unavailable. */
+    /** Answers the long polls that have changes or precede the history, and all of them if the store is unavailable. */
     private void completeReadyPolls() {
         new ArrayList<>(longPolls).forEach(poll -> {
             List<Row> changed = rowsAfter(poll.table, poll.after, true);
--- a/src/test/java/io/waxwingquay/standin/prepared/TrainingRunTest.java
+++ b/src/test/java/io/waxwingquay/standin/prepared/TrainingRunTest.java
@@ -13,7 +13,7 @@
 
 class TrainingRunTest {
 
-    // Guards against a failure that is only logged while the build waits until its timeout: the caller port is taken.
+    // The caller port is taken. Guards against a failure that is only logged, so that the build waits for its timeout.
     @Test
     void takenPortFailsTheTrainingRunWithItsCause() throws Exception {
         int base = FreePorts.adjacent(10, List.of("127.0.0.1", "127.0.0.2", "127.0.0.3"));
