--- a/src/main/java/io/waxwingquay/standin/ModelEngineStandin.java
+++ b/src/main/java/io/waxwingquay/standin/ModelEngineStandin.java
@@ -12,7 +12,7 @@
 import java.util.stream.Stream;
 
 /**
- * A model engine: a continuous batch, accelerator memory, orders, residency and load reports.
+ * A stand-in for a model engine, with continuous batching, accelerator memory, orders, residency and load reports.
  */
 public final class ModelEngineStandin implements AutoCloseable {
 
@@ -34,12 +34,18 @@
         this.costs = builder.costs.scaled(builder.timeScale);
         this.batch = new Batch(timer, costs, faults::crashesOn, this::crash);
         this.memory = new EngineMemory(
-                timer, builder.capacityBytes, builder.fenced, costs.evictMicros(), builder.weights, batch::end);
+                timer,
+                builder.capacityBytes,
+                builder.enforceFencing,
+                costs.evictMicros(),
+                builder.weights,
+                batch::failSequencesUsing);
         this.server = StandinServer.start(builder.address, timer, faults, this::stats, this::serve);
     }
 
     /**
-     * A builder: port 0, real time, 80 GB, fenced, default costs, weights in 10 ms.
+     * Returns a builder. Its defaults are port 0, real time, 80 GB of memory, fenced orders, the default costs, and
+     * weights that load within 10 ms.
      *
      * @return the builder.
      */
@@ -48,7 +54,7 @@
     }
 
     /**
-     * The port listened on.
+     * Returns the port that the stand-in listens on.
      *
      * @return the port.
      */
@@ -57,25 +63,25 @@
     }
 
     /**
-     * The faults to show.
+     * Returns the faults to simulate.
      *
-     * @return the faults, to be changed at any time.
+     * @return the faults, which can be changed at any time.
      */
     public Faults faults() {
         return faults;
     }
 
     /**
-     * The recorded counts.
+     * Returns the counters.
      *
-     * @return the counts so far.
+     * @return the counters so far.
      */
     public Stats stats() {
         return new Stats(memory.stats(), batch.stats(), notResident.get(), crashes.get());
     }
 
     /**
-     * Puts an item into memory at once, without an order.
+     * Puts an item into memory immediately, without an order.
      *
      * @param item the item's name.
      * @param bytes the memory it takes.
@@ -84,11 +90,11 @@
         memory.preload(item, bytes);
     }
 
-    /** Loses memory and connections, and comes back empty after the faults' restart time. */
+    /** Drops all memory and connections, and accepts requests again after {@link Faults.Settings#restartMillis()}. */
     public void crash() {
         crashes.incrementAndGet();
-        long awayMillis = faults.settings().restartMillis().orElse(DEFAULT_RESTART_MILLIS);
-        server.goAway(awayMillis * MICROS_PER_MILLI);
+        long downtimeMillis = faults.settings().restartMillis().orElse(DEFAULT_RESTART_MILLIS);
+        server.restart(downtimeMillis * MICROS_PER_MILLI);
         batch.reset();
         memory.reset();
     }
@@ -104,20 +110,20 @@
     }
 
     private StandinReply reply(StandinExchange exchange) {
-        if (exchange.is("POST", "/generations")) {
-            return generate(exchange.read(StreamRequest.class));
+        if (exchange.matches("POST", "/generations")) {
+            return generate(exchange.parseBody(StreamRequest.class));
         }
-        if (exchange.isUnder("DELETE", GENERATIONS)) {
-            batch.cancel(exchange.after(GENERATIONS));
-            return StandinReply.empty(StandinReply.NO_CONTENT).written();
+        if (exchange.matchesPrefix("DELETE", GENERATIONS)) {
+            batch.cancel(exchange.pathAfter(GENERATIONS));
+            return StandinReply.empty(StandinReply.NO_CONTENT).withStateChanged();
         }
-        if (exchange.is("POST", "/orders")) {
-            return order(exchange.read(Order.class));
+        if (exchange.matches("POST", "/orders")) {
+            return takeOrder(exchange.parseBody(Order.class));
         }
-        if (exchange.is("GET", "/residency")) {
+        if (exchange.matches("GET", "/residency")) {
             return StandinReply.json(StandinReply.OK, memory.residency());
         }
-        if (exchange.is("GET", "/load")) {
+        if (exchange.matches("GET", "/load")) {
             return StandinReply.json(StandinReply.OK, batch.load());
         }
         return StandinReply.error(StandinReply.NOT_FOUND, "no such path");
@@ -125,67 +131,67 @@
 
     private StandinReply generate(StreamRequest request) {
         Generation generation = request.generation();
-        Optional<String> missing = missing(generation);
-        if (missing.isPresent() && !batch.knows(generation.id())) {
+        Optional<String> missingItem = firstMissingItem(generation);
+        if (missingItem.isPresent() && !batch.contains(generation.id())) {
             notResident.incrementAndGet();
-            return StandinReply.error(StandinReply.CONFLICT, missing.get() + " is not resident");
+            return StandinReply.error(StandinReply.CONFLICT, missingItem.get() + " is not resident");
         }
         Sequence sequence = batch.start(generation);
-        EventWriter.StreamFault fault = streamFault();
-        return StandinReply.events(answering -> new EventWriter(
-                                sequence, request.fromOffset(), answering, timer, costs.keepAliveMicros(), fault)
+        EventWriter.StreamFault fault = nextStreamFault();
+        return StandinReply.eventStream(response -> new EventWriter(
+                                sequence, request.fromOffset(), response, timer, costs.keepAliveMicros(), fault)
                         .open())
-                .written();
+                .withStateChanged();
     }
 
-    private Optional<String> missing(Generation generation) {
-        if (!memory.holds(generation.model())) {
+    private Optional<String> firstMissingItem(Generation generation) {
+        if (!memory.isResident(generation.model())) {
             return Optional.of(generation.model());
         }
-        return generation.adapter().filter(adapter -> !memory.holds(adapter));
+        return generation.adapter().filter(adapter -> !memory.isResident(adapter));
     }
 
-    private EventWriter.StreamFault streamFault() {
+    private EventWriter.StreamFault nextStreamFault() {
         long afterTokens = faults.settings().streamTokens().orElse(0L);
         Optional<Faults.Kind> kind = Stream.of(
                         Faults.Kind.SILENT_STREAM, Faults.Kind.TRUNCATE_STREAM, Faults.Kind.DUPLICATE_STREAM)
-                .filter(faults::hits)
+                .filter(faults::consume)
                 .findFirst();
         return new EventWriter.StreamFault(kind, afterTokens);
     }
 
-    private StandinReply order(Order order) {
-        if (faults.hits(Faults.Kind.LOSE_ORDER)) {
+    private StandinReply takeOrder(Order order) {
+        if (faults.consume(Faults.Kind.LOSE_ORDER)) {
             return StandinReply.closedConnection();
         }
-        if (faults.hits(Faults.Kind.DELAY_ORDER)) {
+        if (faults.consume(Faults.Kind.DELAY_ORDER)) {
             long delayMillis = faults.settings().orderDelayMillis().orElse(0L);
-            timer.after(delayMillis * MICROS_PER_MILLI, () -> memory.take(order));
+            timer.schedule(delayMillis * MICROS_PER_MILLI, () -> memory.submit(order));
             return StandinReply.closedConnection();
         }
-        OrderAnswer answer = faults.hits(Faults.Kind.FORGET_ORDER) ? OrderAnswer.TAKEN : memory.take(order);
+        OrderAnswer answer = faults.consume(Faults.Kind.FORGET_ORDER) ? OrderAnswer.TAKEN : memory.submit(order);
         int status = answer == OrderAnswer.TAKEN ? StandinReply.ACCEPTED : StandinReply.PRECONDITION_FAILED;
-        return StandinReply.json(status, new OrderReply(answer)).written();
+        return StandinReply.json(status, new OrderReply(answer)).withStateChanged();
     }
 
     /**
-     * Answer to an order.
+     * The reply to an order.
      *
-     * @param answer the answer.
+     * @param answer whether the order was accepted.
      */
     public record OrderReply(OrderAnswer answer) {}
 
     /**
-     * The recorded counts.
+     * The counters of a model engine.
      *
-     * @param memory memory and orders.
-     * @param batch generations.
-     * @param notResident generations refused because an item was not in memory.
-     * @param crashes crashes.
+     * @param memory counters of memory and orders.
+     * @param batch counters of generations.
+     * @param notResident number of generations refused because an item was not in memory.
+     * @param crashes number of crashes.
      */
     public record Stats(EngineMemory.Stats memory, Batch.Stats batch, long notResident, int crashes) {}
 
-    /** Builds a stand-in. */
+    /** A builder for a stand-in. */
     public static final class Builder {
 
         private HostPort address = new HostPort("127.0.0.1", 0);
@@ -193,15 +199,15 @@
         private CostModel costs = CostModel.DEFAULT;
         private double timeScale = 1.0;
         private long capacityBytes = 80_000_000_000L;
-        private boolean fenced = true;
-        private WeightSource weights = WeightSource.after(StandinTimer.SYSTEM, 10 * MICROS_PER_MILLI);
+        private boolean enforceFencing = true;
+        private WeightSource weights = WeightSource.withFixedLatency(StandinTimer.SYSTEM, 10 * MICROS_PER_MILLI);
 
         private Builder() {}
 
         /**
-         * Sets the address.
+         * Sets the address to listen on.
          *
-         * @param newAddress where to listen; port 0 takes a free one.
+         * @param newAddress the address; port 0 selects a free port.
          * @return this builder.
          */
         public Builder address(HostPort newAddress) {
@@ -221,9 +227,9 @@
         }
 
         /**
-         * Sets the costs.
+         * Sets the cost model.
          *
-         * @param newCosts the costs at scale 1.
+         * @param newCosts the cost model at time scale 1.
          * @return this builder.
          */
         public Builder costs(CostModel newCosts) {
@@ -232,7 +238,7 @@
         }
 
         /**
-         * Scales the costs; 0.1 is ten times as fast.
+         * Scales the durations of the cost model; 0.1 runs ten times as fast.
          *
          * @param scale the factor.
          * @return this builder.
@@ -243,9 +249,9 @@
         }
 
         /**
-         * Sets the accelerator memory.
+         * Sets the size of the accelerator memory.
          *
-         * @param bytes the memory.
+         * @param bytes the size.
          * @return this builder.
          */
         public Builder capacityBytes(long bytes) {
@@ -254,17 +260,17 @@
         }
 
         /**
-         * Makes the engine obey orders with an old fencing number.
+         * Makes the engine accept orders with a stale fencing token.
          *
          * @return this builder.
          */
         public Builder ignoringFences() {
-            this.fenced = false;
+            this.enforceFencing = false;
             return this;
         }
 
         /**
-         * Sets where weights and adapters come from.
+         * Sets the source of weights and adapters.
          *
          * @param newWeights the source.
          * @return this builder.
@@ -277,7 +283,7 @@
         /**
          * Starts the stand-in.
          *
-         * @return the listening stand-in.
+         * @return the stand-in, which accepts requests.
          */
         public ModelEngineStandin start() {
             return new ModelEngineStandin(this);
--- a/src/main/java/io/waxwingquay/standin/PlatformStandin.java
+++ b/src/main/java/io/waxwingquay/standin/PlatformStandin.java
@@ -12,7 +12,7 @@
 import java.util.concurrent.ConcurrentHashMap;
 
 /**
- * The platform: a transactional table, an object store and a VM list.
+ * A stand-in for the platform, with a transactional table, an object store and a VM list.
  */
 public final class PlatformStandin implements AutoCloseable {
 
@@ -22,23 +22,23 @@
     private final Map<String, TableService.Row> rows = new LinkedHashMap<>();
     private final Map<String, byte[]> objects = new ConcurrentHashMap<>();
     private final VmHistory vms;
-    private final RateCount transactions;
-    private final RateCount writes;
-    private final RateCount reads;
-    private final RateCount objectWrites;
-    private final RateCount objectReads;
-    private final RateCount listReads;
+    private final RateCounter transactions;
+    private final RateCounter writes;
+    private final RateCounter reads;
+    private final RateCounter objectWrites;
+    private final RateCounter objectReads;
+    private final RateCounter listReads;
     private final StandinServer server;
 
     private PlatformStandin(Builder builder) {
         StandinTimer timer = builder.timer;
         this.vms = new VmHistory(timer, builder.listLagMillis, builder.listExpiryMillis);
-        this.transactions = new RateCount(timer);
-        this.writes = new RateCount(timer);
-        this.reads = new RateCount(timer);
-        this.objectWrites = new RateCount(timer);
-        this.objectReads = new RateCount(timer);
-        this.listReads = new RateCount(timer);
+        this.transactions = new RateCounter(timer);
+        this.writes = new RateCounter(timer);
+        this.reads = new RateCounter(timer);
+        this.objectWrites = new RateCounter(timer);
+        this.objectReads = new RateCounter(timer);
+        this.listReads = new RateCounter(timer);
         this.server = StandinServer.start(
                 builder.address,
                 timer,
@@ -48,7 +48,8 @@
     }
 
     /**
-     * A builder: port 0, real time, a VM list without lag that forgets a VM 10 s after its last announcement.
+     * Returns a builder. Its defaults are port 0, real time, and a VM list without lag, from which a VM expires 10 s
+     * after its last announcement.
      *
      * @return the builder.
      */
@@ -57,7 +58,7 @@
     }
 
     /**
-     * The port listened on.
+     * Returns the port that the stand-in listens on.
      *
      * @return the port.
      */
@@ -66,18 +67,18 @@
     }
 
     /**
-     * The faults to show.
+     * Returns the faults to simulate.
      *
-     * @return the faults, to be changed at any time.
+     * @return the faults, which can be changed at any time.
      */
     public Faults faults() {
         return faults;
     }
 
     /**
-     * The recorded counts.
+     * Returns the counters.
      *
-     * @return the counts so far.
+     * @return the counters so far.
      */
     public Stats stats() {
         return new Stats(
@@ -90,10 +91,10 @@
     }
 
     /**
-     * A row as it stands, seen past every fault.
+     * Returns the present state of a row, regardless of any injected fault.
      *
      * @param key the key.
-     * @return the row, or empty.
+     * @return the row, or empty if there is none.
      */
     public Optional<TableService.Row> row(String key) {
         synchronized (rows) {
@@ -108,29 +109,29 @@
     }
 
     private StandinReply serve(StandinExchange exchange) {
-        if (exchange.is("POST", "/table/read")) {
-            return read(exchange.read(HttpTableService.ReadRequest.class));
+        if (exchange.matches("POST", "/table/read")) {
+            return readRows(exchange.parseBody(HttpTableService.ReadRequest.class));
         }
-        if (exchange.is("POST", "/table/commit")) {
-            return commit(exchange.read(HttpTableService.CommitRequest.class));
+        if (exchange.matches("POST", "/table/commit")) {
+            return commitWrites(exchange.parseBody(HttpTableService.CommitRequest.class));
         }
-        if (exchange.isUnder("PUT", OBJECTS)) {
-            return put(exchange);
+        if (exchange.matchesPrefix("PUT", OBJECTS)) {
+            return putObject(exchange);
         }
-        if (exchange.isUnder("GET", OBJECTS)) {
-            return get(exchange);
+        if (exchange.matchesPrefix("GET", OBJECTS)) {
+            return getObject(exchange);
         }
-        if (exchange.is("GET", "/vms")) {
-            return list();
+        if (exchange.matches("GET", "/vms")) {
+            return listVms();
         }
-        if (exchange.is("POST", "/vms")) {
-            vms.announce(exchange.read(VmList.Vm.class));
-            return StandinReply.empty(StandinReply.NO_CONTENT).written();
+        if (exchange.matches("POST", "/vms")) {
+            vms.announce(exchange.parseBody(VmList.Vm.class));
+            return StandinReply.empty(StandinReply.NO_CONTENT).withStateChanged();
         }
         return StandinReply.error(StandinReply.NOT_FOUND, "no such path");
     }
 
-    private StandinReply read(HttpTableService.ReadRequest request) {
+    private StandinReply readRows(HttpTableService.ReadRequest request) {
         reads.add(request.keys().size());
         Map<String, TableService.Row> found = new LinkedHashMap<>();
         synchronized (rows) {
@@ -139,7 +140,7 @@
         return StandinReply.json(StandinReply.OK, new HttpTableService.ReadReply(found));
     }
 
-    private StandinReply commit(HttpTableService.CommitRequest request) {
+    private StandinReply commitWrites(HttpTableService.CommitRequest request) {
         transactions.add(1);
         Map<String, Optional<TableService.Row>> conflicts = new LinkedHashMap<>();
         synchronized (rows) {
@@ -147,14 +148,14 @@
                     .filter(write -> versionOf(write.key()) != write.expectedVersion())
                     .forEach(write -> conflicts.put(write.key(), Optional.ofNullable(rows.get(write.key()))));
             if (conflicts.isEmpty()) {
-                request.writes().forEach(this::write);
+                request.writes().forEach(this::writeRow);
             }
         }
         TableService.CommitResult result = new TableService.CommitResult(conflicts.isEmpty(), conflicts);
-        return StandinReply.json(StandinReply.OK, result).written();
+        return StandinReply.json(StandinReply.OK, result).withStateChanged();
     }
 
-    private void write(TableService.Write write) {
+    private void writeRow(TableService.Write write) {
         writes.add(1);
         rows.put(write.key(), new TableService.Row(write.value(), write.expectedVersion() + 1));
     }
@@ -164,47 +165,47 @@
         return row == null ? TableService.ABSENT : row.version();
     }
 
-    private StandinReply put(StandinExchange exchange) {
+    private StandinReply putObject(StandinExchange exchange) {
         objectWrites.add(1);
-        objects.put(exchange.after(OBJECTS), exchange.body());
-        return StandinReply.empty(StandinReply.NO_CONTENT).written();
+        objects.put(exchange.pathAfter(OBJECTS), exchange.body());
+        return StandinReply.empty(StandinReply.NO_CONTENT).withStateChanged();
     }
 
-    private StandinReply get(StandinExchange exchange) {
+    private StandinReply getObject(StandinExchange exchange) {
         objectReads.add(1);
-        byte[] object = objects.get(exchange.after(OBJECTS));
+        byte[] object = objects.get(exchange.pathAfter(OBJECTS));
         return object == null
                 ? StandinReply.error(StandinReply.NOT_FOUND, "no such object")
                 : StandinReply.of(StandinReply.OK, "application/octet-stream", object);
     }
 
-    private StandinReply list() {
+    private StandinReply listVms() {
         listReads.add(1);
-        long backwardsMillis = faults.hits(Faults.Kind.LIST_BACKWARDS)
+        long backwardsMillis = faults.consume(Faults.Kind.LIST_BACKWARDS)
                 ? faults.settings().backwardsMillis().orElse(0L)
                 : 0L;
         return StandinReply.json(StandinReply.OK, new HttpVmList.Listing(vms.list(backwardsMillis)));
     }
 
     /**
-     * The recorded counts. Rows count each, so that one transaction of many claims is not counted as one write.
+     * The counters of a platform. Every row counts, so that a transaction with many claims isn't counted as one write.
      *
-     * @param transactions commits asked for.
-     * @param writes rows written.
-     * @param reads keys read.
-     * @param objectWrites objects stored.
-     * @param objectReads objects fetched.
-     * @param listReads listings of VMs.
+     * @param transactions number of commits requested.
+     * @param writes number of rows written.
+     * @param reads number of keys read.
+     * @param objectWrites number of objects stored.
+     * @param objectReads number of objects requested.
+     * @param listReads number of requests for the VM list.
      */
     public record Stats(
-            RateCount.Count transactions,
-            RateCount.Count writes,
-            RateCount.Count reads,
-            RateCount.Count objectWrites,
-            RateCount.Count objectReads,
-            RateCount.Count listReads) {}
+            RateCounter.Count transactions,
+            RateCounter.Count writes,
+            RateCounter.Count reads,
+            RateCounter.Count objectWrites,
+            RateCounter.Count objectReads,
+            RateCounter.Count listReads) {}
 
-    /** Builds a stand-in. */
+    /** A builder for a stand-in. */
     public static final class Builder {
 
         private HostPort address = new HostPort("127.0.0.1", 0);
@@ -215,9 +216,9 @@
         private Builder() {}
 
         /**
-         * Sets the address.
+         * Sets the address to listen on.
          *
-         * @param newAddress where to listen; port 0 takes a free one.
+         * @param newAddress the address; port 0 selects a free port.
          * @return this builder.
          */
         public Builder address(HostPort newAddress) {
@@ -237,7 +238,7 @@
         }
 
         /**
-         * Sets how old the VM list is.
+         * Sets the age of the VM list that is served.
          *
          * @param millis the lag.
          * @return this builder.
@@ -261,7 +262,7 @@
         /**
          * Starts the stand-in.
          *
-         * @return the listening stand-in.
+         * @return the stand-in, which accepts requests.
          */
         public PlatformStandin start() {
             return new PlatformStandin(this);
--- a/src/main/java/io/waxwingquay/standin/PrefixCache.java
+++ b/src/main/java/io/waxwingquay/standin/PrefixCache.java
@@ -5,7 +5,8 @@
 import java.util.Map;
 
 /**
- * A cache of prompt prefixes in blocks, limited, least recently used out first. Not safe for concurrent use.
+ * A bounded cache of prompt prefixes, split into blocks; the least recently used block is evicted first. Not safe for
+ * concurrent use.
  */
 final class PrefixCache {
 
@@ -20,20 +21,22 @@
         this.maxBlocks = maxTokens / BLOCK_TOKENS;
     }
 
-    /** Counts the prompt's cached tokens, and caches the whole prompt. */
-    int take(Generation generation) {
+    /** Returns the number of prompt tokens in the longest cached prefix, then adds all full blocks of the prompt. */
+    int countCachedAndAdd(Generation generation) {
         String prompt = generation.prompt();
-        long chain = 31L * generation.model().hashCode() + generation.adapter().hashCode();
-        boolean unbroken = true;
+        long chainedHash =
+                31L * generation.model().hashCode() + generation.adapter().hashCode();
+        boolean prefixCached = true;
         int cachedTokens = 0;
         for (int end = BLOCK_CHARACTERS; end <= prompt.length(); end += BLOCK_CHARACTERS) {
-            chain = 0x9E3779B97F4A7C15L
-                    * (chain ^ prompt.substring(end - BLOCK_CHARACTERS, end).hashCode());
-            unbroken = unbroken && blocks.containsKey(chain);
-            cachedTokens += unbroken ? BLOCK_TOKENS : 0;
-            blocks.put(chain, true);
+            chainedHash = 0x9E3779B97F4A7C15L
+                    * (chainedHash
+                            ^ prompt.substring(end - BLOCK_CHARACTERS, end).hashCode());
+            prefixCached = prefixCached && blocks.containsKey(chainedHash);
+            cachedTokens += prefixCached ? BLOCK_TOKENS : 0;
+            blocks.put(chainedHash, true);
         }
-        trim();
+        evictOldest();
         return cachedTokens;
     }
 
@@ -41,11 +44,11 @@
         blocks.clear();
     }
 
-    private void trim() {
-        var oldestFirst = blocks.keySet().iterator();
+    private void evictOldest() {
+        var leastRecentlyUsedFirst = blocks.keySet().iterator();
         while (blocks.size() > maxBlocks) {
-            oldestFirst.next();
-            oldestFirst.remove();
+            leastRecentlyUsedFirst.next();
+            leastRecentlyUsedFirst.remove();
         }
     }
 }
--- a/src/main/java/io/waxwingquay/standin/StandinTimer.java
+++ b/src/main/java/io/waxwingquay/standin/StandinTimer.java
@@ -6,29 +6,29 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Runs the stand-ins' steps at their due time.
+ * A clock with a scheduler, on which the stand-ins run delayed tasks.
  */
 public interface StandinTimer {
 
-    /** Real time, on a few threads shared by all stand-ins of this process. */
+    /** A timer on real time, whose few threads are shared by all stand-ins of this process. */
     StandinTimer SYSTEM = new ForSystem();
 
     /**
-     * The time.
+     * Returns the present time.
      *
-     * @return microseconds since an arbitrary origin.
+     * @return the time in microseconds since an arbitrary origin.
      */
     long nowMicros();
 
     /**
-     * Runs a step later.
+     * Schedules a task.
      *
-     * @param delayMicros how much later.
-     * @param step the step, which must be short.
+     * @param delayMicros the delay.
+     * @param task the task, which must be short, because it occupies a shared thread.
      */
-    void after(long delayMicros, Runnable step);
+    void schedule(long delayMicros, Runnable task);
 
-    /** Real time. */
+    /** A timer on real time. */
     final class ForSystem implements StandinTimer {
 
         private static final System.Logger LOG = System.getLogger("waxwingquay.standin");
@@ -50,26 +50,26 @@
 
         /** {@inheritDoc} */
         @Override
-        public void after(long delayMicros, Runnable step) {
-            executor.schedule(() -> runLogged(step), delayMicros, TimeUnit.MICROSECONDS);
+        public void schedule(long delayMicros, Runnable task) {
+            executor.schedule(() -> runLogged(task), delayMicros, TimeUnit.MICROSECONDS);
         }
 
-        private static void runLogged(Runnable step) {
+        private static void runLogged(Runnable task) {
             try {
-                step.run();
+                task.run();
             } catch (RuntimeException failure) {
-                LOG.log(System.Logger.Level.ERROR, "standin: a step failed.", failure);
+                LOG.log(System.Logger.Level.ERROR, "standin: a scheduled task failed.", failure);
             }
         }
     }
 
-    /** Time that a test moves by hand. */
-    final class ByHand implements StandinTimer {
+    /** A timer whose time advances only on request, for deterministic tests. */
+    final class Manual implements StandinTimer {
 
-        private final PriorityQueue<Due> steps =
-                new PriorityQueue<>(Comparator.comparingLong(Due::atMicros).thenComparingLong(Due::order));
+        private final PriorityQueue<ScheduledTask> tasks = new PriorityQueue<>(
+                Comparator.comparingLong(ScheduledTask::atMicros).thenComparingLong(ScheduledTask::sequenceNumber));
         private long nowMicros;
-        private long order;
+        private long nextSequenceNumber;
 
         /** {@inheritDoc} */
         @Override
@@ -79,32 +79,32 @@
 
         /** {@inheritDoc} */
         @Override
-        public synchronized void after(long delayMicros, Runnable step) {
-            steps.add(new Due(nowMicros + Math.max(0, delayMicros), order++, step));
+        public synchronized void schedule(long delayMicros, Runnable task) {
+            tasks.add(new ScheduledTask(nowMicros + Math.max(0, delayMicros), nextSequenceNumber++, task));
         }
 
         /**
-         * Moves the time on and runs every step that falls due, in order.
+         * Advances the time and runs every task that becomes due, in order of due time, then of scheduling.
          *
-         * @param micros how far.
+         * @param micros the time to advance by.
          */
         public void advance(long micros) {
             long untilMicros = nowMicros() + micros;
-            for (Due due = next(untilMicros); due != null; due = next(untilMicros)) {
-                due.step().run();
+            for (ScheduledTask due = nextDue(untilMicros); due != null; due = nextDue(untilMicros)) {
+                due.task().run();
             }
         }
 
-        private synchronized Due next(long untilMicros) {
-            Due due = steps.peek();
+        private synchronized ScheduledTask nextDue(long untilMicros) {
+            ScheduledTask due = tasks.peek();
             if (due == null || due.atMicros() > untilMicros) {
                 nowMicros = untilMicros;
                 return null;
             }
             nowMicros = due.atMicros();
-            return steps.poll();
+            return tasks.poll();
         }
 
-        private record Due(long atMicros, long order, Runnable step) {}
+        private record ScheduledTask(long atMicros, long sequenceNumber, Runnable task) {}
     }
 }
--- a/src/main/java/io/waxwingquay/standin/WeightSource.java
+++ b/src/main/java/io/waxwingquay/standin/WeightSource.java
@@ -7,7 +7,7 @@
 import org.eclipse.jetty.http.HttpMethod;
 
 /**
- * Where an engine gets weights and adapters from.
+ * A source from which an engine loads weights and adapters.
  */
 @FunctionalInterface
 public interface WeightSource {
@@ -17,31 +17,31 @@
      *
      * @param item the item's name.
      * @param bytes the item's size.
-     * @return completes when it is loaded.
+     * @return a future that completes when the item is loaded.
      */
     CompletableFuture<Void> load(String item, long bytes);
 
     /**
-     * A source that takes the same time for every item.
+     * Returns a source that takes the same time for every item.
      *
      * @param timer the timer.
-     * @param micros the time.
+     * @param micros the duration of a load.
      * @return the source.
      */
-    static WeightSource after(StandinTimer timer, long micros) {
+    static WeightSource withFixedLatency(StandinTimer timer, long micros) {
         return (item, bytes) -> {
             CompletableFuture<Void> done = new CompletableFuture<>();
-            timer.after(micros, () -> done.complete(null));
+            timer.schedule(micros, () -> done.complete(null));
             return done;
         };
     }
 
     /**
-     * A weight store over HTTP.
+     * Returns a source that loads from a weight store over HTTP.
      *
      * @param client the shared, started HTTP client.
      * @param address the weight store's address.
-     * @param timeoutMillis the most time one load may take.
+     * @param timeoutMillis the timeout of one load.
      * @return the source.
      */
     static WeightSource http(HttpClient client, HostPort address, long timeoutMillis) {
@@ -51,10 +51,10 @@
                                         .method(HttpMethod.POST),
                                 new WeightStoreStandin.LoadRequest(item, bytes)),
                         timeoutMillis)
-                .thenAccept(WeightSource::check);
+                .thenAccept(WeightSource::requireSuccess);
     }
 
-    private static void check(HttpCalls.Reply reply) {
+    private static void requireSuccess(HttpCalls.Reply reply) {
         if (reply.statusCode() != StandinReply.NO_CONTENT) {
             throw new IllegalStateException("weight store answered with status " + reply.statusCode());
         }
--- a/src/main/java/io/waxwingquay/standin/prepared/EngineStandin.java
+++ b/src/main/java/io/waxwingquay/standin/prepared/ReplicaStandin.java
@@ -21,9 +21,10 @@
 import org.eclipse.jetty.http.HttpFields;
 
 /**
- * A model engine or a plain service: it answers requests as it is told, and carries out orders at once.
+ * A stand-in for a replica, which is a model engine or a plain service. It answers requests according to a configured
+ * behaviour and carries out orders immediately.
  */
-public final class EngineStandin {
+public final class ReplicaStandin {
 
     private static final int OK = 200;
     private static final int ACCEPTED = 202;
@@ -33,71 +34,71 @@
 
     private final String id;
     private final HostPort address;
-    private final Map<String, Set<String>> models = new TreeMap<>();
-    private final List<String> ran = new CopyOnWriteArrayList<>();
+    private final Map<String, Set<String>> adaptersByModel = new TreeMap<>();
+    private final List<String> startedAttemptIds = new CopyOnWriteArrayList<>();
     private volatile Behaviour behaviour;
-    private volatile boolean frozen;
-    private long ordersTaken;
+    private volatile boolean unresponsive;
+    private long acceptedOrders;
 
-    private EngineStandin(String id, HostPort address, List<String> models, Behaviour behaviour) {
+    private ReplicaStandin(String id, HostPort address, List<String> models, Behaviour behaviour) {
         this.id = id;
         this.address = address;
         this.behaviour = behaviour;
-        models.forEach(model -> this.models.put(model, new TreeSet<>()));
+        models.forEach(model -> this.adaptersByModel.put(model, new TreeSet<>()));
     }
 
     /**
      * Starts a replica.
      *
-     * @param loop where it runs.
-     * @param id its id.
-     * @param address where it listens.
-     * @param models what it holds at first; empty for a plain service.
-     * @param behaviour what it does with a request.
+     * @param loop the event loop to run on.
+     * @param id the id of the replica.
+     * @param address the address to listen on.
+     * @param models the models in memory at the start; empty for a plain service.
+     * @param behaviour the behaviour for each request.
      * @return the replica.
      */
-    public static EngineStandin start(
+    public static ReplicaStandin start(
             EventLoop loop, String id, HostPort address, List<String> models, Behaviour behaviour) {
-        EngineStandin engine = new EngineStandin(id, address, models, behaviour);
-        HttpServer.listen(loop, new InetSocketAddress(address.host(), address.port()), engine::answer);
-        return engine;
+        ReplicaStandin replica = new ReplicaStandin(id, address, models, behaviour);
+        HttpServer.listen(loop, new InetSocketAddress(address.host(), address.port()), replica::handle);
+        return replica;
     }
 
     /**
-     * Sets what it does with requests from now on.
+     * Sets the behaviour for requests from now on.
      *
-     * @param newBehaviour what it does.
+     * @param newBehaviour the behaviour.
      */
     public void behaviour(Behaviour newBehaviour) {
         behaviour = newBehaviour;
     }
 
     /**
-     * Stands still, as with its machine: it takes connections and bytes, and answers nothing, not even what it holds.
-     * What it is asked meanwhile stays without an answer.
+     * Makes the replica unresponsive, as if its machine were suspended: it accepts connections and bytes, but answers
+     * neither requests nor queries of its state. Requests received in this state are never answered.
      *
-     * @param standsStill whether it does.
+     * @param isUnresponsive whether the replica is unresponsive.
      */
-    public void freeze(boolean standsStill) {
-        frozen = standsStill;
+    public void unresponsive(boolean isUnresponsive) {
+        unresponsive = isUnresponsive;
     }
 
     /**
-     * The requests that it began to run.
+     * Returns the attempts that the replica started to run.
      *
-     * @return their ids, in order.
+     * @return the attempt ids, in order of their start.
      */
-    public List<String> ran() {
-        return ran;
+    public List<String> startedAttemptIds() {
+        return startedAttemptIds;
     }
 
     /**
-     * What it says of itself in the list of replicas.
+     * Returns this replica's row in the table of replicas.
      *
-     * @param service the service.
-     * @param zone its data centre.
+     * @param service the service that the replica belongs to.
+     * @param zone the data centre of the replica.
      * @param state {@code ready} or {@code draining}.
-     * @return the row's value.
+     * @return the row's value as JSON.
      */
     public String row(String service, String zone, String state) {
         ObjectNode row = MAPPER.createObjectNode()
@@ -107,64 +108,64 @@
                 .put("slots", 8)
                 .put("state", state)
                 .put("born", 1);
-        row.set("models", models());
+        row.set("models", modelList());
         return row.toString();
     }
 
-    private void answer(ServerExchange caller) {
-        if (frozen) {
+    private void handle(ServerExchange caller) {
+        if (unresponsive) {
             return;
         }
         switch (caller.request().path()) {
             case "/report" -> caller.respond(OK, HttpFields.EMPTY, report());
-            case "/order" -> order(caller);
-            default -> request(caller);
+            case "/order" -> carryOutOrder(caller);
+            default -> runRequest(caller);
         }
     }
 
-    private void request(ServerExchange caller) {
+    private void runRequest(ServerExchange caller) {
         HttpFields fields = caller.request().fields();
-        String wanted = fields.get("Target-Replica");
+        String targetReplica = fields.get("Target-Replica");
         String model = fields.get("Model");
-        if (wanted != null && !wanted.equals(id) || model != null && !holds(model)) {
+        if (targetReplica != null && !targetReplica.equals(id) || model != null && !holds(model)) {
             caller.respond(MISDIRECTED, HttpFields.build().put("Replica-Id", id), "not here");
             return;
         }
-        ran.add(fields.get("Attempt-Id"));
+        startedAttemptIds.add(fields.get("Attempt-Id"));
         behaviour.run(this, caller);
     }
 
     private boolean holds(String model) {
         String[] parts = model.split("/", 2);
-        Set<String> adapters = models.get(parts[0]);
+        Set<String> adapters = adaptersByModel.get(parts[0]);
         return adapters != null && (parts.length == 1 || adapters.contains(parts[1]));
     }
 
-    private void order(ServerExchange caller) {
+    private void carryOutOrder(ServerExchange caller) {
         JsonNode order;
         try {
             order = MAPPER.readTree(caller.request().body());
         } catch (IOException failure) {
-            throw new IllegalArgumentException("an order can't be read", failure);
+            throw new IllegalArgumentException("cannot parse an order", failure);
         }
-        if (order.has("precondition") && order.get("precondition").longValue() != ordersTaken) {
+        if (order.has("precondition") && order.get("precondition").longValue() != acceptedOrders) {
             caller.respond(CONFLICT, HttpFields.EMPTY, "other orders came before");
             return;
         }
-        ordersTaken++;
+        acceptedOrders++;
         boolean load = order.path("op").asText().equals("load");
         String model = order.path("model").asText();
         if (order.has("adapter")) {
-            Set<String> adapters = models.get(model);
+            Set<String> adapters = adaptersByModel.get(model);
             if (load) {
                 adapters.add(order.get("adapter").textValue());
             } else {
                 adapters.remove(order.get("adapter").textValue());
             }
         } else if (load) {
-            models.put(model, new TreeSet<>());
+            adaptersByModel.put(model, new TreeSet<>());
         } else {
-            models.remove(model);
+            adaptersByModel.remove(model);
         }
         caller.respond(ACCEPTED, HttpFields.EMPTY, "");
     }
@@ -172,18 +173,18 @@
     private String report() {
         ObjectNode report = MAPPER.createObjectNode()
                 .put("busy", false)
-                .put("seq", ordersTaken)
+                .put("seq", acceptedOrders)
                 .put("running", 0)
                 .put("waiting", 0)
                 .put("kv_total", 10_000);
-        report.set("models", models());
+        report.set("models", modelList());
         report.putObject("at_hand").putArray("on_disk");
         return report.toString();
     }
 
-    private ArrayNode models() {
+    private ArrayNode modelList() {
         ArrayNode list = MAPPER.createArrayNode();
-        models.forEach((name, adapters) -> {
+        adaptersByModel.forEach((name, adapters) -> {
             ObjectNode model = list.addObject().put("name", name).put("version", 1);
             ArrayNode names = model.putArray("adapters");
             adapters.forEach(names::add);
@@ -191,37 +192,39 @@
         return list;
     }
 
-    /** What a replica does with a request that it runs. */
+    /** The behaviour of a replica for a request that it runs. */
     @FunctionalInterface
     public interface Behaviour {
 
-        /** Answers at once with the request's body. */
-        Behaviour ECHO = (engine, caller) ->
-                caller.respond(OK, engine.fields(caller), caller.request().body());
+        /** Responds immediately with the request's body. */
+        Behaviour ECHO = (replica, caller) -> caller.respond(
+                OK, replica.responseFields(caller), caller.request().body());
 
         /**
          * Runs a request.
          *
-         * @param engine the replica.
-         * @param caller the request and the way back.
+         * @param replica the replica.
+         * @param caller the request, with its response channel.
          */
-        void run(EngineStandin engine, ServerExchange caller);
+        void run(ReplicaStandin replica, ServerExchange caller);
 
         /**
-         * Streams numbered events, from the one after {@code Last-Event-Id}.
+         * Returns a behaviour that streams numbered events, starting after {@code Last-Event-Id}.
          *
-         * @param last the last event's number.
-         * @param breaksAfter after which event it breaks off in the middle of the next; 0 for a whole stream.
+         * @param lastEvent the number of the last event.
+         * @param breakAfterEvent the event after which the stream is aborted, in the middle of the next event; 0 for a
+         *     complete stream.
          * @return the behaviour.
          */
-        static Behaviour stream(int last, int breaksAfter) {
-            return (engine, caller) -> {
-                String from = caller.request().fields().get("Last-Event-Id");
-                int first = from == null ? 1 : Integer.parseInt(from) + 1;
-                caller.begin(OK, HttpFields.build(engine.fields(caller)).put("Content-Type", "text/event-stream"));
-                for (int number = first; number <= last; number++) {
+        static Behaviour stream(int lastEvent, int breakAfterEvent) {
+            return (replica, caller) -> {
+                String lastEventId = caller.request().fields().get("Last-Event-Id");
+                int first = lastEventId == null ? 1 : Integer.parseInt(lastEventId) + 1;
+                caller.begin(
+                        OK, HttpFields.build(replica.responseFields(caller)).put("Content-Type", "text/event-stream"));
+                for (int number = first; number <= lastEvent; number++) {
                     String event = "id: " + number + "\ndata: event " + number + "\n\n";
-                    if (breaksAfter > 0 && number > breaksAfter) {
+                    if (breakAfterEvent > 0 && number > breakAfterEvent) {
                         caller.write(ByteBuffer.wrap(event.substring(0, 9).getBytes(StandardCharsets.UTF_8)));
                         caller.abort();
                         return;
@@ -234,12 +237,12 @@
     }
 
     /**
-     * The header fields of an answer: the request's id and the replica's seal.
+     * Returns the header fields of a response: the attempt id and the replica's seal.
      *
      * @param caller the request.
      * @return the fields.
      */
-    public HttpFields fields(ServerExchange caller) {
+    public HttpFields responseFields(ServerExchange caller) {
         return HttpFields.build()
                 .put("Attempt-Id", String.valueOf(caller.request().fields().get("Attempt-Id")))
                 .put("Server-Seal", "seal-of-" + id);
--- a/src/main/java/io/waxwingquay/standin/prepared/StoreStandin.java
+++ b/src/main/java/io/waxwingquay/standin/prepared/StoreStandin.java
@@ -19,7 +19,8 @@
 import org.eclipse.jetty.http.HttpFields;
 
 /**
- * The platform's store, as far as tables are read and followed. Its own methods may be called from any thread.
+ * A stand-in for the platform's store, which serves reads of a table and long polls for its changes. The public methods
+ * may be called from any thread.
  */
 public final class StoreStandin {
 
@@ -31,10 +32,10 @@
     private final EventLoop loop;
     private final HostPort address;
     private final Map<String, TreeMap<String, Row>> tables = new HashMap<>();
-    private final List<Follower> followers = new ArrayList<>();
+    private final List<LongPoll> longPolls = new ArrayList<>();
     private long version;
-    private long historyFrom;
-    private boolean away;
+    private long historyStartVersion;
+    private boolean unavailable;
 
     private StoreStandin(EventLoop loop, HostPort address) {
         this.loop = loop;
@@ -42,20 +43,20 @@
     }
 
     /**
-     * Starts a store without rows.
+     * Starts an empty store.
      *
-     * @param loop where it runs.
-     * @param address where it listens.
+     * @param loop the event loop to run on.
+     * @param address the address to listen on.
      * @return the store.
      */
     public static StoreStandin start(EventLoop loop, HostPort address) {
         StoreStandin store = new StoreStandin(loop, address);
-        HttpServer.listen(loop, new InetSocketAddress(address.host(), address.port()), store::answer);
+        HttpServer.listen(loop, new InetSocketAddress(address.host(), address.port()), store::handle);
         return store;
     }
 
     /**
-     * Where it listens.
+     * Returns the address that the store listens on.
      *
      * @return the address.
      */
@@ -71,41 +72,41 @@
      * @param value the value.
      */
     public void put(String table, String key, String value) {
-        onLoop(() -> change(table, key, value, false));
+        runOnLoop(() -> write(table, key, value, false));
     }
 
     /**
-     * Drops a row.
+     * Deletes a row.
      *
      * @param table the table.
      * @param key the key.
      */
     public void remove(String table, String key) {
-        onLoop(() -> change(table, key, "", true));
+        runOnLoop(() -> write(table, key, "", true));
     }
 
-    /** Forgets its history: whoever follows has to read again. */
+    /** Discards the history of changes, so that every follower of a table has to read it again. */
     public void dropHistory() {
-        onLoop(() -> {
+        runOnLoop(() -> {
             version++;
-            historyFrom = version;
-            wake();
+            historyStartVersion = version;
+            completeReadyPolls();
         });
     }
 
     /**
-     * Sets whether it turns every call away.
+     * Sets whether the store answers every call as unavailable.
      *
-     * @param isAway whether it does.
+     * @param isUnavailable whether the store is unavailable.
      */
-    public void away(boolean isAway) {
-        onLoop(() -> {
-            away = isAway;
-            wake();
+    public void unavailable(boolean isUnavailable) {
+        runOnLoop(() -> {
+            unavailable = isUnavailable;
+            completeReadyPolls();
         });
     }
 
-    private void onLoop(Runnable task) {
+    private void runOnLoop(Runnable task) {
         CompletableFuture<Void> done = new CompletableFuture<>();
         loop.execute(() -> {
             task.run();
@@ -114,50 +115,51 @@
         done.join();
     }
 
-    private void change(String table, String key, String value, boolean deleted) {
+    private void write(String table, String key, String value, boolean deleted) {
         version++;
         tables.computeIfAbsent(table, name -> new TreeMap<>()).put(key, new Row(key, value, version, deleted));
-        wake();
+        completeReadyPolls();
     }
 
-    private void answer(ServerExchange caller) {
-        if (away) {
+    private void handle(ServerExchange caller) {
+        if (unavailable) {
             caller.respond(UNAVAILABLE, HttpFields.EMPTY, "away");
             return;
         }
-        Map<String, String> query = query(caller.request().target());
+        Map<String, String> query = parseQuery(caller.request().target());
         if (caller.request().path().equals("/rows-get")) {
-            caller.respond(OK, HttpFields.EMPTY, page(rows(query.get("table"), 0, false)));
+            caller.respond(OK, HttpFields.EMPTY, page(rowsAfter(query.get("table"), 0, false)));
             return;
         }
-        Follower follower = new Follower(caller, query.get("table"), Long.parseLong(query.get("after")));
-        followers.add(follower);
+        LongPoll poll = new LongPoll(caller, query.get("table"), Long.parseLong(query.get("after")));
+        longPolls.add(poll);
         loop.schedule(Long.parseLong(query.get("wait_ms")), () -> {
-            if (followers.remove(follower)) {
+            if (longPolls.remove(poll)) {
                 caller.respond(OK, HttpFields.EMPTY, page(List.of()));
             }
         });
-        wake();
+        completeReadyPolls();
     }
 
-    private void wake() {
-        new ArrayList<>(followers).forEach(follower -> {
-            List<Row> changed = rows(follower.table, follower.after, true);
-            if (away || follower.after < historyFrom || !changed.isEmpty()) {
-                followers.remove(follower);
-                follower.caller.respond(status(follower), HttpFields.EMPTY, page(changed));
+    /** Answers the long polls that have changes or precede the history, and all of them if the store is unavailable. */
+    private void completeReadyPolls() {
+        new ArrayList<>(longPolls).forEach(poll -> {
+            List<Row> changed = rowsAfter(poll.table, poll.after, true);
+            if (unavailable || poll.after < historyStartVersion || !changed.isEmpty()) {
+                longPolls.remove(poll);
+                poll.caller.respond(status(poll), HttpFields.EMPTY, page(changed));
             }
         });
     }
 
-    private int status(Follower follower) {
-        if (away) {
+    private int status(LongPoll poll) {
+        if (unavailable) {
             return UNAVAILABLE;
         }
-        return follower.after < historyFrom ? GONE : OK;
+        return poll.after < historyStartVersion ? GONE : OK;
     }
 
-    private List<Row> rows(String table, long after, boolean withDeleted) {
+    private List<Row> rowsAfter(String table, long after, boolean withDeleted) {
         return tables.getOrDefault(table, new TreeMap<>()).values().stream()
                 .filter(row -> row.version > after)
                 .filter(row -> withDeleted || !row.deleted)
@@ -178,7 +180,7 @@
         return page.put("has_more", false).put("ver", version).toString();
     }
 
-    private static Map<String, String> query(String target) {
+    private static Map<String, String> parseQuery(String target) {
         Map<String, String> pairs = new HashMap<>();
         for (String pair : target.substring(target.indexOf('?') + 1).split("&")) {
             String[] parts = pair.split("=", 2);
@@ -189,5 +191,5 @@
 
     private record Row(String key, String value, long version, boolean deleted) {}
 
-    private record Follower(ServerExchange caller, String table, long after) {}
+    private record LongPoll(ServerExchange caller, String table, long after) {}
 }
--- a/src/test/java/io/waxwingquay/engine/HttpModelEngineTest.java
+++ b/src/test/java/io/waxwingquay/engine/HttpModelEngineTest.java
@@ -10,8 +10,8 @@
 import io.waxwingquay.engine.ModelEngine.OrderAnswer;
 import io.waxwingquay.engine.ModelEngine.OrderKind;
 import io.waxwingquay.standin.CostModel;
+import io.waxwingquay.standin.FaultInjectingProxy;
 import io.waxwingquay.standin.Faults;
-import io.waxwingquay.standin.LinkStandin;
 import io.waxwingquay.standin.ModelEngineStandin;
 import io.waxwingquay.standin.StandinText;
 import io.waxwingquay.standin.WeightSource;
@@ -87,8 +87,8 @@
     void silentStreamIsLostAndResumesAtItsOffsetWithoutRunningAgain() throws Exception {
         // A stream stops after 5 tokens while its connection stays open. The inactivity timeout must end it as lost,
         // and a resend from offset 5 must deliver the rest of the same run.
-        standin.faults().set(Faults.Settings.NONE.withStreamTokens(5));
-        standin.faults().next(Faults.Kind.SILENT_STREAM, 1);
+        standin.faults().apply(Faults.Settings.NONE.withStreamTokens(5));
+        standin.faults().inject(Faults.Kind.SILENT_STREAM, 1);
 
         RecordingListener interrupted = stream(engine, "s", 30, 0);
         assertEquals(TargetException.Kind.LOST, interrupted.failure().kind());
@@ -107,8 +107,8 @@
     void truncatedStreamIsReportedAsLost() throws Exception {
         // The HTTP response ends normally after 3 of 10 tokens, without an end event. Without the check of the end, the
         // caller would take these three tokens for the complete answer.
-        standin.faults().set(Faults.Settings.NONE.withStreamTokens(3));
-        standin.faults().next(Faults.Kind.TRUNCATE_STREAM, 1);
+        standin.faults().apply(Faults.Settings.NONE.withStreamTokens(3));
+        standin.faults().inject(Faults.Kind.TRUNCATE_STREAM, 1);
 
         RecordingListener interrupted = stream(engine, "t", 10, 0);
 
@@ -118,7 +118,7 @@
 
     @Test
     void repeatedTokensReachTheListenerOnce() throws Exception {
-        standin.faults().next(Faults.Kind.DUPLICATE_STREAM, 1);
+        standin.faults().inject(Faults.Kind.DUPLICATE_STREAM, 1);
 
         RecordingListener listener = stream(engine, "d", 12, 0);
 
@@ -173,9 +173,9 @@
     void orderCallIsLostWhetherItNeverArrivesOrArrivesLate() throws Exception {
         // The side sees a closed connection in both cases, but one order never arrives and the other is executed later.
         // Both must be reported as lost, so that the bytes of the item stay reserved.
-        standin.faults().next(Faults.Kind.LOSE_ORDER, 1);
+        standin.faults().inject(Faults.Kind.LOSE_ORDER, 1);
         TargetException lost = Await.failure(TargetException.class, engine.order(load("o1", "adapter:a@1", 10, 1)));
-        standin.faults().next(Faults.Kind.DELAY_ORDER, 1);
+        standin.faults().inject(Faults.Kind.DELAY_ORDER, 1);
         TargetException late = Await.failure(TargetException.class, engine.order(load("o2", "adapter:b@1", 10, 1)));
 
         Await.until(() -> standin.stats().memory().loads() == 1);
@@ -191,7 +191,7 @@
         // A prompt crashes the engine. Its stream and a concurrent one must end as lost. After a restart, during which
         // the port is closed, the engine must report another boot id and no residents.
         String bootId = Await.value(engine.residency()).bootId();
-        standin.faults().set(Faults.Settings.NONE.withCrash("poison", 50));
+        standin.faults().apply(Faults.Settings.NONE.withCrash("poison", 50));
         RecordingListener beside = newListener();
         engine.stream(generation("beside", 5_000), 0, beside);
         RecordingListener poison = newListener();
@@ -211,10 +211,10 @@
     void streamOverASilencedConnectionResumesOnANewOne() throws Exception {
         // A network element between side and engine drops the state of an open connection: no bytes, no close. New
         // connections work. The inactivity timeout must end the old stream, and a new one must deliver the rest.
-        try (LinkStandin link = LinkStandin.to(new HostPort("127.0.0.1", standin.port()))) {
+        try (FaultInjectingProxy link = FaultInjectingProxy.to(new HostPort("127.0.0.1", standin.port()))) {
             HttpModelEngine overLink = engineAt(link.port());
             RecordingListener interrupted = newListener();
-            interrupted.afterTokens(3, link::silenceOpen);
+            interrupted.afterTokens(3, link::blackholeOpen);
             overLink.stream(generation("l", 400), 0, interrupted);
             assertEquals(TargetException.Kind.LOST, interrupted.failure().kind());
 
@@ -277,10 +277,10 @@
 
     @Test
     void callsFailWhileTheLinkIsCut() throws Exception {
-        try (LinkStandin link = LinkStandin.to(new HostPort("127.0.0.1", standin.port()))) {
+        try (FaultInjectingProxy link = FaultInjectingProxy.to(new HostPort("127.0.0.1", standin.port()))) {
             HttpModelEngine overLink = engineAt(link.port());
             Await.value(overLink.loadReport());
-            link.cut();
+            link.disconnect();
             Await.failure(TargetException.class, overLink.loadReport());
             // Until the client has detected the closed connections, a call may still use one of them and fail.
             Await.until(() -> openConnections(link.port()) == 0);
--- a/src/test/java/io/waxwingquay/engine/HttpPlainServiceTest.java
+++ b/src/test/java/io/waxwingquay/engine/HttpPlainServiceTest.java
@@ -43,7 +43,7 @@
     void lostAnswerIsReportedAsLostAndTheCallIsNotRepeated() {
         // The service runs the deposit and its answer is lost: the side sees a closed connection. If the call were
         // reported as not run, or resent by the HTTP client, the deposit would be paid twice.
-        standin.faults().next(Faults.Kind.LOSE_ANSWER, 1);
+        standin.faults().inject(Faults.Kind.LOSE_ANSWER, 1);
 
         TargetException failure =
                 Await.failure(TargetException.class, service(5_000L).call(call("r2")));
@@ -56,7 +56,7 @@
     void unresponsiveServiceIsLostAfterTheTimeoutAndDoesNotBlockTheNextCall() throws Exception {
         // The first call gets no answer on an open connection. Its timeout must end it as lost, since it was sent, and
         // the next call must use a new connection.
-        standin.faults().next(Faults.Kind.SILENT, 1);
+        standin.faults().inject(Faults.Kind.SILENT, 1);
 
         TargetException failure =
                 Await.failure(TargetException.class, service(200L).call(call("r3")));
--- a/src/test/java/io/waxwingquay/hosted/HostedDeployment.java
+++ b/src/test/java/io/waxwingquay/hosted/HostedDeployment.java
@@ -2,7 +2,7 @@
 
 import io.waxwingquay.common.HostPort;
 import io.waxwingquay.net.EventLoop;
-import io.waxwingquay.standin.prepared.EngineStandin;
+import io.waxwingquay.standin.prepared.ReplicaStandin;
 import io.waxwingquay.standin.prepared.StoreStandin;
 import io.waxwingquay.testing.Await;
 import io.waxwingquay.testing.FreePorts;
@@ -50,10 +50,10 @@
     private final EventLoop processLoop = EventLoop.start("inside");
     private final int basePort = FreePorts.adjacent(PORT_COUNT, HOSTS);
     final StoreStandin store = StoreStandin.start(standinLoop, new HostPort("127.0.0.1", basePort));
-    final EngineStandin engine1 = startEngine("e1", "127.0.0.2", List.of("m"));
-    final EngineStandin engine2 = startEngine("e2", "127.0.0.3", List.of("m"));
-    final EngineStandin plain1 = startEngine("p1", "127.0.0.4", List.of());
-    final EngineStandin plain2 = startEngine("p2", "127.0.0.5", List.of());
+    final ReplicaStandin engine1 = startEngine("e1", "127.0.0.2", List.of("m"));
+    final ReplicaStandin engine2 = startEngine("e2", "127.0.0.3", List.of("m"));
+    final ReplicaStandin plain1 = startEngine("p1", "127.0.0.4", List.of());
+    final ReplicaStandin plain2 = startEngine("p2", "127.0.0.5", List.of());
     private final HostedProcess entry;
 
     HostedDeployment() throws Exception {
@@ -85,14 +85,14 @@
         store.put("op", "config", String.format(MANIFEST, version).replace("\"/p/\"", '"' + plainPrefix + '"'));
     }
 
-    void register(EngineStandin replica, String id, String service, String state) {
+    void register(ReplicaStandin replica, String id, String service, String state) {
         store.put("servers", id, replica.row(service, "z", state));
     }
 
     /** Starts a second entry that can't reach the store and has the first entry as a seed. */
     void startEntryWithoutStore() throws Exception {
         StoreStandin unreachableStore = StoreStandin.start(standinLoop, new HostPort(SECOND_HOST, basePort));
-        unreachableStore.away(true);
+        unreachableStore.unavailable(true);
         startSecond(unreachableStore.address());
     }
 
@@ -200,9 +200,9 @@
         standinLoop.close();
     }
 
-    private EngineStandin startEngine(String id, String host, List<String> models) {
-        return EngineStandin.start(
-                standinLoop, id, new HostPort(host, basePort + 1), models, EngineStandin.Behaviour.ECHO);
+    private ReplicaStandin startEngine(String id, String host, List<String> models) {
+        return ReplicaStandin.start(
+                standinLoop, id, new HostPort(host, basePort + 1), models, ReplicaStandin.Behaviour.ECHO);
     }
 
     private HostSettings entrySettings(String host, HostPort storeAddress, List<String> seeds) {
--- a/src/test/java/io/waxwingquay/hosted/HostedExitTest.java
+++ b/src/test/java/io/waxwingquay/hosted/HostedExitTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import io.waxwingquay.hosted.HostedDeployment.Answer;
-import io.waxwingquay.standin.prepared.EngineStandin.Behaviour;
+import io.waxwingquay.standin.prepared.ReplicaStandin.Behaviour;
 import io.waxwingquay.testing.Await;
 import java.io.IOException;
 import java.io.UncheckedIOException;
@@ -114,8 +114,8 @@
     }
 
     private List<String> plainRuns() {
-        List<String> all = new ArrayList<>(deployment.plain1.ran());
-        all.addAll(deployment.plain2.ran());
+        List<String> all = new ArrayList<>(deployment.plain1.startedAttemptIds());
+        all.addAll(deployment.plain2.startedAttemptIds());
         return all;
     }
 }
--- a/src/test/java/io/waxwingquay/hosted/HostedPathTest.java
+++ b/src/test/java/io/waxwingquay/hosted/HostedPathTest.java
@@ -7,8 +7,8 @@
 import io.waxwingquay.hosted.HostedDeployment.Answer;
 import io.waxwingquay.net.EventLoop;
 import io.waxwingquay.net.ServerExchange;
-import io.waxwingquay.standin.prepared.EngineStandin;
-import io.waxwingquay.standin.prepared.EngineStandin.Behaviour;
+import io.waxwingquay.standin.prepared.ReplicaStandin;
+import io.waxwingquay.standin.prepared.ReplicaStandin.Behaviour;
 import io.waxwingquay.testing.Await;
 import java.io.IOException;
 import java.io.UncheckedIOException;
@@ -33,7 +33,7 @@
     private static final Behaviour REJECT =
             (engine, caller) -> caller.respond(503, HttpFields.build().put("Not-Executed", "1"), "full");
     private static final Behaviour FAIL =
-            (engine, caller) -> caller.respond(500, engine.fields(caller), "its own failure");
+            (engine, caller) -> caller.respond(500, engine.responseFields(caller), "its own failure");
     private static final Behaviour ABORT = (engine, caller) -> caller.abort();
 
     private HostedDeployment deployment;
@@ -118,11 +118,11 @@
     void slowReplicaIsNotAbandonedWithoutAnAlternative() throws Exception {
         deployment.store.remove("servers", "e2");
         Await.until(() -> {
-            int before = deployment.engine2.ran().size();
+            int before = deployment.engine2.startedAttemptIds().size();
             for (int number = 0; number < 4; number++) {
                 deployment.ask("POST", "/s/1", "a21", MODEL, "");
             }
-            return deployment.engine2.ran().size() == before;
+            return deployment.engine2.startedAttemptIds().size() == before;
         });
         Behaviour events = Behaviour.stream(2, 0);
         deployment.engine1.behaviour((engine, caller) -> deployment.schedule(1_500, () -> events.run(engine, caller)));
@@ -158,11 +158,11 @@
     void drainingReplicaGetsNoNewWork() throws Exception {
         deployment.register(deployment.plain1, "p1", "plain", "draining");
         Await.until(() -> {
-            int before = deployment.plain1.ran().size();
+            int before = deployment.plain1.startedAttemptIds().size();
             for (int number = 0; number < 6; number++) {
                 deployment.ask("POST", "/p/1", "a10", "", "x");
             }
-            return deployment.plain1.ran().size() == before;
+            return deployment.plain1.startedAttemptIds().size() == before;
         });
         assertEquals(200, deployment.ask("POST", "/p/1", "a11", "", "x").status());
     }
@@ -171,7 +171,7 @@
     // used.
     @Test
     void requestsAreServedWhileTheStoreIsUnavailable() throws Exception {
-        deployment.store.away(true);
+        deployment.store.unavailable(true);
         deployment.store.remove("servers", "p1");
         deployment.store.remove("servers", "p2");
         for (int number = 0; number < 5; number++) {
@@ -230,8 +230,9 @@
         try (Socket socket = deployment.connect()) {
             String request = HostedDeployment.request("POST", "/s/1", "a15", MODEL, "");
             socket.getOutputStream().write(request.getBytes(StandardCharsets.ISO_8859_1));
-            Await.until(() ->
-                    deployment.engine1.ran().size() + deployment.engine2.ran().size() > 0);
+            Await.until(() -> deployment.engine1.startedAttemptIds().size()
+                            + deployment.engine2.startedAttemptIds().size()
+                    > 0);
         }
         Await.value(disconnected);
     }
@@ -292,8 +293,8 @@
                 throw new UncheckedIOException(failure);
             }
         });
-        Await.until(() -> deployment.engine1.ran().contains("a31")
-                || deployment.engine2.ran().contains("a31"));
+        Await.until(() -> deployment.engine1.startedAttemptIds().contains("a31")
+                || deployment.engine2.startedAttemptIds().contains("a31"));
         long stalledSinceMillis = EventLoop.nowMillis();
         deployment.whileStalled(() -> Await.until(() -> EventLoop.nowMillis() - stalledSinceMillis >= 2_200));
         assertEquals(200, Await.value(response).status());
@@ -302,8 +303,8 @@
     /** Makes both engines unresponsive after an update of each has been received. */
     private void freezeEngines() throws Exception {
         Await.until(() -> deployment.dump().contains("engines_heard=2"));
-        deployment.engine1.freeze(true);
-        deployment.engine2.freeze(true);
+        deployment.engine1.unresponsive(true);
+        deployment.engine2.unresponsive(true);
     }
 
     // Guards against losing a replica for each attempt of a request that crashes every replica which starts to run
@@ -354,7 +355,9 @@
         Answer refused = deployment.ask("POST", "/s/1", "a27-1", MODEL, "");
         assertEquals(503, refused.status());
         assertEquals(
-                2, deployment.engine1.ran().size() + deployment.engine2.ran().size());
+                2,
+                deployment.engine1.startedAttemptIds().size()
+                        + deployment.engine2.startedAttemptIds().size());
     }
 
     // Guards against a quarantine of ten minutes for a request whose answers were aborted by two replicas that are
@@ -362,7 +365,7 @@
     @Test
     void requestWhoseAnswersWereAbortedIsNotQuarantined() throws Exception {
         setPlainBehaviour((engine, caller) -> {
-            caller.begin(200, HttpFields.build(engine.fields(caller)).put("Content-Type", "text/plain"));
+            caller.begin(200, HttpFields.build(engine.responseFields(caller)).put("Content-Type", "text/plain"));
             caller.write(ByteBuffer.wrap("a part".getBytes(StandardCharsets.UTF_8)));
             deployment.schedule(20, caller::abort);
         });
@@ -389,8 +392,8 @@
     }
 
     private List<String> plainRuns() {
-        List<String> all = new ArrayList<>(deployment.plain1.ran());
-        all.addAll(deployment.plain2.ran());
+        List<String> all = new ArrayList<>(deployment.plain1.startedAttemptIds());
+        all.addAll(deployment.plain2.startedAttemptIds());
         return all;
     }
 
@@ -415,10 +418,10 @@
         private static final long ANSWER_MILLIS = 20L;
 
         private final AtomicInteger crashCount = new AtomicInteger();
-        private final Map<EngineStandin, List<ServerExchange>> running = new HashMap<>();
+        private final Map<ReplicaStandin, List<ServerExchange>> running = new HashMap<>();
 
         @Override
-        public void run(EngineStandin engine, ServerExchange caller) {
+        public void run(ReplicaStandin engine, ServerExchange caller) {
             List<ServerExchange> runningHere = running.computeIfAbsent(engine, each -> new ArrayList<>());
             if (new String(caller.request().body(), StandardCharsets.UTF_8).equals(POISON)) {
                 boolean isFirst = crashCount.incrementAndGet() == 1;
@@ -436,7 +439,7 @@
             }
         }
 
-        private void answerSoon(EngineStandin engine, ServerExchange caller) {
+        private void answerSoon(ReplicaStandin engine, ServerExchange caller) {
             deployment.schedule(ANSWER_MILLIS, () -> {
                 if (running.get(engine).remove(caller)) {
                     Behaviour.ECHO.run(engine, caller);
--- a/src/test/java/io/waxwingquay/hosted/LeavingReplicaTest.java
+++ b/src/test/java/io/waxwingquay/hosted/LeavingReplicaTest.java
@@ -28,17 +28,17 @@
     // Guards against requests to a replica that departed without notice while entries regained the store.
     @Test
     void replicaUnlistedWhenTheStoreReturnsGetsNoRequests() throws Exception {
-        deployment.store.away(true);
+        deployment.store.unavailable(true);
         deployment.store.remove("servers", "p1");
-        deployment.store.away(false);
+        deployment.store.unavailable(false);
         Await.until(() -> dumps().allMatch(LeavingReplicaTest::isUnlisted));
-        int before = deployment.plain1.ran().size();
+        int before = deployment.plain1.startedAttemptIds().size();
         for (int number = 0; number < REQUESTS; number++) {
             assertEquals(
                     200, deployment.ask("POST", "/p/1", "b1-" + number, "", "x").status());
             assertEquals(200, deployment.askSecond("/p/1", "b2-" + number, "x").status());
         }
-        assertEquals(before, deployment.plain1.ran().size());
+        assertEquals(before, deployment.plain1.startedAttemptIds().size());
     }
 
     private static boolean isUnlisted(String dump) {
--- a/src/test/java/io/waxwingquay/hosted/SharedLimitTest.java
+++ b/src/test/java/io/waxwingquay/hosted/SharedLimitTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import io.waxwingquay.standin.prepared.EngineStandin.Behaviour;
+import io.waxwingquay.standin.prepared.ReplicaStandin.Behaviour;
 import io.waxwingquay.testing.Await;
 import org.eclipse.jetty.http.HttpFields;
 import org.junit.jupiter.api.AfterEach;
@@ -37,15 +37,15 @@
     @Test
     void entriesTogetherKeepTheLimitThatAReplicaAnnounces() throws Exception {
         deployment.plain1.behaviour((engine, caller) -> caller.respond(
-                200, HttpFields.build(engine.fields(caller)).put("Server-Limit", LIMIT_PER_SECOND), "ok"));
+                200, HttpFields.build(engine.responseFields(caller)).put("Server-Limit", LIMIT_PER_SECOND), "ok"));
         announceLimitToBothEntries();
-        int before = deployment.plain1.ran().size();
+        int before = deployment.plain1.startedAttemptIds().size();
         for (int number = 0; number < REQUESTS; number++) {
             assertEquals(
                     200, deployment.ask("POST", "/p/1", "c1-" + number, "", "x").status());
             assertEquals(200, deployment.askSecond("/p/1", "c2-" + number, "x").status());
         }
-        int sent = deployment.plain1.ran().size() - before;
+        int sent = deployment.plain1.startedAttemptIds().size() - before;
         assertTrue(sent <= MAX_REQUESTS, "requests sent to the limited replica: " + sent);
     }
 
@@ -54,7 +54,7 @@
     @Test
     void requestBeyondTheLimitsOfAllReplicasIsRejectedAtOnce() throws Exception {
         Behaviour limited = (engine, caller) -> caller.respond(
-                200, HttpFields.build(engine.fields(caller)).put("Server-Limit", LIMIT_PER_SECOND), "ok");
+                200, HttpFields.build(engine.responseFields(caller)).put("Server-Limit", LIMIT_PER_SECOND), "ok");
         deployment.plain1.behaviour(limited);
         deployment.plain2.behaviour(limited);
         Await.until(() -> deployment.ask("POST", "/brief/1", "c3", "", "x").status() == 503);
@@ -70,10 +70,10 @@
     }
 
     private boolean reachesOnlyFirstReplica() throws Exception {
-        int before = deployment.plain2.ran().size();
+        int before = deployment.plain2.startedAttemptIds().size();
         deployment.ask("POST", "/p/1", "c5", "", "x");
         deployment.askSecond("/p/1", "c6", "x");
-        return before == deployment.plain2.ran().size()
+        return before == deployment.plain2.startedAttemptIds().size()
                 && !deployment.dump().contains("id=p2")
                 && !deployment.dumpSecond().contains("id=p2");
     }
--- a/src/test/java/io/waxwingquay/standin/prepared/RehearsalTest.java
+++ b/src/test/java/io/waxwingquay/standin/prepared/TrainingRunTest.java
@@ -11,15 +11,15 @@
 import java.util.concurrent.ExecutionException;
 import org.junit.jupiter.api.Test;
 
-class RehearsalTest {
+class TrainingRunTest {
 
-    // The port for callers is taken. The failure was only logged, and the build waited for it until its limit.
+    // The caller port is taken. Guards against a failure that is only logged, so that the build waits for its timeout.
     @Test
-    void takenPortFailsTheRehearsalWithItsCause() throws Exception {
+    void takenPortFailsTheTrainingRunWithItsCause() throws Exception {
         int base = FreePorts.adjacent(10, List.of("127.0.0.1", "127.0.0.2", "127.0.0.3"));
         try (ServerSocket taken = new ServerSocket(base + 2, 1, InetAddress.getByName("127.0.0.1"))) {
             ExecutionException failure =
-                    assertThrows(ExecutionException.class, () -> Rehearsal.play(taken.getLocalPort() - 2));
+                    assertThrows(ExecutionException.class, () -> TrainingRun.run(taken.getLocalPort() - 2));
             assertInstanceOf(UncheckedIOException.class, failure.getCause());
         }
     }
--- a/src/test/java/io/waxwingquay/store/HttpPlatformTest.java
+++ b/src/test/java/io/waxwingquay/store/HttpPlatformTest.java
@@ -65,7 +65,7 @@
     void commitWithLostAnswerFailsAsUnavailableButTakesEffect() throws Exception {
         // The table commits and the answer is lost. The writer only learns that the service is unavailable and has to
         // read back to find the row. The client must not retry the write by itself.
-        standin.faults().next(Faults.Kind.LOSE_ANSWER, 1);
+        standin.faults().inject(Faults.Kind.LOSE_ANSWER, 1);
 
         Await.failure(
                 PlatformException.Unavailable.class,
@@ -81,9 +81,9 @@
     void writeToClosedOrUnresponsivePlatformFailsAsUnavailableWithoutEffect() throws Exception {
         // OUT closes the connection before any effect; SILENT keeps it open until the call times out. The client
         // reports both as "may have taken effect", since it cannot distinguish them from a lost answer.
-        standin.faults().next(Faults.Kind.OUT, 1);
+        standin.faults().inject(Faults.Kind.OUT, 1);
         Await.failure(PlatformException.Unavailable.class, table.commit(List.of(new Write("a", 0, "1"))));
-        standin.faults().next(Faults.Kind.SILENT, 1);
+        standin.faults().inject(Faults.Kind.SILENT, 1);
         TableService shortTimeoutTable = new HttpTableService(client, address, 200L);
         Await.failure(PlatformException.Unavailable.class, shortTimeoutTable.commit(List.of(new Write("a", 0, "1"))));
 
