--- a/src/main/java/io/waxwingquay/command/BenchCommand.java
+++ b/src/main/java/io/waxwingquay/command/BenchCommand.java
@@ -76,8 +76,8 @@
         private Bench bench() {
             try {
                 return new Bench(workload, policies, seeds, seconds, fault, bundles, directory);
-            } catch (IllegalArgumentException wrong) {
-                throw new ParameterException(spec.commandLine(), wrong.getMessage(), wrong);
+            } catch (IllegalArgumentException invalid) {
+                throw new ParameterException(spec.commandLine(), invalid.getMessage(), invalid);
             }
         }
     }
--- a/src/main/java/io/waxwingquay/command/BundleCommand.java
+++ b/src/main/java/io/waxwingquay/command/BundleCommand.java
@@ -38,7 +38,7 @@
         synopsisSubcommandLabel = "COMMAND")
 final class BundleCommand implements Runnable {
 
-    private static final String DEFAULT_LIMIT_MILLIS = "10000";
+    private static final String DEFAULT_TIMEOUT_MILLIS = "10000";
 
     private final PlatformFactory platforms;
 
@@ -60,7 +60,7 @@
             description = "Checks a bundle and lists every fault with its line and its mend.",
             mixinStandardHelpOptions = true)
     int check(@Parameters(paramLabel = "FILE", description = "the bundle, in TOML") Path file) {
-        return reporting(() -> {
+        return runReportingErrors(() -> {
             Bundle bundle = BundleDocument.parse(file.toString(), Files.readAllBytes(file));
             out().println("ok: version " + bundle.version() + ", "
                     + bundle.services().size() + " services, "
@@ -80,7 +80,7 @@
             },
             mixinStandardHelpOptions = true)
     int keygen(@Parameters(paramLabel = "FILE", description = "where the private key goes; must not exist") Path file) {
-        return reporting(() -> {
+        return runReportingErrors(() -> {
             KeyPair pair = new KeyFile(file).create();
             out().println("id = \"" + KeyCodec.id(pair.getPublic()) + "\"");
             out().println("public_key = \"" + KeyCodec.text(pair.getPublic()) + "\"");
@@ -98,7 +98,7 @@
     int sign(
             @Option(names = "--key", required = true, description = "the private key's file, from keygen") Path key,
             @Parameters(paramLabel = "FILE", description = "the bundle, in TOML") Path file) {
-        return reporting(() -> {
+        return runReportingErrors(() -> {
             SignedBundle signed = new KeyFile(key).signer().sign(Files.readAllBytes(file));
             SignatureFile.write(file, signed);
             out().println("signed: version " + signed.version() + " by key " + signed.keyId());
@@ -116,13 +116,13 @@
                     List<Path> trusted,
             @Option(
                             names = "--limit-millis",
-                            defaultValue = DEFAULT_LIMIT_MILLIS,
+                            defaultValue = DEFAULT_TIMEOUT_MILLIS,
                             description = "how long to wait, default ${DEFAULT-VALUE}")
                     long limitMillis,
             @Parameters(paramLabel = "FILE", description = "the bundle, in TOML") Path file) {
-        return reporting(() -> {
+        return runReportingErrors(() -> {
             SignedBundle bundle = SignatureFile.read(file);
-            TrustedKeys roots = roots(trusted);
+            TrustedKeys roots = readRootKeys(trusted);
             try (PlatformFactory.Platform platform = platforms.open(url)) {
                 return submit(new BundleAcceptance(archive(platform), roots), bundle, limitMillis);
             }
@@ -137,10 +137,10 @@
             @Option(names = "--platform", required = true, description = "the platform's URL") URI url,
             @Option(
                             names = "--limit-millis",
-                            defaultValue = DEFAULT_LIMIT_MILLIS,
+                            defaultValue = DEFAULT_TIMEOUT_MILLIS,
                             description = "how long to wait, default ${DEFAULT-VALUE}")
                     long limitMillis) {
-        return reporting(() -> {
+        return runReportingErrors(() -> {
             try (PlatformFactory.Platform platform = platforms.open(url)) {
                 Optional<BundleArchive.Current> current = archive(platform)
                         .current()
@@ -158,7 +158,7 @@
                     .submit(bundle)
                     .orTimeout(limitMillis, TimeUnit.MILLISECONDS)
                     .join();
-            return tell(outcome);
+            return printOutcome(outcome);
         } catch (CompletionException failure) {
             // The limit may pass while a commit is on its way, so the outcome can't be called a failure.
             err().println("unknown: no outcome within " + limitMillis + " ms; ask 'bundle status'");
@@ -166,37 +166,37 @@
         }
     }
 
-    private int tell(BundleAcceptance.Outcome outcome) {
+    private int printOutcome(BundleAcceptance.Outcome outcome) {
         return switch (outcome.verdict()) {
             case ACCEPTED -> {
                 out().println("accepted: " + outcome.message());
                 yield ExitCodes.OK;
             }
-            case REFUSED -> told("refused: " + outcome.message(), ExitCodes.REFUSED);
-            case NOT_REACHED -> told("failed: " + outcome.message(), ExitCodes.FAILED);
-            case UNKNOWN -> told("unknown: " + outcome.message(), ExitCodes.UNKNOWN_OUTCOME);
+            case REFUSED -> printError("refused: " + outcome.message(), ExitCodes.REFUSED);
+            case NOT_REACHED -> printError("failed: " + outcome.message(), ExitCodes.FAILED);
+            case UNKNOWN -> printError("unknown: " + outcome.message(), ExitCodes.UNKNOWN_OUTCOME);
         };
     }
 
-    private int told(String message, int exitCode) {
+    private int printError(String message, int exitCode) {
         err().println(message);
         return exitCode;
     }
 
-    private int reporting(Action action) {
+    private int runReportingErrors(Action action) {
         try {
             return action.run();
         } catch (BundleException.Invalid | BundleException.Untrusted failure) {
-            return told("refused: " + failure.getMessage(), ExitCodes.REFUSED);
+            return printError("refused: " + failure.getMessage(), ExitCodes.REFUSED);
         } catch (BundleException failure) {
-            return told("failed: " + failure.getMessage(), ExitCodes.FAILED);
+            return printError("failed: " + failure.getMessage(), ExitCodes.FAILED);
         } catch (CompletionException failure) {
             String cause = failure.getCause() instanceof TimeoutException
                     ? "the platform did not answer in time"
                     : String.valueOf(failure.getCause().getMessage());
-            return told("failed: " + cause, ExitCodes.FAILED);
+            return printError("failed: " + cause, ExitCodes.FAILED);
         } catch (IOException failure) {
-            return told("failed: file can't be used: " + failure, ExitCodes.FAILED);
+            return printError("failed: file can't be used: " + failure, ExitCodes.FAILED);
         }
     }
 
@@ -208,7 +208,7 @@
         return new BundleArchive(platform.table(), platform.objects());
     }
 
-    private static TrustedKeys roots(List<Path> files) throws IOException {
+    private static TrustedKeys readRootKeys(List<Path> files) throws IOException {
         List<String> keys = new ArrayList<>();
         for (Path file : files) {
             keys.add(Files.readString(file).strip());
--- a/src/main/java/io/waxwingquay/command/DumpCommand.java
+++ b/src/main/java/io/waxwingquay/command/DumpCommand.java
@@ -20,7 +20,7 @@
         mixinStandardHelpOptions = true)
 final class DumpCommand implements Callable<Integer> {
 
-    private static final long LIMIT_SECONDS = 10;
+    private static final long TIMEOUT_SECONDS = 10;
 
     @Spec
     private CommandSpec spec;
@@ -32,23 +32,23 @@
     @Override
     public Integer call() {
         try {
-            return print(HostPort.of(address));
+            return printDump(HostPort.of(address));
         } catch (IllegalArgumentException failure) {
-            return told(failure.getMessage(), ExitCodes.USAGE);
+            return printError(failure.getMessage(), ExitCodes.USAGE);
         } catch (Exception failure) {
-            return told("failed: no dump from " + address + ": " + failure.getMessage(), ExitCodes.FAILED);
+            return printError("failed: no dump from " + address + ": " + failure.getMessage(), ExitCodes.FAILED);
         }
     }
 
-    private int print(HostPort target) throws Exception {
+    private int printDump(HostPort adminAddress) throws Exception {
         HttpClient client = new HttpClient();
         client.start();
         try {
-            ContentResponse response = client.newRequest("http://" + target + "/dump")
-                    .timeout(LIMIT_SECONDS, TimeUnit.SECONDS)
+            ContentResponse response = client.newRequest("http://" + adminAddress + "/dump")
+                    .timeout(TIMEOUT_SECONDS, TimeUnit.SECONDS)
                     .send();
             if (response.getStatus() != HttpStatus.OK_200) {
-                return told("failed: " + address + " answered " + response.getStatus(), ExitCodes.FAILED);
+                return printError("failed: " + address + " answered " + response.getStatus(), ExitCodes.FAILED);
             }
             spec.commandLine().getOut().println(response.getContentAsString());
             return ExitCodes.OK;
@@ -57,7 +57,7 @@
         }
     }
 
-    private int told(String message, int exitCode) {
+    private int printError(String message, int exitCode) {
         spec.commandLine().getErr().println(message);
         return exitCode;
     }
--- a/src/main/java/io/waxwingquay/command/EntryCommand.java
+++ b/src/main/java/io/waxwingquay/command/EntryCommand.java
@@ -26,10 +26,10 @@
     /** {@inheritDoc} */
     @Override
     public Integer call() throws InterruptedException, ExecutionException {
-        return Roles.run(file, spec.commandLine().getErr(), EntrySettings::read, settings -> {
+        return RoleRunner.run(file, spec.commandLine().getErr(), EntrySettings::read, settings -> {
             Logging.configure(settings.process().logFormat(), settings.process().logLevel());
             EntryProcess process = EntryProcess.start(settings);
-            return new Roles.Running(process::drain, process.closed());
+            return new RoleRunner.RunningRole(process::drain, process.closed());
         });
     }
 }
--- a/src/main/java/io/waxwingquay/command/ExitCodes.java
+++ b/src/main/java/io/waxwingquay/command/ExitCodes.java
@@ -25,7 +25,7 @@
 
     private ExitCodes() {}
 
-    static Map<String, String> help() {
+    static Map<String, String> descriptions() {
         Map<String, String> codes = new LinkedHashMap<>();
         codes.put(" " + OK, "ok");
         codes.put(" " + FAILED, "failed; nothing was changed");
--- a/src/main/java/io/waxwingquay/command/HostedCommand.java
+++ b/src/main/java/io/waxwingquay/command/HostedCommand.java
@@ -33,7 +33,7 @@
     /** {@inheritDoc} */
     @Override
     public Integer call() throws InterruptedException {
-        Path settings = file != null ? file : HostedRole.namedSettings();
+        Path settings = file != null ? file : HostedRole.defaultSettingsFile();
         return role.run(settings, level, spec.commandLine().getErr());
     }
 }
--- a/src/main/java/io/waxwingquay/command/HostedMain.java
+++ b/src/main/java/io/waxwingquay/command/HostedMain.java
@@ -24,18 +24,18 @@
      */
     public static void main(String[] arguments) throws InterruptedException {
         PrintWriter errors = new PrintWriter(System.err, true);
-        Optional<HostedRole> role = role(arguments);
+        Optional<HostedRole> role = parseRole(arguments);
         if (role.isEmpty()) {
             errors.println("the name of one role is needed, " + Arrays.toString(HostedRole.values())
                     + ", and no option; 'hosted --help' tells of options");
             System.exit(ExitCodes.USAGE);
         }
-        System.exit(role.get().run(HostedRole.namedSettings(), LogLevel.INFO, errors));
+        System.exit(role.get().run(HostedRole.defaultSettingsFile(), LogLevel.INFO, errors));
     }
 
-    static Optional<HostedRole> role(String... arguments) {
+    static Optional<HostedRole> parseRole(String... arguments) {
         return Arrays.stream(HostedRole.values())
-                .filter(known -> arguments.length == 1 && known.name().equalsIgnoreCase(arguments[0]))
+                .filter(candidate -> arguments.length == 1 && candidate.name().equalsIgnoreCase(arguments[0]))
                 .findFirst();
     }
 }
--- a/src/main/java/io/waxwingquay/command/HostedRole.java
+++ b/src/main/java/io/waxwingquay/command/HostedRole.java
@@ -36,7 +36,7 @@
     }
 
     /** The settings file that the platform names for this process. */
-    static Path namedSettings() {
+    static Path defaultSettingsFile() {
         return Path.of(System.getenv().getOrDefault(SettingsFile.VARIABLE, "local.toml"));
     }
 
@@ -53,8 +53,8 @@
         HostSettings settings;
         try {
             settings = SettingsFile.read(file);
-        } catch (SettingsException refused) {
-            errors.println(refused.getMessage());
+        } catch (SettingsException invalid) {
+            errors.println(invalid.getMessage());
             return ExitCodes.REFUSED;
         } catch (IOException failure) {
             errors.println("settings file " + file + " cannot be read: " + failure.getMessage());
@@ -65,15 +65,15 @@
             return ExitCodes.FAILED;
         }
         HostedProcess process = started.get();
-        CountDownLatch left = new CountDownLatch(1);
-        Signal.handle(new Signal("TERM"), signal -> process.leave().thenRun(left::countDown));
+        CountDownLatch closed = new CountDownLatch(1);
+        Signal.handle(new Signal("TERM"), signal -> process.leave().thenRun(closed::countDown));
         // The settings that this program uses do not change while a VM lives; the virtual machine would exit on HUP.
         Signal.handle(
                 new Signal("HUP"),
                 signal -> LOG.log(
                         System.Logger.Level.INFO,
                         "command: told of changed settings, none of which apply to a running process"));
-        left.await();
+        closed.await();
         Logging.flush();
         return ExitCodes.OK;
     }
--- a/src/main/java/io/waxwingquay/command/HttpPlatform.java
+++ b/src/main/java/io/waxwingquay/command/HttpPlatform.java
@@ -14,10 +14,10 @@
  */
 final class HttpPlatform implements PlatformFactory.Platform {
 
-    private static final int CONNECTIONS = 4;
+    private static final int MAX_CONNECTIONS = 4;
     private static final long TIMEOUT_MILLIS = 5_000L;
 
-    private final HttpClient client = HttpCalls.startClient(CONNECTIONS, TIMEOUT_MILLIS);
+    private final HttpClient client = HttpCalls.startClient(MAX_CONNECTIONS, TIMEOUT_MILLIS);
     private final HostPort address;
 
     private HttpPlatform(HostPort address) {
--- a/src/main/java/io/waxwingquay/command/KeyFile.java
+++ b/src/main/java/io/waxwingquay/command/KeyFile.java
@@ -34,7 +34,7 @@
         // The permissions are set as the file is made, so that there is no moment at which others can open it.
         Files.createFile(file, PosixFilePermissions.asFileAttribute(OWNER_ONLY));
         Files.writeString(file, KeyCodec.text(pair.getPrivate()) + "\n");
-        Files.writeString(publicFile(), KeyCodec.text(pair.getPublic()) + "\n", StandardOpenOption.CREATE_NEW);
+        Files.writeString(publicKeyFile(), KeyCodec.text(pair.getPublic()) + "\n", StandardOpenOption.CREATE_NEW);
         return pair;
     }
 
@@ -46,10 +46,10 @@
                             + PosixFilePermissions.toString(permissions) + "); run: chmod 600 " + file,
                     null);
         }
-        return BundleSigner.of(KeyCodec.privateKey(read(file)), KeyCodec.publicKey(read(publicFile())));
+        return BundleSigner.of(KeyCodec.privateKey(read(file)), KeyCodec.publicKey(read(publicKeyFile())));
     }
 
-    Path publicFile() {
+    Path publicKeyFile() {
         return file.resolveSibling(file.getFileName() + ".pub");
     }
 
--- a/src/main/java/io/waxwingquay/command/Main.java
+++ b/src/main/java/io/waxwingquay/command/Main.java
@@ -27,7 +27,7 @@
 public final class Main implements Runnable {
 
     /** The commands that run until they are stopped. */
-    private static final Set<String> ROLES = Set.of("entry", "side", "hosted");
+    private static final Set<String> ROLE_COMMANDS = Set.of("entry", "side", "hosted");
 
     @Spec
     private CommandSpec spec;
@@ -53,11 +53,11 @@
      * @return the command that the first argument names if it runs a role, else all.
      */
     static CommandLine commandLine(PlatformFactory platforms, String[] arguments) {
-        Map<String, Supplier<Object>> commands = commands(platforms);
-        if (arguments.length > 0 && ROLES.contains(arguments[0])) {
-            commands.keySet().retainAll(Set.of(arguments[0]));
+        Map<String, Supplier<Object>> factories = commandFactories(platforms);
+        if (arguments.length > 0 && ROLE_COMMANDS.contains(arguments[0])) {
+            factories.keySet().retainAll(Set.of(arguments[0]));
         }
-        return commandLine(commands);
+        return commandLine(factories);
     }
 
     /**
@@ -67,32 +67,32 @@
      * @return the command line.
      */
     static CommandLine commandLine(PlatformFactory platforms) {
-        return commandLine(commands(platforms));
+        return commandLine(commandFactories(platforms));
     }
 
-    private static Map<String, Supplier<Object>> commands(PlatformFactory platforms) {
-        Map<String, Supplier<Object>> commands = new LinkedHashMap<>();
-        commands.put("entry", EntryCommand::new);
-        commands.put("side", SideCommand::new);
-        commands.put("hosted", HostedCommand::new);
-        commands.put("rehearse", RehearseCommand::new);
-        commands.put("bundle", () -> new BundleCommand(platforms));
-        commands.put("dump", DumpCommand::new);
-        commands.put("explain", ExplainCommand::new);
-        commands.put("demo", DemoCommand::new);
-        commands.put("capacity", CapacityCommand::new);
-        commands.put("bench", BenchCommand::new);
-        commands.put("standin", StandinCommand::new);
-        commands.put("completion", CompletionCommand::new);
-        return commands;
+    private static Map<String, Supplier<Object>> commandFactories(PlatformFactory platforms) {
+        Map<String, Supplier<Object>> factories = new LinkedHashMap<>();
+        factories.put("entry", EntryCommand::new);
+        factories.put("side", SideCommand::new);
+        factories.put("hosted", HostedCommand::new);
+        factories.put("rehearse", RehearseCommand::new);
+        factories.put("bundle", () -> new BundleCommand(platforms));
+        factories.put("dump", DumpCommand::new);
+        factories.put("explain", ExplainCommand::new);
+        factories.put("demo", DemoCommand::new);
+        factories.put("capacity", CapacityCommand::new);
+        factories.put("bench", BenchCommand::new);
+        factories.put("standin", StandinCommand::new);
+        factories.put("completion", CompletionCommand::new);
+        return factories;
     }
 
-    private static CommandLine commandLine(Map<String, Supplier<Object>> commands) {
+    private static CommandLine commandLine(Map<String, Supplier<Object>> factories) {
         CommandLine root = new CommandLine(new Main());
-        commands.forEach((name, command) -> root.addSubcommand(name, command.get()));
+        factories.forEach((name, command) -> root.addSubcommand(name, command.get()));
         describeExitCodes(root);
         root.setCaseInsensitiveEnumValuesAllowed(true);
-        return root.setExecutionExceptionHandler(Main::tell);
+        return root.setExecutionExceptionHandler(Main::reportFailure);
     }
 
     /** {@inheritDoc} */
@@ -102,7 +102,7 @@
     }
 
     /** An operator is told what failed in a sentence; the trace is for a search after a cause, at DEBUG. */
-    private static int tell(Exception failure, CommandLine command, ParseResult arguments) {
+    private static int reportFailure(Exception failure, CommandLine command, ParseResult arguments) {
         command.getErr().println(command.getCommandSpec().qualifiedName() + " failed: " + failure);
         System.getLogger("waxwingquay.command").log(System.Logger.Level.DEBUG, "command: a command failed.", failure);
         return ExitCodes.FAILED;
@@ -112,7 +112,7 @@
         command.getCommandSpec()
                 .usageMessage()
                 .exitCodeListHeading("%nExit codes:%n")
-                .exitCodeList(ExitCodes.help());
+                .exitCodeList(ExitCodes.descriptions());
         command.getSubcommands().values().forEach(Main::describeExitCodes);
     }
 }
--- a/src/main/java/io/waxwingquay/command/RehearseCommand.java
+++ b/src/main/java/io/waxwingquay/command/RehearseCommand.java
@@ -22,9 +22,9 @@
         mixinStandardHelpOptions = true)
 final class RehearseCommand implements Callable<Integer> {
 
-    private static final int LOWEST_PORT = 20_000;
-    private static final int HIGHEST_PORT = 30_000;
-    private static final int MOST_DRAWS = 5;
+    private static final int MIN_FIRST_PORT = 20_000;
+    private static final int MAX_FIRST_PORT = 30_000;
+    private static final int MAX_ATTEMPTS = 5;
 
     @Option(names = "--port", description = "The first of ten free ports on loopback; drawn if it is left out.")
     private Optional<Integer> port = Optional.empty();
@@ -36,27 +36,27 @@
         if (port.isPresent()) {
             Rehearsal.play(port.get());
         } else {
-            playAtDrawnPorts();
+            playOnRandomPorts();
         }
         Logging.flush();
         return ExitCodes.OK;
     }
 
     /** Other programs may use some of the ports that are drawn. */
-    private static void playAtDrawnPorts() throws Exception {
-        for (int draw = 1; ; draw++) {
+    private static void playOnRandomPorts() throws Exception {
+        for (int attempt = 1; ; attempt++) {
             try {
-                Rehearsal.play(ThreadLocalRandom.current().nextInt(LOWEST_PORT, HIGHEST_PORT));
+                Rehearsal.play(ThreadLocalRandom.current().nextInt(MIN_FIRST_PORT, MAX_FIRST_PORT));
                 return;
             } catch (Exception failure) {
-                if (draw == MOST_DRAWS || !isPortTaken(failure)) {
+                if (attempt == MAX_ATTEMPTS || !isPortInUse(failure)) {
                     throw failure;
                 }
             }
         }
     }
 
-    private static boolean isPortTaken(Throwable failure) {
+    private static boolean isPortInUse(Throwable failure) {
         return Stream.iterate(failure, Objects::nonNull, Throwable::getCause).anyMatch(BindException.class::isInstance);
     }
 }
--- a/src/main/java/io/waxwingquay/command/Roles.java
+++ b/src/main/java/io/waxwingquay/command/RoleRunner.java
@@ -13,9 +13,9 @@
 /**
  * What the commands of the long-running roles share: reading settings, and leaving gracefully on a signal.
  */
-final class Roles {
+final class RoleRunner {
 
-    private Roles() {}
+    private RoleRunner() {}
 
     /**
      * Reads settings and runs a role until its process is told to stop.
@@ -28,24 +28,24 @@
      * @return the exit code.
      * @throws InterruptedException if the wait is interrupted.
      */
-    static <S> int run(Path file, PrintWriter errors, Reader<S> reader, Starter<S> starter)
+    static <S> int run(Path file, PrintWriter errors, SettingsReader<S> reader, RoleStarter<S> starter)
             throws InterruptedException, ExecutionException {
         S settings;
         try {
             settings = reader.read(file);
-        } catch (SettingsException refused) {
-            errors.println(refused.getMessage());
+        } catch (SettingsException invalid) {
+            errors.println(invalid.getMessage());
             return ExitCodes.REFUSED;
         } catch (IOException failure) {
             errors.println("settings file " + file + " cannot be read: " + failure.getMessage());
             return ExitCodes.FAILED;
         }
-        Running running;
+        RunningRole running;
         try {
-            ShippedCharts.check();
+            ShippedCharts.validateAll();
             running = starter.start(settings);
-        } catch (ChartException faulty) {
-            errors.println("failed: " + faulty.getMessage());
+        } catch (ChartException malformed) {
+            errors.println("failed: " + malformed.getMessage());
             return ExitCodes.FAILED;
         }
         // The virtual machine exits when the hooks have ended, so a signal drains before the process goes.
@@ -61,7 +61,7 @@
      * @param <S> the settings.
      */
     @FunctionalInterface
-    interface Reader<S> {
+    interface SettingsReader<S> {
 
         S read(Path file) throws IOException;
     }
@@ -72,9 +72,9 @@
      * @param <S> the settings.
      */
     @FunctionalInterface
-    interface Starter<S> {
+    interface RoleStarter<S> {
 
-        Running start(S settings);
+        RunningRole start(S settings);
     }
 
     /**
@@ -83,7 +83,7 @@
      * @param drain starts a graceful shutdown.
      * @param closed completes when it has closed.
      */
-    record Running(Supplier<CompletableFuture<?>> drain, CompletableFuture<Void> closed) {
+    record RunningRole(Supplier<CompletableFuture<?>> drain, CompletableFuture<Void> closed) {
 
         void drainUnlessClosed() {
             if (!closed.isDone()) {
--- a/src/main/java/io/waxwingquay/command/SideCommand.java
+++ b/src/main/java/io/waxwingquay/command/SideCommand.java
@@ -26,10 +26,10 @@
     /** {@inheritDoc} */
     @Override
     public Integer call() throws InterruptedException, ExecutionException {
-        return Roles.run(file, spec.commandLine().getErr(), SideSettings::read, settings -> {
+        return RoleRunner.run(file, spec.commandLine().getErr(), SideSettings::read, settings -> {
             Logging.configure(settings.process().logFormat(), settings.process().logLevel());
             SideProcess process = SideProcess.start(settings);
-            return new Roles.Running(process::drain, process.closed());
+            return new RoleRunner.RunningRole(process::drain, process.closed());
         });
     }
 }
--- a/src/main/java/io/waxwingquay/command/SignatureFile.java
+++ b/src/main/java/io/waxwingquay/command/SignatureFile.java
@@ -15,24 +15,24 @@
     private SignatureFile() {}
 
     static void write(Path bundle, SignedBundle signed) throws IOException {
-        Files.writeString(beside(bundle), signed.keyId() + " " + signed.signature() + "\n");
+        Files.writeString(signatureFile(bundle), signed.keyId() + " " + signed.signature() + "\n");
     }
 
     static SignedBundle read(Path bundle) throws IOException {
         byte[] document = Files.readAllBytes(bundle);
-        Path file = beside(bundle);
+        Path file = signatureFile(bundle);
         if (!Files.exists(file)) {
             throw new BundleException(file + " is missing; run 'bundle sign' first", null);
         }
-        String[] words = Files.readString(file).strip().split("\\s+");
-        if (words.length != 2) {
+        String[] fields = Files.readString(file).strip().split("\\s+");
+        if (fields.length != 2) {
             throw new BundleException(file + " is no signature; run 'bundle sign' again", null);
         }
         long version = BundleDocument.parse(bundle.toString(), document).version();
-        return new SignedBundle(version, document, words[1], words[0]);
+        return new SignedBundle(version, document, fields[1], fields[0]);
     }
 
-    private static Path beside(Path bundle) {
+    private static Path signatureFile(Path bundle) {
         return bundle.resolveSibling(bundle.getFileName() + ".sig");
     }
 }
--- a/src/main/java/io/waxwingquay/process/BootEpoch.java
+++ b/src/main/java/io/waxwingquay/process/BootEpochAllocator.java
@@ -16,15 +16,15 @@
  * raised above the one kept in the table service. With the table service out the wall clock alone has to do, as a side
  * that could not start would leave its models unserved.
  */
-final class BootEpoch {
+final class BootEpochAllocator {
 
     private static final System.Logger LOG = System.getLogger("waxwingquay.process");
-    private static final String PREFIX = "epoch/";
+    private static final String KEY_PREFIX = "epoch/";
 
     private final TableService table;
     private final Clock clock;
 
-    BootEpoch(TableService table, Clock clock) {
+    BootEpochAllocator(TableService table, Clock clock) {
         this.table = table;
         this.clock = clock;
     }
@@ -35,26 +35,26 @@
      * @param name the process's name.
      * @return the number; does not fail.
      */
-    CompletableFuture<Long> take(String name) {
-        String key = PREFIX + name;
+    CompletableFuture<Long> allocate(String name) {
+        String key = KEY_PREFIX + name;
         return table.read(List.of(key))
-                .thenCompose(rows -> raise(key, Optional.ofNullable(rows.get(key))))
+                .thenCompose(rows -> commitNext(key, Optional.ofNullable(rows.get(key))))
                 .exceptionally(failure -> {
                     LOG.log(System.Logger.Level.WARNING, "process: No boot epoch from the table, using the clock.");
                     return clock.epochMillis();
                 });
     }
 
-    private CompletableFuture<Long> raise(String key, Optional<Row> row) {
-        long above = row.map(Row::value).map(Long::parseLong).orElse(0L);
-        long epoch = Math.max(clock.epochMillis(), above + 1L);
+    private CompletableFuture<Long> commitNext(String key, Optional<Row> row) {
+        long lastEpoch = row.map(Row::value).map(Long::parseLong).orElse(0L);
+        long epoch = Math.max(clock.epochMillis(), lastEpoch + 1L);
         long version = row.map(Row::version).orElse(TableService.ABSENT);
         Write write = new Write(key, version, Long.toString(epoch));
         return table.commit(List.of(write)).thenCompose(result -> {
             if (result.committed()) {
                 return CompletableFuture.completedFuture(epoch);
             }
-            return raise(key, result.conflicts().getOrDefault(key, Optional.empty()));
+            return commitNext(key, result.conflicts().getOrDefault(key, Optional.empty()));
         });
     }
 }
--- a/src/main/java/io/waxwingquay/process/Deflated.java
+++ b/src/main/java/io/waxwingquay/process/DocumentCodec.java
@@ -12,13 +12,13 @@
  * Bundle documents as peers send them. At 620 models a document has some 370 KB, which 4,400 times a day would take
  * twice the 9 KB/s of a node; deflated it has a seventh of that.
  */
-final class Deflated {
+final class DocumentCodec {
 
     private static final int MAX_DOCUMENT_BYTES = 16 * 1024 * 1024;
 
-    private Deflated() {}
+    private DocumentCodec() {}
 
-    static byte[] of(byte[] document) {
+    static byte[] deflate(byte[] document) {
         ByteArrayOutputStream deflated = new ByteArrayOutputStream();
         try (DeflaterOutputStream out = new DeflaterOutputStream(deflated)) {
             out.write(document);
@@ -32,7 +32,7 @@
      * The exact document; whether it is trusted its signature tells later. The bound stops a faulty peer whose few
      * bytes would inflate until memory is out.
      */
-    static byte[] restore(byte[] deflated) {
+    static byte[] inflate(byte[] deflated) {
         try (InflaterInputStream in = new InflaterInputStream(new ByteArrayInputStream(deflated))) {
             byte[] document = in.readNBytes(MAX_DOCUMENT_BYTES + 1);
             if (document.length > MAX_DOCUMENT_BYTES) {
--- a/src/main/java/io/waxwingquay/process/EntryProcess.java
+++ b/src/main/java/io/waxwingquay/process/EntryProcess.java
@@ -18,15 +18,15 @@
 
     private static final String ROLE = "entry";
     private static final long DRAIN_LIMIT_MILLIS = 120_000L;
-    private static final int OUTCOME_LIMIT_BYTES = 65_536;
-    private static final int CLAIM_BATCH = 64;
+    private static final int MAX_OUTCOME_BYTES = 65_536;
+    private static final int MAX_CLAIMS_PER_TRANSACTION = 64;
     private static final double PERCENT = 100.0;
 
-    private final Foundation foundation;
+    private final ProcessRuntime runtime;
     private final EntryNode node;
 
-    private EntryProcess(Foundation foundation, EntryNode node) {
-        this.foundation = foundation;
+    private EntryProcess(ProcessRuntime runtime, EntryNode node) {
+        this.runtime = runtime;
         this.node = node;
     }
 
@@ -37,24 +37,25 @@
      * @return the running process.
      */
     public static EntryProcess start(EntrySettings settings) {
-        Foundation foundation = new Foundation(settings.process(), ROLE, RandomGenerator.of("L64X128MixRandom"));
-        PeerHandler peer = new PeerHandler(
-                foundation.gossip().handler(), foundation.bundles(), foundation.suspects(), Optional.empty());
-        foundation.server().servePeer(peer);
+        ProcessRuntime runtime = new ProcessRuntime(settings.process(), ROLE, RandomGenerator.of("L64X128MixRandom"));
+        PeerHandler peerHandler =
+                new PeerHandler(runtime.gossip().handler(), runtime.bundles(), runtime.suspects(), Optional.empty());
+        runtime.server().servePeer(peerHandler);
         EntryNode node = EntryNode.builder()
-                .settings(limits(settings))
-                .bundles(foundation.bundles())
-                .membership(foundation.members())
-                .connections(foundation.connections())
-                .table(foundation.table())
-                .suspects(foundation.suspects())
-                .meters(foundation.meters())
-                .clock(foundation.clock())
-                .random(foundation.random())
+                .settings(toLimits(settings))
+                .bundles(runtime.bundles())
+                .membership(runtime.members())
+                .connections(runtime.connections())
+                .table(runtime.table())
+                .suspects(runtime.suspects())
+                .meters(runtime.meters())
+                .clock(runtime.clock())
+                .random(runtime.random())
                 .build();
-        EntryProcess process = new EntryProcess(foundation, node.start());
-        foundation.observe(process::notReady, process::drain, dump -> dump.section("entry", process::state));
-        foundation.start();
+        EntryProcess process = new EntryProcess(runtime, node.start());
+        runtime.startAdminServer(
+                process::notReadyReason, process::drain, dump -> dump.section("entry", process::dumpState));
+        runtime.start();
         return process;
     }
 
@@ -73,7 +74,7 @@
      * @return the version, 0 while there is none.
      */
     public long bundleVersion() {
-        return foundation.bundles().version();
+        return runtime.bundles().version();
     }
 
     /**
@@ -82,7 +83,7 @@
      * @return the admin port.
      */
     public int adminPort() {
-        return foundation.adminPort();
+        return runtime.adminPort();
     }
 
     /**
@@ -91,7 +92,7 @@
      * @return the address.
      */
     public HostPort address() {
-        return foundation.server().address();
+        return runtime.server().address();
     }
 
     /**
@@ -100,7 +101,7 @@
      * @return the membership.
      */
     public Membership membership() {
-        return foundation.members();
+        return runtime.members();
     }
 
     /**
@@ -121,31 +122,31 @@
      * @return completes then.
      */
     public CompletableFuture<Void> closed() {
-        return foundation.closed();
+        return runtime.closed();
     }
 
     /** {@inheritDoc} */
     @Override
     public void close() {
         node.close();
-        foundation.close();
+        runtime.close();
     }
 
-    private Optional<String> notReady() {
-        return foundation.bundles().current().isPresent() ? Optional.empty() : Optional.of("no bundle in force yet");
+    private Optional<String> notReadyReason() {
+        return runtime.bundles().current().isPresent() ? Optional.empty() : Optional.of("no bundle in force yet");
     }
 
-    private EntryState state() {
+    private EntryState dumpState() {
         return new EntryState(
-                foundation.settings().name(),
+                runtime.settings().name(),
                 node.inFlight(),
                 node.pendingOutcomes(),
                 node.retriesLeft(),
                 node.loadBoard()
-                        .views(foundation.members().sides(), foundation.clock().monotonicMillis()));
+                        .views(runtime.members().sides(), runtime.clock().monotonicMillis()));
     }
 
-    private static EntryLimits limits(EntrySettings settings) {
+    private static EntryLimits toLimits(EntrySettings settings) {
         return new EntryLimits(
                 settings.process().host(),
                 settings.callerPort(),
@@ -154,10 +155,10 @@
                 settings.defaultDeadlineMillis(),
                 settings.maxDeadlineMillis(),
                 (int) settings.maxBodyBytes(),
-                OUTCOME_LIMIT_BYTES,
+                MAX_OUTCOME_BYTES,
                 250L,
                 settings.retryBudgetPercent() / PERCENT,
-                CLAIM_BATCH);
+                MAX_CLAIMS_PER_TRANSACTION);
     }
 
     /**
--- a/src/main/java/io/waxwingquay/process/SideDoor.java
+++ b/src/main/java/io/waxwingquay/process/GatedSideHandler.java
@@ -24,14 +24,14 @@
 /**
  * What a side process answers from its first moment on: its peers at once, entries once it has a bundle in force.
  */
-final class SideDoor extends ForwardingPeer implements SideProtocol {
+final class GatedSideHandler extends ForwardingPeer implements SideProtocol {
 
     private static final long RETRY_AFTER_MILLIS = 1_000L;
 
     private final long epoch;
     private final AtomicReference<Optional<SideNode>> node = new AtomicReference<>(Optional.empty());
 
-    SideDoor(PeerProtocol peer, long epoch) {
+    GatedSideHandler(PeerProtocol peer, long epoch) {
         super(peer);
         this.epoch = epoch;
     }
@@ -39,25 +39,25 @@
     /**
      * Lets entries in.
      *
-     * @param ready the side.
+     * @param readyNode the side.
      */
-    void open(SideNode ready) {
-        node.set(Optional.of(ready));
+    void open(SideNode readyNode) {
+        node.set(Optional.of(readyNode));
     }
 
     /** {@inheritDoc} */
     @Override
     public CompletableFuture<SubmitAnswer> submit(Submission submission) {
-        return whenOpen(
-                open -> open.submit(submission),
+        return callIfReady(
+                readyNode -> readyNode.submit(submission),
                 new SubmitAnswer(false, new LoadReport(), epoch).setRefusal(notReady(Execution.DID_NOT_RUN)));
     }
 
     /** {@inheritDoc} */
     @Override
     public CompletableFuture<PollAnswer> poll(PollRequest request) {
-        return whenOpen(
-                open -> open.poll(request),
+        return callIfReady(
+                readyNode -> readyNode.poll(request),
                 new PollAnswer(AttemptState.ABSENT, List.of(), new LoadReport())
                         .setFailure(notReady(Execution.UNKNOWN)));
     }
@@ -65,17 +65,18 @@
     /** {@inheritDoc} */
     @Override
     public CompletableFuture<Boolean> cancel(String attemptId) {
-        return whenOpen(open -> open.cancel(attemptId), false);
+        return callIfReady(readyNode -> readyNode.cancel(attemptId), false);
     }
 
     /** {@inheritDoc} */
     @Override
     public CompletableFuture<ResolveAnswer> resolve(ResolveRequest request) {
-        return whenOpen(open -> open.resolve(request), new ResolveAnswer(Execution.UNKNOWN, AttemptState.ABSENT));
+        return callIfReady(
+                readyNode -> readyNode.resolve(request), new ResolveAnswer(Execution.UNKNOWN, AttemptState.ABSENT));
     }
 
-    private <T> CompletableFuture<T> whenOpen(Function<SideNode, CompletableFuture<T>> call, T otherwise) {
-        return node.get().map(call).orElseGet(() -> CompletableFuture.completedFuture(otherwise));
+    private <T> CompletableFuture<T> callIfReady(Function<SideNode, CompletableFuture<T>> call, T fallback) {
+        return node.get().map(call).orElseGet(() -> CompletableFuture.completedFuture(fallback));
     }
 
     private static Refusal notReady(Execution execution) {
--- a/src/main/java/io/waxwingquay/process/PeerBundles.java
+++ b/src/main/java/io/waxwingquay/process/PeerBundleFetcher.java
@@ -14,16 +14,16 @@
 /**
  * Fetches bundles from the peer that last told of a higher version, or else from any peer.
  */
-final class PeerBundles implements BundleFeed.PeerFetcher {
+final class PeerBundleFetcher implements BundleFeed.PeerFetcher {
 
-    private static final double ANY_DATA_CENTRE = 0.5;
+    private static final double OTHER_DATA_CENTRE_SHARE = 0.5;
 
     private final Peers peers;
     private final Connections connections;
     private final RandomGenerator random;
-    private volatile Optional<HostPort> informed = Optional.empty();
+    private volatile Optional<HostPort> peerWithNewerBundle = Optional.empty();
 
-    PeerBundles(Peers peers, Connections connections, RandomGenerator random) {
+    PeerBundleFetcher(Peers peers, Connections connections, RandomGenerator random) {
         this.peers = peers;
         this.connections = connections;
         this.random = random;
@@ -34,41 +34,44 @@
      *
      * @param from the peer.
      */
-    void noteInformed(HostPort from) {
-        informed = Optional.of(from);
+    void notePeerWithNewerBundle(HostPort from) {
+        peerWithNewerBundle = Optional.of(from);
     }
 
     /** {@inheritDoc} */
     @Override
     public CompletableFuture<Optional<SignedBundle>> fetchAbove(long aboveVersion) {
-        Optional<HostPort> peer = informed.or(this::anyPeer);
+        Optional<HostPort> peer = peerWithNewerBundle.or(this::anyPeer);
         if (peer.isEmpty()) {
             return CompletableFuture.completedFuture(Optional.empty());
         }
         return connections
                 .to(peer.get())
                 .fetchBundle(new BundleRequest(aboveVersion))
-                .thenApply(PeerBundles::signed)
-                .whenComplete((answer, failure) -> forgetIfFailed(failure));
+                .thenApply(PeerBundleFetcher::toSignedBundle)
+                .whenComplete((answer, failure) -> forgetPeerOnFailure(failure));
     }
 
     private Optional<HostPort> anyPeer() {
-        return peers.pick(1, ANY_DATA_CENTRE, random).stream()
+        return peers.pick(1, OTHER_DATA_CENTRE_SHARE, random).stream()
                 .map(Peers.Peer::address)
                 .findFirst();
     }
 
-    private void forgetIfFailed(Throwable failure) {
+    private void forgetPeerOnFailure(Throwable failure) {
         if (failure != null) {
-            informed = Optional.empty();
+            peerWithNewerBundle = Optional.empty();
         }
     }
 
-    private static Optional<SignedBundle> signed(BundleAnswer answer) {
+    private static Optional<SignedBundle> toSignedBundle(BundleAnswer answer) {
         if (!answer.isSetDocument()) {
             return Optional.empty();
         }
         return Optional.of(new SignedBundle(
-                answer.getVersion(), Deflated.restore(answer.getDocument()), answer.getSignature(), answer.getKeyId()));
+                answer.getVersion(),
+                DocumentCodec.inflate(answer.getDocument()),
+                answer.getSignature(),
+                answer.getKeyId()));
     }
 }
--- a/src/main/java/io/waxwingquay/process/PeerHandler.java
+++ b/src/main/java/io/waxwingquay/process/PeerHandler.java
@@ -26,13 +26,14 @@
     private final GossipHandler gossip;
     private final BundleHolder bundles;
     private final SuspectRegistry suspects;
-    private final Optional<PermitLender> permits;
+    private final Optional<PermitLender> permitLender;
 
-    PeerHandler(GossipHandler gossip, BundleHolder bundles, SuspectRegistry suspects, Optional<PermitLender> permits) {
+    PeerHandler(
+            GossipHandler gossip, BundleHolder bundles, SuspectRegistry suspects, Optional<PermitLender> permitLender) {
         this.gossip = gossip;
         this.bundles = bundles;
         this.suspects = suspects;
-        this.permits = permits;
+        this.permitLender = permitLender;
     }
 
     /** {@inheritDoc} */
@@ -45,7 +46,7 @@
     @Override
     public CompletableFuture<BundleAnswer> fetchBundle(BundleRequest request) {
         BundleAnswer answer = bundles.nextAbove(request.getAboveVersion())
-                .map(PeerHandler::answer)
+                .map(PeerHandler::toBundleAnswer)
                 .orElseGet(() -> new BundleAnswer(bundles.version()));
         return CompletableFuture.completedFuture(answer);
     }
@@ -60,8 +61,9 @@
     /** {@inheritDoc} */
     @Override
     public CompletableFuture<PermitAnswer> borrowPermit(PermitRequest request) {
-        PermitAnswer answer =
-                permits.map(home -> home.borrow(request)).orElseGet(() -> new PermitAnswer(false, Long.MAX_VALUE));
+        PermitAnswer answer = permitLender
+                .map(lender -> lender.borrow(request))
+                .orElseGet(() -> new PermitAnswer(false, Long.MAX_VALUE));
         return CompletableFuture.completedFuture(answer);
     }
 
@@ -69,7 +71,7 @@
     @Override
     public CompletableFuture<Boolean> returnPermit(PermitReturn request) {
         return CompletableFuture.completedFuture(
-                permits.map(home -> home.returnPermit(request)).orElse(false));
+                permitLender.map(lender -> lender.returnPermit(request)).orElse(false));
     }
 
     /** {@inheritDoc} */
@@ -78,9 +80,9 @@
         return CompletableFuture.completedFuture(true);
     }
 
-    private static BundleAnswer answer(SignedBundle bundle) {
+    private static BundleAnswer toBundleAnswer(SignedBundle bundle) {
         return new BundleAnswer(bundle.version())
-                .setDocument(ByteBuffer.wrap(Deflated.of(bundle.document())))
+                .setDocument(ByteBuffer.wrap(DocumentCodec.deflate(bundle.document())))
                 .setSignature(bundle.signature())
                 .setKeyId(bundle.keyId());
     }
--- a/src/main/java/io/waxwingquay/process/PlannedItems.java
+++ b/src/main/java/io/waxwingquay/process/PlannedItems.java
@@ -18,28 +18,33 @@
  */
 final class PlannedItems implements WantedItems {
 
-    private static final long MILLIS_A_SIDE = 10L;
+    private static final long PLAN_INTERVAL_MILLIS_PER_SIDE = 10L;
 
     private final String sideId;
     private final String service;
     private final Membership membership;
     private final PlacementStrategy strategy;
     private final Clock clock;
-    private final Pace pace;
+    private final Timing timing;
     private final long startMillis;
-    private boolean settled;
+    private boolean membershipSettled;
     private Plan plan = Plan.EMPTY;
-    private long plannedVersion;
-    private long plannedMillis;
+    private long plannedBundleVersion;
+    private long lastPlanMillis;
 
     PlannedItems(
-            String sideId, String service, Membership membership, PlacementStrategy strategy, Clock clock, Pace pace) {
+            String sideId,
+            String service,
+            Membership membership,
+            PlacementStrategy strategy,
+            Clock clock,
+            Timing timing) {
         this.sideId = sideId;
         this.service = service;
         this.membership = membership;
         this.strategy = strategy;
         this.clock = clock;
-        this.pace = pace;
+        this.timing = timing;
         this.startMillis = clock.monotonicMillis();
     }
 
@@ -49,7 +54,7 @@
     }
 
     /** Models for which the plan found no room on any side. */
-    synchronized List<String> homelessModels() {
+    synchronized List<String> unplacedModels() {
         return plan.unplacedModels();
     }
 
@@ -57,40 +62,40 @@
     @Override
     public synchronized Wanted wanted(Bundle bundle) {
         long nowMillis = clock.monotonicMillis();
-        settled = settled || isSettled(bundle, nowMillis);
-        if (!settled) {
-            return new Wanted(List.of(), residentHere());
+        membershipSettled = membershipSettled || isMembershipSettled(bundle, nowMillis);
+        if (!membershipSettled) {
+            return new Wanted(List.of(), residentItems());
         }
-        if (bundle.version() != plannedVersion || nowMillis - plannedMillis >= waitMillis()) {
+        if (bundle.version() != plannedBundleVersion || nowMillis - lastPlanMillis >= planIntervalMillis()) {
             plan = strategy.plan(PlacementInput.of(bundle, service, membership.sides(), plan, nowMillis));
-            plannedVersion = bundle.version();
-            plannedMillis = nowMillis;
+            plannedBundleVersion = bundle.version();
+            lastPlanMillis = nowMillis;
         }
         Plan.Share share = plan.shareOf(sideId);
         return new Wanted(share.wantedItems(), share.protectedItems());
     }
 
-    private long waitMillis() {
-        return Math.max(pace.planMillis(), membership.sides().size() * MILLIS_A_SIDE);
+    private long planIntervalMillis() {
+        return Math.max(timing.minPlanIntervalMillis(), membership.sides().size() * PLAN_INTERVAL_MILLIS_PER_SIDE);
     }
 
-    private boolean isSettled(Bundle bundle, long nowMillis) {
-        long known = membership.sides().stream()
+    private boolean isMembershipSettled(Bundle bundle, long nowMillis) {
+        long knownSides = membership.sides().stream()
                 .filter(side -> side.service().equals(service))
                 .count();
         int replicas = bundle.service(service).map(Bundle.Service::replicas).orElse(0);
-        return known >= replicas || nowMillis - startMillis >= pace.settleMillis();
+        return knownSides >= replicas || nowMillis - startMillis >= timing.maxSettleMillis();
     }
 
-    private Set<String> residentHere() {
+    private Set<String> residentItems() {
         return membership.side(sideId).map(Side::residentItems).orElse(Set.of());
     }
 
     /**
      * When plans are made.
      *
-     * @param planMillis the least time between two plans.
-     * @param settleMillis the longest wait for the other sides before the first plan.
+     * @param minPlanIntervalMillis the least time between two plans.
+     * @param maxSettleMillis the longest wait for the other sides before the first plan.
      */
-    record Pace(long planMillis, long settleMillis) {}
+    record Timing(long minPlanIntervalMillis, long maxSettleMillis) {}
 }
--- a/src/main/java/io/waxwingquay/process/Foundation.java
+++ b/src/main/java/io/waxwingquay/process/ProcessRuntime.java
@@ -43,24 +43,24 @@
 /**
  * What an entry and a side have in common: platform clients, peers, membership, gossip and the bundle in force.
  */
-final class Foundation implements AutoCloseable {
+final class ProcessRuntime implements AutoCloseable {
 
     private static final System.Logger LOG = System.getLogger("waxwingquay.process");
     private static final int SCHEDULER_THREADS = 2;
-    private static final int RARE_LOOK = 30;
-    private static final int HTTP_CONNECTIONS = 512;
+    private static final int NON_READER_POLL_INTERVALS = 30;
+    private static final int MAX_HTTP_CONNECTIONS_PER_TARGET = 512;
     private static final long CONNECT_TIMEOUT_MILLIS = 500L;
     private static final long SUSPECT_RETENTION_MILLIS = 600_000L;
-    private static final int SUSPECT_LIMIT = 4_096;
+    private static final int MAX_SUSPECTS = 4_096;
     private static final long VM_LIST_INTERVAL_MILLIS = 2_000L;
 
     private final CompletableFuture<Void> closed = new CompletableFuture<>();
-    private final Deque<AutoCloseable> owned = new ArrayDeque<>();
+    private final Deque<AutoCloseable> closeables = new ArrayDeque<>();
     private final ProcessSettings settings;
     private final Clock clock = Clock.SYSTEM;
     private final RandomGenerator random;
     private final PrometheusMeterRegistry meters = new PrometheusMeterRegistry(PrometheusConfig.DEFAULT);
-    private final ProcessMeters measures = new ProcessMeters(meters, clock);
+    private final ProcessMeters processMeters = new ProcessMeters(meters, clock);
     private final ScheduledExecutorService scheduler;
     private final HttpClient http;
     private final TableService table;
@@ -72,48 +72,48 @@
     private final BundleHolder bundles;
     private final BundleFeed feed;
     private final Gossip gossip;
-    private final VmWatch watch;
+    private final VmWatch vmWatch;
     private Optional<AdminServer> admin = Optional.empty();
 
-    Foundation(ProcessSettings settings, String role, RandomGenerator random) {
+    ProcessRuntime(ProcessSettings settings, String role, RandomGenerator random) {
         this.settings = settings;
         this.random = random;
         HostPort platform = new HostPort(
                 settings.platformUrl().getHost(), settings.platformUrl().getPort());
         this.scheduler = scheduler(settings.name());
-        owned.push(scheduler::shutdownNow);
-        this.http = HttpCalls.startClient(HTTP_CONNECTIONS, CONNECT_TIMEOUT_MILLIS);
-        owned.push(http::stop);
+        closeables.push(scheduler::shutdownNow);
+        this.http = HttpCalls.startClient(MAX_HTTP_CONNECTIONS_PER_TARGET, CONNECT_TIMEOUT_MILLIS);
+        closeables.push(http::stop);
         this.table = new HttpTableService(http, platform, settings.tableTimeoutMillis());
-        this.connections =
-                own(ThriftConnections.builder().observer(measures::countCall).build());
-        this.server = own(ThriftServer.bind(new HostPort(settings.host(), settings.thriftPort())));
+        this.connections = registerCloseable(
+                ThriftConnections.builder().observer(processMeters::countCall).build());
+        this.server = registerCloseable(ThriftServer.bind(new HostPort(settings.host(), settings.thriftPort())));
         this.members = new MemberTable(clock, MemberTable.Timing.DEFAULT);
         HostPort address = server.address();
         this.peers =
                 new Peers(new Peers.Peer(settings.name(), address, settings.dataCentre()), members, settings.seeds());
-        this.suspects = new SuspectTable(clock, SUSPECT_RETENTION_MILLIS, SUSPECT_LIMIT);
+        this.suspects = new SuspectTable(clock, SUSPECT_RETENTION_MILLIS, MAX_SUSPECTS);
         this.bundles = new BundleHolder(TrustedKeys.ofRoots(settings.trustedKeys()));
-        PeerBundles fetcher = new PeerBundles(peers, connections, random);
+        PeerBundleFetcher bundleFetcher = new PeerBundleFetcher(peers, connections, random);
         HttpObjectStore objects = new HttpObjectStore(http, platform, settings.tableTimeoutMillis());
-        this.feed = own(BundleFeed.builder(bundles, new BundleArchive(table, objects))
-                .peers(fetcher)
+        this.feed = registerCloseable(BundleFeed.builder(bundles, new BundleArchive(table, objects))
+                .peers(bundleFetcher)
                 .schedule(scheduler, settings.bundlePollMillis())
-                .lookingAlways(this::isReader, RARE_LOOK, random.nextInt(RARE_LOOK))
+                .lookingAlways(this::isReader, NON_READER_POLL_INTERVALS, random.nextInt(NON_READER_POLL_INTERVALS))
                 .build());
-        this.gossip = gossip(fetcher);
+        this.gossip = gossip(bundleFetcher);
         VmList.Vm self =
                 new VmList.Vm(settings.name(), address.host(), address.port(), settings.dataCentre(), role, false);
-        VmList list = new HttpVmList(http, platform, settings.tableTimeoutMillis());
-        this.watch = new VmWatch(list, peers, connections, clock, random, self, VM_LIST_INTERVAL_MILLIS);
+        VmList vmList = new HttpVmList(http, platform, settings.tableTimeoutMillis());
+        this.vmWatch = new VmWatch(vmList, peers, connections, clock, random, self, VM_LIST_INTERVAL_MILLIS);
     }
 
     /** Starts to follow the bundle, the peers and the VM list. */
     void start() {
         bundles.onAdopted(bundle -> gossip.hurry());
         feed.start();
-        owned.push(gossip.start(scheduler));
-        owned.push(watch.start(scheduler));
+        closeables.push(gossip.start(scheduler));
+        closeables.push(vmWatch.start(scheduler));
     }
 
     /**
@@ -123,7 +123,7 @@
      * @param drain starts a graceful shutdown.
      * @param sections adds what the role shows in the state dump.
      */
-    void observe(Supplier<Optional<String>> notReady, Runnable drain, Consumer<StateDump> sections) {
+    void startAdminServer(Supplier<Optional<String>> notReady, Runnable drain, Consumer<StateDump> sections) {
         StateDump dump = new StateDump()
                 .section("settings", () -> settings)
                 .section("bundle", () -> bundleState())
@@ -131,8 +131,8 @@
                 .section("peers", peers::all)
                 .section("suspects", suspects::snapshot);
         sections.accept(dump);
-        measures.watch(bundles);
-        admin = Optional.of(own(AdminServer.builder(meters, dump)
+        processMeters.watch(bundles);
+        admin = Optional.of(registerCloseable(AdminServer.builder(meters, dump)
                 .listen(settings.host(), settings.adminPort())
                 .notReady(notReady)
                 .drain(drain)
@@ -204,8 +204,8 @@
         return gossip;
     }
 
-    VmWatch watch() {
-        return watch;
+    VmWatch vmWatch() {
+        return vmWatch;
     }
 
     /**
@@ -215,16 +215,16 @@
      * @param closeable what is closed.
      * @return the same.
      */
-    <T extends AutoCloseable> T own(T closeable) {
-        owned.push(closeable);
+    <T extends AutoCloseable> T registerCloseable(T closeable) {
+        closeables.push(closeable);
         return closeable;
     }
 
     /** {@inheritDoc} */
     @Override
     public void close() {
-        while (!owned.isEmpty()) {
-            closeOne(owned.pop());
+        while (!closeables.isEmpty()) {
+            closeOne(closeables.pop());
         }
         closed.complete(null);
     }
@@ -238,15 +238,15 @@
     }
 
     private boolean isReader() {
-        return watch.isReader();
+        return vmWatch.isReader();
     }
 
-    private Gossip gossip(PeerBundles fetcher) {
+    private Gossip gossip(PeerBundleFetcher bundleFetcher) {
         Gossip.Pace pace = Gossip.Pace.DEFAULT.withUrgentMillis(settings.gossipIntervalMillis());
         return Gossip.over(members, peers, connections)
                 .carrying(suspects)
                 .announcing(bundles::version, (version, from) -> {
-                    fetcher.noteInformed(from);
+                    bundleFetcher.notePeerWithNewerBundle(from);
                     feed.hint(version);
                 })
                 .deciding(clock, random)
@@ -266,9 +266,9 @@
     }
 
     private static ScheduledExecutorService scheduler(String name) {
-        AtomicInteger number = new AtomicInteger();
+        AtomicInteger threadNumber = new AtomicInteger();
         return Executors.newScheduledThreadPool(SCHEDULER_THREADS, task -> {
-            Thread thread = new Thread(task, name + "-" + number.incrementAndGet());
+            Thread thread = new Thread(task, name + "-" + threadNumber.incrementAndGet());
             thread.setDaemon(true);
             return thread;
         });
--- a/src/main/java/io/waxwingquay/process/ShippedCharts.java
+++ b/src/main/java/io/waxwingquay/process/ShippedCharts.java
@@ -26,7 +26,7 @@
      *
      * @throws io.waxwingquay.chart.ChartException.Malformed if a chart is missing or faulty.
      */
-    public static void check() {
+    public static void validateAll() {
         StateChart.load(RequestPhase.CHART_NAME, RequestPhase.class, RequestPhase.Event.class);
         StateChart.load(RequestState.CHART_NAME, RequestState.class, RequestState.Event.class);
         StateChart.load(MemoryLedger.CHART_NAME, MemoryLedger.State.class, MemoryLedger.Event.class);
--- a/src/main/java/io/waxwingquay/process/SideProcess.java
+++ b/src/main/java/io/waxwingquay/process/SideProcess.java
@@ -35,49 +35,50 @@
 
     private static final System.Logger LOG = System.getLogger("waxwingquay.process");
     private static final String ROLE = "side";
-    private static final long PAUSE_MILLIS = 2_000L;
-    private static final int RENEWALS_A_LEASE = 5;
-    private static final int MARGIN_SHARE = 10;
-    private static final int MAX_ASKS = 3;
-    private static final long HEARTBEAT_MILLIS = 500L;
-    private static final long PLAN_MILLIS = 1_000L;
-    private static final long SETTLE_MILLIS = 5_000L;
-
-    private final Foundation foundation;
+    private static final long MAX_HEARTBEAT_GAP_MILLIS = 2_000L;
+    private static final int RENEWALS_PER_LEASE = 5;
+    private static final int LEASE_MARGIN_DIVISOR = 10;
+    private static final int MAX_PEERS_ASKED = 3;
+    private static final long HEARTBEAT_INTERVAL_MILLIS = 500L;
+    private static final long MIN_PLAN_INTERVAL_MILLIS = 1_000L;
+    private static final long MAX_SETTLE_MILLIS = 5_000L;
+
+    private final ProcessRuntime runtime;
     private final SideSettings settings;
     private final SideIdentity identity;
-    private final PermitLender permitHome;
-    private final PeerHandler peer;
-    private final SideDoor door;
-    private final PlannedItems planned;
-    private final AtomicReference<Optional<LeasedPermits>> held = new AtomicReference<>(Optional.empty());
+    private final PermitLender permitLender;
+    private final PeerHandler peerHandler;
+    private final GatedSideHandler sideHandler;
+    private final PlannedItems plannedItems;
+    private final AtomicReference<Optional<LeasedPermits>> leasedPermits = new AtomicReference<>(Optional.empty());
     private final Decisions decisions;
     private final AtomicReference<Optional<SideNode>> node = new AtomicReference<>(Optional.empty());
-    private Optional<CompletableFuture<Void>> draining = Optional.empty();
+    private Optional<CompletableFuture<Void>> drainCompletion = Optional.empty();
 
-    private SideProcess(Foundation foundation, SideSettings settings, Decisions decisions, long epoch) {
-        this.foundation = foundation;
+    private SideProcess(ProcessRuntime runtime, SideSettings settings, Decisions decisions, long epoch) {
+        this.runtime = runtime;
         this.settings = settings;
         this.decisions = decisions;
         this.identity = new SideIdentity(
-                foundation.settings().name(),
-                foundation.server().address(),
-                foundation.settings().dataCentre(),
+                runtime.settings().name(),
+                runtime.server().address(),
+                runtime.settings().dataCentre(),
                 settings.service(),
                 settings.replica(),
                 epoch);
-        this.planned = new PlannedItems(
+        this.plannedItems = new PlannedItems(
                 identity.sideId(),
                 identity.serviceName(),
-                foundation.members(),
+                runtime.members(),
                 decisions.placement(),
-                foundation.clock(),
-                new PlannedItems.Pace(PLAN_MILLIS, SETTLE_MILLIS));
-        PermitLender.Slots none = new PermitLender.Slots(settings.replica(), settings.replica() + 1, 0, 0.0, 0);
-        this.permitHome = new PermitLender(foundation.clock(), settings.permitLeaseMillis(), PAUSE_MILLIS, none);
-        this.peer = new PeerHandler(
-                foundation.gossip().handler(), foundation.bundles(), foundation.suspects(), Optional.of(permitHome));
-        this.door = new SideDoor(peer, epoch);
+                runtime.clock(),
+                new PlannedItems.Timing(MIN_PLAN_INTERVAL_MILLIS, MAX_SETTLE_MILLIS));
+        PermitLender.Slots noSlots = new PermitLender.Slots(settings.replica(), settings.replica() + 1, 0, 0.0, 0);
+        this.permitLender =
+                new PermitLender(runtime.clock(), settings.permitLeaseMillis(), MAX_HEARTBEAT_GAP_MILLIS, noSlots);
+        this.peerHandler = new PeerHandler(
+                runtime.gossip().handler(), runtime.bundles(), runtime.suspects(), Optional.of(permitLender));
+        this.sideHandler = new GatedSideHandler(peerHandler, epoch);
     }
 
     /**
@@ -88,11 +89,11 @@
      * @return the running process.
      */
     public static SideProcess start(SideSettings settings, Decisions decisions) {
-        Foundation foundation = new Foundation(settings.process(), ROLE, RandomGenerator.of("L64X128MixRandom"));
-        long epoch = new BootEpoch(foundation.table(), foundation.clock())
-                .take(settings.process().name())
+        ProcessRuntime runtime = new ProcessRuntime(settings.process(), ROLE, RandomGenerator.of("L64X128MixRandom"));
+        long epoch = new BootEpochAllocator(runtime.table(), runtime.clock())
+                .allocate(settings.process().name())
                 .join();
-        SideProcess process = new SideProcess(foundation, settings, decisions, epoch);
+        SideProcess process = new SideProcess(runtime, settings, decisions, epoch);
         process.run();
         return process;
     }
@@ -122,7 +123,7 @@
      * @return the version, 0 while there is none.
      */
     public long bundleVersion() {
-        return foundation.bundles().version();
+        return runtime.bundles().version();
     }
 
     /**
@@ -131,7 +132,7 @@
      * @return the admin port.
      */
     public int adminPort() {
-        return foundation.adminPort();
+        return runtime.adminPort();
     }
 
     /**
@@ -149,13 +150,13 @@
      * @return completes when closed.
      */
     public synchronized CompletableFuture<Void> drain() {
-        if (draining.isEmpty()) {
+        if (drainCompletion.isEmpty()) {
             CompletableFuture<Void> drained = node.get()
                     .map(running -> running.drain(settings.drainLimitMillis()))
                     .orElseGet(() -> CompletableFuture.completedFuture(null));
-            draining = Optional.of(drained.thenRunAsync(this::close));
+            drainCompletion = Optional.of(drained.thenRunAsync(this::close));
         }
-        return draining.get();
+        return drainCompletion.get();
     }
 
     /**
@@ -176,71 +177,74 @@
      * @return completes then.
      */
     public CompletableFuture<Void> closed() {
-        return foundation.closed();
+        return runtime.closed();
     }
 
     /** {@inheritDoc} */
     @Override
     public void close() {
         node.get().ifPresent(SideNode::close);
-        foundation.close();
+        runtime.close();
     }
 
     private void run() {
-        foundation.server().serveSide(door);
-        foundation.bundles().onAdopted(this::adopted);
-        foundation.observe(this::notReady, this::drain, dump -> dump.section("side", this::state));
-        foundation.start();
-        every(HEARTBEAT_MILLIS, permitHome::heartbeat);
-        every(HEARTBEAT_MILLIS, this::heedMembership);
+        runtime.server().serveSide(sideHandler);
+        runtime.bundles().onAdopted(this::onBundleAdopted);
+        runtime.startAdminServer(this::notReadyReason, this::drain, dump -> dump.section("side", this::dumpState));
+        runtime.start();
+        scheduleEvery(HEARTBEAT_INTERVAL_MILLIS, permitLender::heartbeat);
+        scheduleEvery(HEARTBEAT_INTERVAL_MILLIS, this::checkOwnRecord);
     }
 
     /**
      * The others may know of this side what it does not: that a newer process stands in its place, or that the platform
      * is about to take its VM away. Lending on would lend each permit twice; serving on would be cut off by the platform.
      */
-    private void heedMembership() {
-        foundation.members().side(identity.sideId()).ifPresent(known -> {
+    private void checkOwnRecord() {
+        runtime.members().side(identity.sideId()).ifPresent(known -> {
             if (known.epoch() > identity.epoch()) {
-                permitHome.supersede();
+                permitLender.supersede();
             } else if (known.epoch() == identity.epoch() && known.state() == SideState.LEAVING) {
                 drain();
             }
         });
     }
 
-    private Optional<String> notReady() {
+    private Optional<String> notReadyReason() {
         return isReady() ? Optional.empty() : Optional.of("no bundle in force yet");
     }
 
-    private SideDump state() {
+    private SideDump dumpState() {
         return new SideDump(
                 identity,
                 node.get().map(SideNode::state).map(Enum::name).orElse("NO_BUNDLE"),
                 node.get().map(SideNode::attemptsByState).orElse(Map.of()),
                 node.get().flatMap(SideNode::memory),
-                orderLoop(),
-                permitsByLimit(),
-                new SideDump.Placement(planned.share(), planned.homelessModels()));
+                dumpOrderLoop(),
+                dumpPermits(),
+                new SideDump.Placement(plannedItems.share(), plannedItems.unplacedModels()));
     }
 
-    private SideDump.OrderLoop orderLoop() {
-        long nowMillis = foundation.clock().monotonicMillis();
+    private SideDump.OrderLoop dumpOrderLoop() {
+        long nowMillis = runtime.clock().monotonicMillis();
         return new SideDump.OrderLoop(
                 node.get().flatMap(SideNode::residencyReadMillis).map(readMillis -> nowMillis - readMillis),
                 node.get().map(SideNode::refusedItems).orElse(List.of()));
     }
 
-    private Map<Permits.Limit, SideDump.PermitCount> permitsByLimit() {
+    private Map<Permits.Limit, SideDump.PermitCount> dumpPermits() {
         Map<Permits.Limit, SideDump.PermitCount> counts = new EnumMap<>(Permits.Limit.class);
         for (Permits.Limit limit : Permits.Limit.values()) {
-            int heldHere = held.get().map(permits -> permits.countInUse(limit)).orElse(0);
-            counts.put(limit, new SideDump.PermitCount(permitHome.countLent(limit), heldHere));
+            int heldCount = leasedPermits
+                    .get()
+                    .map(permits -> permits.countInUse(limit))
+                    .orElse(0);
+            counts.put(limit, new SideDump.PermitCount(permitLender.countLent(limit), heldCount));
         }
         return counts;
     }
 
-    void adopted(Bundle bundle) {
+    void onBundleAdopted(Bundle bundle) {
         Optional<Service> service = bundle.service(settings.service());
         if (service.isEmpty()) {
             LOG.log(
@@ -250,9 +254,9 @@
                     settings.service());
             return;
         }
-        permitHome.configure(slots(service.get()));
+        permitLender.configure(slots(service.get()));
         if (node.get().isEmpty()) {
-            open(service.get());
+            openNode(service.get());
         }
     }
 
@@ -261,24 +265,24 @@
      * requests, and the close cuts them. Both take the same lock, so either the drain finds what was opened or nothing
      * opens any more.
      */
-    private synchronized void open(Service service) {
-        if (draining.isPresent()) {
+    private synchronized void openNode(Service service) {
+        if (drainCompletion.isPresent()) {
             return;
         }
-        LeasedPermits permits = permits();
-        held.set(Optional.of(permits));
-        every(settings.permitLeaseMillis() / RENEWALS_A_LEASE, permits::renew);
-        SideNodeBuilder builder = builder(permits);
+        LeasedPermits permits = createPermits();
+        leasedPermits.set(Optional.of(permits));
+        scheduleEvery(settings.permitLeaseMillis() / RENEWALS_PER_LEASE, permits::renew);
+        SideNodeBuilder builder = nodeBuilder(permits);
         SideNode ready = settings.targetKind() == TargetType.PLAIN
                 ? builder.forPlainService(new HttpPlainService(
-                        foundation.http(), target(), foundation.settings().tableTimeoutMillis()))
-                : builder.forModels(engine(), ledger(service));
+                        runtime.http(), targetAddress(), runtime.settings().tableTimeoutMillis()))
+                : builder.forModels(createEngine(), createLedger(service));
         node.set(Optional.of(ready));
         ready.start();
-        door.open(ready);
+        sideHandler.open(ready);
     }
 
-    private SideNodeBuilder builder(Permits permits) {
+    private SideNodeBuilder nodeBuilder(Permits permits) {
         return new SideNodeBuilder(identity)
                 .limits(SideLimits.defaults()
                         .withQueueLimit(settings.queueLimit())
@@ -286,46 +290,47 @@
                         .withRetentionMillis(settings.attemptRetentionMillis())
                         .withStreamSilenceMillis(settings.streamSilenceMillis())
                         .withPollWaitMillis(settings.pollWaitMillis()))
-                .clock(foundation.clock())
-                .random(foundation.random())
-                .bundles(foundation.bundles())
-                .membership(foundation.members())
-                .suspects(foundation.suspects())
-                .connections(foundation.connections())
-                .peer(peer)
+                .clock(runtime.clock())
+                .random(runtime.random())
+                .bundles(runtime.bundles())
+                .membership(runtime.members())
+                .suspects(runtime.suspects())
+                .connections(runtime.connections())
+                .peer(peerHandler)
                 .permits(permits)
-                .wantedItems(planned)
+                .wantedItems(plannedItems)
                 .admissionRule(decisions.admission())
-                .meters(foundation.meters());
+                .meters(runtime.meters());
     }
 
-    private HttpModelEngine engine() {
+    private HttpModelEngine createEngine() {
         return new HttpModelEngine(
-                foundation.http(),
-                target(),
-                foundation.settings().tableTimeoutMillis(),
+                runtime.http(),
+                targetAddress(),
+                runtime.settings().tableTimeoutMillis(),
                 settings.streamSilenceMillis());
     }
 
-    private MemoryLedger ledger(Service service) {
+    private MemoryLedger createLedger(Service service) {
         return service.ordersFenced()
-                ? MemoryLedger.forFencedEngine(
-                        service.memoryBytes(), foundation.clock(), settings.orderQuarantineMillis())
+                ? MemoryLedger.forFencedEngine(service.memoryBytes(), runtime.clock(), settings.orderQuarantineMillis())
                 : MemoryLedger.forUnfencedEngine(
-                        service.memoryBytes(), foundation.clock(), settings.orderQuarantineMillis());
+                        service.memoryBytes(), runtime.clock(), settings.orderQuarantineMillis());
     }
 
-    private LeasedPermits permits() {
-        return LeasedPermits.forHolder(identity.sideId(), permitHome)
-                .withPeers(settings.service(), foundation.members(), foundation.connections())
-                .withClock(foundation.clock(), foundation.random())
-                .withTotalSlots(limit -> foundation
-                        .bundles()
+    private LeasedPermits createPermits() {
+        return LeasedPermits.forHolder(identity.sideId(), permitLender)
+                .withPeers(settings.service(), runtime.members(), runtime.connections())
+                .withClock(runtime.clock(), runtime.random())
+                .withTotalSlots(limit -> runtime.bundles()
                         .current()
                         .flatMap(bundle -> bundle.service(settings.service()))
                         .map(service -> slots(service).totalSlots(limit))
                         .orElse(0))
-                .withBounds(MAX_ASKS, settings.permitLeaseMillis(), settings.permitLeaseMillis() / MARGIN_SHARE)
+                .withBounds(
+                        MAX_PEERS_ASKED,
+                        settings.permitLeaseMillis(),
+                        settings.permitLeaseMillis() / LEASE_MARGIN_DIVISOR)
                 .build();
     }
 
@@ -338,12 +343,12 @@
                 service.adapterLoadsAtOnce());
     }
 
-    private HostPort target() {
+    private HostPort targetAddress() {
         return new HostPort(settings.targetUrl().getHost(), settings.targetUrl().getPort());
     }
 
-    private void every(long millis, Runnable task) {
-        foundation.scheduler().scheduleAtFixedRate(task, millis, millis, TimeUnit.MILLISECONDS);
+    private void scheduleEvery(long intervalMillis, Runnable task) {
+        runtime.scheduler().scheduleAtFixedRate(task, intervalMillis, intervalMillis, TimeUnit.MILLISECONDS);
     }
 
     /**
--- a/src/test/java/io/waxwingquay/command/HostedMainTest.java
+++ b/src/test/java/io/waxwingquay/command/HostedMainTest.java
@@ -8,11 +8,11 @@
 class HostedMainTest {
 
     @Test
-    void takesTheNameOfOneRoleAndNothingElse() {
-        assertEquals(Optional.of(HostedRole.ENTRY), HostedMain.role("entry"));
-        assertEquals(Optional.of(HostedRole.SIDE), HostedMain.role("side"));
-        assertEquals(Optional.empty(), HostedMain.role());
-        assertEquals(Optional.empty(), HostedMain.role("keeper"));
-        assertEquals(Optional.empty(), HostedMain.role("entry", "--log"));
+    void acceptsExactlyOneRoleName() {
+        assertEquals(Optional.of(HostedRole.ENTRY), HostedMain.parseRole("entry"));
+        assertEquals(Optional.of(HostedRole.SIDE), HostedMain.parseRole("side"));
+        assertEquals(Optional.empty(), HostedMain.parseRole());
+        assertEquals(Optional.empty(), HostedMain.parseRole("keeper"));
+        assertEquals(Optional.empty(), HostedMain.parseRole("entry", "--log"));
     }
 }
--- a/src/test/java/io/waxwingquay/command/HostedRoleTest.java
+++ b/src/test/java/io/waxwingquay/command/HostedRoleTest.java
@@ -22,21 +22,21 @@
     // A port is taken. The process stayed alive and served nothing, so that nobody
     // started it again.
     @Test
-    void roleThatCannotListenEndsAndSaysWhy() throws IOException {
+    void reportsPortInUseAndDoesNotStart() throws IOException {
         int port = FreePorts.adjacent(4, List.of(LOOPBACK));
         try (ServerSocket taken = new ServerSocket(port + 2, 1, InetAddress.getByName(LOOPBACK))) {
-            String told = whyNot(settings(port, Optional.of(new HostPort(LOOPBACK, taken.getLocalPort()))));
-            assertTrue(told.contains("free the port or change it"), told);
+            String error = startError(settings(port, Optional.of(new HostPort(LOOPBACK, taken.getLocalPort()))));
+            assertTrue(error.contains("free the port or change it"), error);
         }
     }
 
     @Test
-    void missingAddressIsNamed() {
-        String told = whyNot(settings(FreePorts.adjacent(4, List.of(LOOPBACK)), Optional.empty()));
-        assertTrue(told.contains("listen.front: is missing"), told);
+    void reportsMissingAddress() {
+        String error = startError(settings(FreePorts.adjacent(4, List.of(LOOPBACK)), Optional.empty()));
+        assertTrue(error.contains("listen.front: is missing"), error);
     }
 
-    private static String whyNot(HostSettings settings) {
+    private static String startError(HostSettings settings) {
         StringWriter errors = new StringWriter();
         assertEquals(Optional.empty(), HostedRole.ENTRY.start(settings, new PrintWriter(errors, true)));
         return errors.toString();
--- a/src/test/java/io/waxwingquay/command/MainTest.java
+++ b/src/test/java/io/waxwingquay/command/MainTest.java
@@ -34,7 +34,7 @@
     private Path directory;
 
     @Test
-    void operatorMakesAKeySignsSubmitsAndSeesTheBundle() throws IOException {
+    void signsSubmitsAndReportsBundle() throws IOException {
         String file = bundle(1);
         String key = key("operator");
         assertEquals(ExitCodes.OK, run("bundle", "check", file));
@@ -45,7 +45,7 @@
     }
 
     @Test
-    void checkNamesTheLineAndTheMend() throws IOException {
+    void checkReportsLineAndCorrection() throws IOException {
         Path file = Files.writeString(directory.resolve("bad.toml"), "version = 0\nservice = 1\n");
         assertEquals(ExitCodes.REFUSED, run("bundle", "check", file.toString()));
         assertTrue(err.toString().contains("line 1: version: is 0, which is not allowed; write 1 to"), err.toString());
@@ -55,7 +55,7 @@
     // A private key that others on the machine can read lets any of them sign bundles, unseen. Such a file is
     // refused before it is used, with the command that mends it.
     @Test
-    void keyThatOthersMayReadIsRefused() throws IOException {
+    void refusesKeyReadableByOthers() throws IOException {
         String key = key("operator");
         assertEquals("rw-------", PosixFilePermissions.toString(Files.getPosixFilePermissions(Path.of(key))));
         Files.setPosixFilePermissions(Path.of(key), PosixFilePermissions.fromString("rw-r-----"));
@@ -66,7 +66,7 @@
 
     // Each way a submission can end has its own exit code, so that a script never takes "unknown" for "failed".
     @Test
-    void exitCodesTellRefusedUnknownAndFailedApart() throws IOException {
+    void exitCodesDistinguishRefusedUnknownAndFailed() throws IOException {
         String file = bundle(1);
         String key = key("operator");
         run("bundle", "sign", "--key", key, file);
@@ -82,7 +82,7 @@
     }
 
     @Test
-    void dumpPrintsTheStateOfAProcess() {
+    void dumpPrintsProcessState() {
         PrometheusMeterRegistry registry = new PrometheusMeterRegistry(PrometheusConfig.DEFAULT);
         StateDump dump = new StateDump().section("bundle", () -> "version 7");
         try (AdminServer server = AdminServer.builder(registry, dump).start()) {
@@ -102,13 +102,13 @@
 
     @Test
     void everyCommandHasHelpWithExitCodes() {
-        assertHelp(Main.commandLine(url -> new Fake()), List.of());
+        assertHelp(Main.commandLine(url -> new FakePlatformClients()), List.of());
     }
 
     // A process with a bad setting that started all the same would run with a default nobody chose. It refuses to
     // start, with one sentence for each key, and the exit code says that it was refused and did not fail.
     @Test
-    void badSettingsRefuseTheStartOfEveryRole() throws IOException {
+    void everyRoleRefusesInvalidSettings() throws IOException {
         String entry = Files.readString(Path.of("docs", "settings", "entry.toml"))
                 .replace("routing_policy = \"waxwingquay\"", "routing_policy = \"fastest\"");
         assertEquals(ExitCodes.REFUSED, run("entry", "--settings", settings("entry", entry + "\ncallr_port = 1\n")));
@@ -123,7 +123,7 @@
     }
 
     @Test
-    void namesTheBundleFileThatTheBenchLacks() {
+    void benchReportsMissingBundleFile() {
         String folder = directory.toString();
         int exitCode = run(
                 "bench",
@@ -168,13 +168,13 @@
     }
 
     private int run(String... arguments) {
-        CommandLine commandLine = Main.commandLine(url -> new Fake());
+        CommandLine commandLine = Main.commandLine(url -> new FakePlatformClients());
         commandLine.setOut(new PrintWriter(out, true));
         commandLine.setErr(new PrintWriter(err, true));
         return commandLine.execute(arguments);
     }
 
-    private final class Fake implements PlatformFactory.Platform {
+    private final class FakePlatformClients implements PlatformFactory.Platform {
         @Override
         public TableService table() {
             return platform;
--- a/src/test/java/io/waxwingquay/command/OperatorKeysTest.java
+++ b/src/test/java/io/waxwingquay/command/OperatorKeysTest.java
@@ -31,7 +31,7 @@
 /** An operator at the command line, against a platform over HTTP and a running process. */
 class OperatorKeysTest {
 
-    private static final long LIMIT_SECONDS = 60;
+    private static final long EXIT_TIMEOUT_SECONDS = 60;
     private static final String LOOPBACK = "127.0.0.1";
     private static final List<Integer> ANY_PORTS = List.of(0, 0, 0);
 
@@ -50,13 +50,13 @@
     // A key that leaked must not be able to change the system once a bundle has replaced it, neither at the command
     // line nor in a running process whose settings still name it as the root, even if a bundle lists it by mistake.
     @Test
-    void rotatesTheKeyAndRefusesTheRevokedOne() throws Exception {
+    void refusesRevokedKeyAfterRotation() throws Exception {
         String first = key("first");
-        String firstId = word(out, "id = ");
-        String firstTrusted = trusted();
+        String firstId = quotedValue(out, "id = ");
+        String firstTrusted = trustedKeyTable();
         out.getBuffer().setLength(0);
         String second = key("second");
-        String keys = "[keys]\nrevoked = [\"" + firstId + "\"]\n" + firstTrusted + trusted();
+        String keys = "[keys]\nrevoked = [\"" + firstId + "\"]\n" + firstTrusted + trustedKeyTable();
         assertEquals(ExitCodes.OK, submit(first, bundle(1, "")));
         try (EntryProcess entry = entry(first)) {
             Await.until(() -> entry.bundleVersion() == 1L);
@@ -74,7 +74,7 @@
     }
 
     @Test
-    void processLogsInTheFormatOfItsSettingsAndEndsAfterADrain() throws Exception {
+    void usesConfiguredLogFormatAndExitsAfterDrain() throws Exception {
         String first = key("first");
         assertEquals(ExitCodes.OK, submit(first, bundle(1, "")));
         Path settings = Files.writeString(
@@ -95,7 +95,7 @@
             }
             String admin = Files.readString(log).replaceAll("(?s).*for operators on port ([0-9]+).*", "127.0.0.1:$1");
             assertEquals(202, call(admin, "/shutdown", "none"));
-            assertTrue(process.waitFor(LIMIT_SECONDS, TimeUnit.SECONDS), "the process stayed after its drain");
+            assertTrue(process.waitFor(EXIT_TIMEOUT_SECONDS, TimeUnit.SECONDS), "the process stayed after its drain");
             assertEquals(ExitCodes.OK, process.exitValue());
         } finally {
             process.destroyForcibly().waitFor();
@@ -106,11 +106,11 @@
         boolean probe = path.equals("/readyz");
         HttpRequest.Builder request =
                 HttpRequest.newBuilder(URI.create("http://" + address + path)).header("X-Request-Id", requestId);
-        HttpRequest asked = probe
+        HttpRequest httpRequest = probe
                 ? request.build()
                 : request.POST(HttpRequest.BodyPublishers.ofString("{}")).build();
         return HttpClient.newHttpClient()
-                .send(asked, HttpResponse.BodyHandlers.discarding())
+                .send(httpRequest, HttpResponse.BodyHandlers.discarding())
                 .statusCode();
     }
 
@@ -166,12 +166,12 @@
         return file;
     }
 
-    private String trusted() {
-        return "[[keys.trusted]]\nid = \"" + word(out, "id = ") + "\"\npublic_key = \"" + word(out, "public_key = ")
-                + "\"\n";
+    private String trustedKeyTable() {
+        return "[[keys.trusted]]\nid = \"" + quotedValue(out, "id = ") + "\"\npublic_key = \""
+                + quotedValue(out, "public_key = ") + "\"\n";
     }
 
-    private static String word(StringWriter text, String label) {
+    private static String quotedValue(StringWriter text, String label) {
         return text.toString()
                 .lines()
                 .filter(line -> line.startsWith(label))
--- a/src/test/java/io/waxwingquay/process/DeflatedTest.java
+++ b/src/test/java/io/waxwingquay/process/DocumentCodecTest.java
@@ -8,23 +8,23 @@
 import java.util.Random;
 import org.junit.jupiter.api.Test;
 
-class DeflatedTest {
+class DocumentCodecTest {
 
     // The signature is over the exact bytes: one byte off and every process refuses the bundle from its peers.
     @Test
-    void theExactDocumentComesBack() {
+    void roundTripPreservesDocument() {
         byte[] document = new byte[100_000];
         new Random(4).nextBytes(document);
-        assertArrayEquals(document, Deflated.restore(Deflated.of(document)));
-        assertArrayEquals(new byte[0], Deflated.restore(Deflated.of(new byte[0])));
+        assertArrayEquals(document, DocumentCodec.inflate(DocumentCodec.deflate(document)));
+        assertArrayEquals(new byte[0], DocumentCodec.inflate(DocumentCodec.deflate(new byte[0])));
     }
 
     // A faulty peer answers with bytes that inflate without end, or not at all: a failed look, not an exhausted heap.
     @Test
-    void whatInflatesTooFarOrNotAtAllIsRefused() {
-        byte[] tooLong = Deflated.of(new byte[17 * 1024 * 1024]);
+    void rejectsOversizedAndCorruptInput() {
+        byte[] tooLong = DocumentCodec.deflate(new byte[17 * 1024 * 1024]);
         assertTrue(tooLong.length < 100_000);
-        assertThrows(BundleException.class, () -> Deflated.restore(tooLong));
-        assertThrows(BundleException.class, () -> Deflated.restore("version = 1".getBytes()));
+        assertThrows(BundleException.class, () -> DocumentCodec.inflate(tooLong));
+        assertThrows(BundleException.class, () -> DocumentCodec.inflate("version = 1".getBytes()));
     }
 }
--- a/src/test/java/io/waxwingquay/process/OperationsTest.java
+++ b/src/test/java/io/waxwingquay/process/OperationsTest.java
@@ -63,17 +63,17 @@
     }
 
     @Test
-    void metricsAndTheirPageAgree() throws Exception {
+    void exposedMetricsMatchDocumentation() throws Exception {
         assertEquals(200, complete("metrics"));
-        Set<String> documented = names(DOCUMENTED, Files.readString(Path.of("docs", "METRICS.md")));
+        Set<String> documented = firstGroups(DOCUMENTED, Files.readString(Path.of("docs", "METRICS.md")));
         Set<String> scraped = new TreeSet<>();
         for (int port : adminPorts()) {
-            scraped.addAll(names(SCRAPED, get(port, "/metrics")));
+            scraped.addAll(firstGroups(SCRAPED, get(port, "/metrics")));
         }
-        Set<String> ours = scraped.stream()
+        Set<String> ownMetrics = scraped.stream()
                 .filter(name -> name.startsWith("waxwingquay_"))
                 .collect(Collectors.toCollection(TreeSet::new));
-        Set<String> undocumented = new TreeSet<>(ours);
+        Set<String> undocumented = new TreeSet<>(ownMetrics);
         undocumented.removeAll(documented);
         assertEquals(Set.of(), undocumented, "seen but not in the page");
         documented.removeAll(scraped);
@@ -81,7 +81,7 @@
     }
 
     @Test
-    void dumpOfAnEntryShowsWhatIsInFlightAndWhatItKnows() throws Exception {
+    void entryDumpShowsRequestsAndMembership() throws Exception {
         JsonNode sections = dump(deployment.entries().get(0).adminPort());
         JsonNode entry = sections.get("entry");
         assertEquals(0, entry.get("pendingOutcomes").asInt());
@@ -95,7 +95,7 @@
     }
 
     @Test
-    void dumpOfASideShowsLedgerAttemptsPermitsAndPlan() throws Exception {
+    void sideDumpShowsLedgerAttemptsPermitsAndPlan() throws Exception {
         assertEquals(200, complete("dump"));
         JsonNode side = dump(deployment.sides().get("studio-0").adminPort()).get("side");
         assertEquals("SERVING", side.get("state").asText());
@@ -114,47 +114,51 @@
     // Someone on call has a caller's request identity and nothing else. The same identity has to lead through the
     // lines of entry, side and target, and a refusal has to be there without a change of the log level.
     @Test
-    void oneRequestIdentityLeadsThroughEveryPart() throws Exception {
+    void requestIdAppearsInLogsOfEveryProcess() throws Exception {
         Logger logger = (Logger) LoggerFactory.getLogger("waxwingquay");
-        Level before = logger.getLevel();
-        Lines lines = new Lines();
-        lines.start();
+        Level previousLevel = logger.getLevel();
+        CapturingAppender appender = new CapturingAppender();
+        appender.start();
         logger.setLevel(Level.DEBUG);
-        logger.addAppender(lines);
+        logger.addAppender(appender);
         try {
             assertEquals(200, pay("followed"));
             assertEquals(404, post("/v1/services/nowhere/pay", "refused", "{}"));
-            Await.until(() -> lines.starting("side: ", "followed").anyMatch(line -> line.contains("DONE, RAN")));
-            Await.until(() -> lines.starting("entry: ", "followed").anyMatch(line -> line.contains("was answered")));
-            assertTrue(lines.starting("entry: ", "followed").anyMatch(line -> line.contains("goes to side booking-0")));
-            assertTrue(lines.starting("standin: ", "followed").findAny().isPresent());
-            assertTrue(lines.starting("entry: ", "refused")
+            Await.until(
+                    () -> appender.linesOfRequest("side: ", "followed").anyMatch(line -> line.contains("DONE, RAN")));
+            Await.until(() ->
+                    appender.linesOfRequest("entry: ", "followed").anyMatch(line -> line.contains("was answered")));
+            assertTrue(appender.linesOfRequest("entry: ", "followed")
+                    .anyMatch(line -> line.contains("goes to side booking-0")));
+            assertTrue(
+                    appender.linesOfRequest("standin: ", "followed").findAny().isPresent());
+            assertTrue(appender.linesOfRequest("entry: ", "refused")
                     .anyMatch(line -> line.contains("INFO") && line.contains("unknown_service, DID_NOT_RUN")));
         } finally {
-            logger.detachAppender(lines);
-            logger.setLevel(before);
+            logger.detachAppender(appender);
+            logger.setLevel(previousLevel);
         }
     }
 
     @Test
-    void everyLogLineBeginsWithItsPart() throws Exception {
-        int seen = 0;
+    void everyLogLineStartsWithItsPackageName() throws Exception {
+        int checkedLines = 0;
         try (Stream<Path> files = Files.walk(Path.of("src", "main", "java"))) {
             for (Path file : files.filter(path -> path.toString().endsWith(".java"))
                     .filter(path -> !path.toString().contains("generated"))
                     .toList()) {
                 String text = Files.readString(file);
-                String part = file.getParent().getFileName().toString();
-                for (String name : names(LOGGERS, text)) {
-                    assertEquals("waxwingquay." + part, name, file.toString());
+                String packageName = file.getParent().getFileName().toString();
+                for (String name : firstGroups(LOGGERS, text)) {
+                    assertEquals("waxwingquay." + packageName, name, file.toString());
                 }
-                for (String line : names(LOGGED, text)) {
-                    assertTrue(line.startsWith(part + ": "), file + ": " + line);
-                    seen++;
+                for (String line : firstGroups(LOGGED, text)) {
+                    assertTrue(line.startsWith(packageName + ": "), file + ": " + line);
+                    checkedLines++;
                 }
             }
         }
-        assertTrue(seen > 30, "only " + seen + " lines were found");
+        assertTrue(checkedLines > 30, "only " + checkedLines + " lines were found");
     }
 
     private static int complete(String requestId) throws Exception {
@@ -205,7 +209,7 @@
                 .body();
     }
 
-    private static Set<String> names(Pattern pattern, String text) {
+    private static Set<String> firstGroups(Pattern pattern, String text) {
         Matcher matcher = pattern.matcher(text);
         Set<String> names = new TreeSet<>();
         while (matcher.find()) {
@@ -215,7 +219,7 @@
     }
 
     /** Keeps what is logged. */
-    private static final class Lines extends AppenderBase<ILoggingEvent> {
+    private static final class CapturingAppender extends AppenderBase<ILoggingEvent> {
 
         private final List<ILoggingEvent> events = new CopyOnWriteArrayList<>();
 
@@ -224,7 +228,7 @@
             events.add(event);
         }
 
-        private Stream<String> starting(String prefix, String requestId) {
+        private Stream<String> linesOfRequest(String prefix, String requestId) {
             return IntStream.range(0, events.size())
                     .mapToObj(events::get)
                     .filter(event -> event.getFormattedMessage().startsWith(prefix))
--- a/src/test/java/io/waxwingquay/process/PlanPaceTest.java
+++ b/src/test/java/io/waxwingquay/process/PlanIntervalTest.java
@@ -13,7 +13,7 @@
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 
-class PlanPaceTest {
+class PlanIntervalTest {
 
     private static final Bundle BUNDLE =
             new Bundle(1, new Bundle.Keys(List.of(), List.of()), List.of(), List.of(), List.of(), List.of());
@@ -34,12 +34,12 @@
 
     // A plan over 2,400 sides takes 0.2 s of processor time; one a second took a fifth of a core from each target's VM.
     @Test
-    void plansAreAsRareAsTheyAreDear() {
-        assertEquals(61, plansInAMinute(13));
-        assertEquals(3, plansInAMinute(2_400));
+    void planIntervalGrowsWithNumberOfSides() {
+        assertEquals(61, plansPerMinute(13));
+        assertEquals(3, plansPerMinute(2_400));
     }
 
-    private int plansInAMinute(int sides) {
+    private int plansPerMinute(int sides) {
         plans = 0;
         PlannedItems items = new PlannedItems(
                 "s-0",
@@ -50,7 +50,7 @@
                     return Plan.EMPTY;
                 },
                 clock,
-                new PlannedItems.Pace(1_000, 0));
+                new PlannedItems.Timing(1_000, 0));
         for (int tick = 0; tick <= 600; tick++) {
             items.wanted(BUNDLE);
             nowMillis += 100;
--- a/src/test/java/io/waxwingquay/process/PlannedItemsTest.java
+++ b/src/test/java/io/waxwingquay/process/PlannedItemsTest.java
@@ -31,7 +31,7 @@
     private final PlannedItems items = new PlannedItems(
             "s-0",
             "s",
-            new Known(),
+            new FakeMembership(),
             PlacementStrategy.named("planned", DemandThresholds.DEFAULT),
             new Clock() {
                 @Override
@@ -44,12 +44,12 @@
                     return nowMillis.get();
                 }
             },
-            new PlannedItems.Pace(1_000L, SETTLE_MILLIS));
+            new PlannedItems.Timing(1_000L, SETTLE_MILLIS));
 
     // The caller sees models move, and wait for memory, for seconds after a restart of all. Each side starts, knows
     // only itself and takes every model for its own; the others do the same, and then most copies are evicted.
     @Test
-    void wantsNothingAndGivesUpNothingUntilItKnowsTheOthers() {
+    void keepsResidentItemsUntilMembershipSettles() {
         assertEquals(new Wanted(List.of(), Set.of(RESIDENT)), items.wanted(bundle()));
         sides.add(side("s-1", Set.of()));
         assertEquals(2, items.wanted(bundle()).items().size());
@@ -57,7 +57,7 @@
 
     // The caller sees its model refused for ever: the others are dead or out of reach, and the platform too.
     @Test
-    void plansAloneOnceTheSettlingTimeIsOver() {
+    void plansAloneAfterSettleTimeout() {
         nowMillis.addAndGet(SETTLE_MILLIS);
         assertEquals(2, items.wanted(bundle()).items().size());
         sides.clear();
@@ -91,7 +91,7 @@
                 true);
     }
 
-    private final class Known implements Membership {
+    private final class FakeMembership implements Membership {
 
         @Override
         public List<Side> sides() {
--- a/src/test/java/io/waxwingquay/process/ShippedChartsTest.java
+++ b/src/test/java/io/waxwingquay/process/ShippedChartsTest.java
@@ -26,8 +26,8 @@
     private Path directory;
 
     @Test
-    void allAreSound() {
-        assertDoesNotThrow(ShippedCharts::check);
+    void allChartsAreValid() {
+        assertDoesNotThrow(ShippedCharts::validateAll);
     }
 
     // Memory would be overcommitted if anything but the engine's own word freed it: an order that timed out may
@@ -48,7 +48,7 @@
     // A caller's call would run twice if a second attempt took over a claim whose first may still start. The record
     // itself refuses that move, whatever the caller of reclaimedBy believes.
     @Test
-    void claimThatMayHaveRunIsNotTakenOver() {
+    void claimThatMayHaveRunIsNotReclaimed() {
         ClaimRecord claimed = ClaimRecord.of("first", "side-1", 1L, 7L, 0L);
         ClaimRecord next = ClaimRecord.of("second", "side-2", 1L, 7L, 0L);
         ClaimRecord settled = claimed.settled(new ClaimRecord.Outcome(200, "text/plain", new byte[0], false));
@@ -61,7 +61,7 @@
     // A chart that lacks a move would fail some request, long after the start. The process refuses to start and
     // says which chart and which moves.
     @Test
-    void faultyChartRefusesTheStart() throws Exception {
+    void malformedChartPreventsStart() throws Exception {
         Path chart = Files.createDirectories(directory.resolve("charts")).resolve("claim.chart");
         Files.writeString(chart, "initial CLAIMED\nfinal CLAIMED SETTLED\nCLAIMED --SETTLE--> SETTLED\n");
         Path output = directory.resolve("output");
--- a/src/test/java/io/waxwingquay/process/SideProcessTest.java
+++ b/src/test/java/io/waxwingquay/process/SideProcessTest.java
@@ -18,24 +18,24 @@
 
 class SideProcessTest {
 
-    private static final HostPort NOBODY = new HostPort("127.0.0.1", 9);
+    private static final HostPort UNREACHABLE = new HostPort("127.0.0.1", 9);
 
     // A side is told to stop before it has a bundle. Nothing is under way, so it closes its parts one after the
     // other; the bundle comes meanwhile, the side opens and takes requests, and the close cuts them. A side that
     // has begun to leave opens no more.
     @Test
-    void sideThatLeavesDoesNotOpen() throws Exception {
+    void doesNotStartServingWhileDraining() throws Exception {
         Bundle bundle = bundle();
         Bundle.Service service = bundle.services().get(0);
         try (PlatformStandin platform = PlatformStandin.builder().start()) {
             String key = KeyCodec.text(KeyCodec.generate().getPublic());
             String text = new SettingsText(new HostPort("127.0.0.1", platform.port()), key, 1, 1_000L, 0L)
-                    .side(service, 0, NOBODY, List.of(0, 0));
+                    .side(service, 0, UNREACHABLE, List.of(0, 0));
             SideProcess side = SideProcess.start(SideSettings.parse("side", text.getBytes(StandardCharsets.UTF_8)));
-            CompletableFuture<Void> left = side.drain();
-            side.adopted(bundle);
+            CompletableFuture<Void> drained = side.drain();
+            side.onBundleAdopted(bundle);
             assertFalse(side.isReady());
-            Await.value(left);
+            Await.value(drained);
         }
     }
 
