--- a/src/main/java/io/waxwingquay/command/BenchCommand.java
+++ b/src/main/java/io/waxwingquay/command/BenchCommand.java
@@ -12,11 +12,11 @@
 import picocli.CommandLine.Spec;
 
 /**
- * Measures policies on stand-ins in this process.
+ * Benchmarks policies against stand-ins that run in this process.
  */
 @Command(
         name = "bench",
-        description = "Measures policies under load and faults, on real entries and sides before stand-ins.",
+        description = "Benchmarks policies under load and faults, with real entries and sides in front of stand-ins.",
         mixinStandardHelpOptions = true,
         synopsisSubcommandLabel = "COMMAND",
         subcommands = {BenchCommand.Run.class, BenchCommand.OverheadRun.class})
@@ -28,14 +28,14 @@
     /** {@inheritDoc} */
     @Override
     public void run() {
-        throw new ParameterException(spec.commandLine(), "a command is needed");
+        throw new ParameterException(spec.commandLine(), "a subcommand is required");
     }
 
-    /** Runs a workload under several policies. */
+    /** Runs one workload under one or more policies and writes the reports. */
     @Command(
             name = "run",
             description =
-                    "Runs one workload under each policy with the same seeds, and writes table, CSV, JSON and PNG.",
+                    "Runs one workload under each policy with the same seeds and writes a table, CSV, JSON and PNG.",
             mixinStandardHelpOptions = true)
     static final class Run implements Callable<Integer> {
 
@@ -45,13 +45,19 @@
         @Option(names = "--workload", required = true, description = "tamworth or claywheel")
         private String workload;
 
-        @Option(names = "--policy", split = ",", required = true, description = "one policy or several, by name")
+        @Option(names = "--policy", split = ",", required = true, description = "names of one or more policies")
         private List<String> policies;
 
-        @Option(names = "--seeds", defaultValue = "5", description = "seeds, from 1 (default ${DEFAULT-VALUE})")
+        @Option(
+                names = "--seeds",
+                defaultValue = "5",
+                description = "number of seeds, starting at 1 (default ${DEFAULT-VALUE})")
         private int seeds;
 
-        @Option(names = "--seconds", defaultValue = "20", description = "seconds of load a run (${DEFAULT-VALUE})")
+        @Option(
+                names = "--seconds",
+                defaultValue = "20",
+                description = "seconds of load per run (default ${DEFAULT-VALUE})")
         private int seconds;
 
         @Option(
@@ -60,10 +66,13 @@
                 description = "none, target-death, data-centre-loss, store-outage, tenfold or slow-weights")
         private String fault;
 
-        @Option(names = "--bundles", defaultValue = "examples", description = "directory of the bundle files")
+        @Option(
+                names = "--bundles",
+                defaultValue = "examples",
+                description = "directory that contains the bundle files")
         private Path bundles;
 
-        @Option(names = "--out", required = true, description = "directory of the report")
+        @Option(names = "--out", required = true, description = "directory for the report")
         private Path directory;
 
         /** {@inheritDoc} */
@@ -82,10 +91,10 @@
         }
     }
 
-    /** Measures the path. */
+    /** Measures the overhead that the path through entry and side adds to a call. */
     @Command(
             name = "overhead",
-            description = "Measures calls through entry and side against direct calls to the same stand-in.",
+            description = "Compares calls through entry and side with direct calls to the same stand-in.",
             mixinStandardHelpOptions = true)
     static final class OverheadRun implements Callable<Integer> {
 
@@ -95,7 +104,10 @@
         @Option(names = "--rates", split = ",", defaultValue = "20,50,100,200", description = "requests a second")
         private List<Integer> perSecond;
 
-        @Option(names = "--seconds", defaultValue = "8", description = "seconds for each rate (${DEFAULT-VALUE})")
+        @Option(
+                names = "--seconds",
+                defaultValue = "8",
+                description = "seconds of load per rate (default ${DEFAULT-VALUE})")
         private int seconds;
 
         /** {@inheritDoc} */
--- a/src/main/java/io/waxwingquay/command/CapacityCommand.java
+++ b/src/main/java/io/waxwingquay/command/CapacityCommand.java
@@ -8,11 +8,11 @@
 import picocli.CommandLine.Spec;
 
 /**
- * Measures the slopes behind docs/CAPACITY.md.
+ * Measures how costs grow with the size of a deployment; docs/CAPACITY.md is based on its output.
  */
 @Command(
         name = "capacity",
-        description = "Raises entries, sides, models and residency step by step and prints costs, fits and errors.",
+        description = "Scales entries, sides, models and residency step by step and prints costs, fits and errors.",
         mixinStandardHelpOptions = true)
 final class CapacityCommand implements Callable<Integer> {
 
--- a/src/main/java/io/waxwingquay/command/CompletionCommand.java
+++ b/src/main/java/io/waxwingquay/command/CompletionCommand.java
@@ -7,7 +7,7 @@
 import picocli.CommandLine.Spec;
 
 /**
- * Prints a completion script for the shell.
+ * Prints a shell completion script.
  */
 @Command(
         name = "completion",
--- a/src/main/java/io/waxwingquay/command/DemoCommand.java
+++ b/src/main/java/io/waxwingquay/command/DemoCommand.java
@@ -7,11 +7,11 @@
 import picocli.CommandLine.Spec;
 
 /**
- * Runs the whole path on stand-ins in this process.
+ * Runs entries, sides and stand-ins in this process as a demonstration.
  */
 @Command(
         name = "demo",
-        description = "Runs entries, sides and stand-ins in this process, under a short load, and prints a summary.",
+        description = "Runs entries, sides and stand-ins in this process under a short load and prints a summary.",
         mixinStandardHelpOptions = true)
 final class DemoCommand implements Callable<Integer> {
 
--- a/src/main/java/io/waxwingquay/command/DumpCommand.java
+++ b/src/main/java/io/waxwingquay/command/DumpCommand.java
@@ -12,11 +12,11 @@
 import picocli.CommandLine.Spec;
 
 /**
- * Prints the state of a running process.
+ * Prints the state dump of a running process, fetched from its admin port.
  */
 @Command(
         name = "dump",
-        description = "Prints the whole state of a running process as JSON.",
+        description = "Prints the full state of a running process as JSON.",
         mixinStandardHelpOptions = true)
 final class DumpCommand implements Callable<Integer> {
 
@@ -36,7 +36,8 @@
         } catch (IllegalArgumentException failure) {
             return printError(failure.getMessage(), ExitCodes.USAGE);
         } catch (Exception failure) {
-            return printError("failed: no dump from " + address + ": " + failure.getMessage(), ExitCodes.FAILED);
+            return printError(
+                    "failed: cannot read the state dump of " + address + ": " + failure.getMessage(), ExitCodes.FAILED);
         }
     }
 
--- a/src/main/java/io/waxwingquay/command/EntryCommand.java
+++ b/src/main/java/io/waxwingquay/command/EntryCommand.java
@@ -12,9 +12,12 @@
 import picocli.CommandLine.Spec;
 
 /**
- * Runs an entry until it is told to stop; it then finishes what is in flight.
+ * Runs an entry process until it is stopped, and drains requests in flight before it exits.
  */
-@Command(name = "entry", description = "Runs an entry: what callers reach.", mixinStandardHelpOptions = true)
+@Command(
+        name = "entry",
+        description = "Runs an entry, which accepts callers' requests.",
+        mixinStandardHelpOptions = true)
 final class EntryCommand implements Callable<Integer> {
 
     @Spec
--- a/src/main/java/io/waxwingquay/command/ExplainCommand.java
+++ b/src/main/java/io/waxwingquay/command/ExplainCommand.java
@@ -19,11 +19,11 @@
 import picocli.CommandLine.Spec;
 
 /**
- * Tells from entries' logs which requests were not served in time, when, and why.
+ * Reports from the logs of entries which requests were not served in time, when, and why.
  */
 @Command(
         name = "explain",
-        description = "Reads entries' logs and counts requests that were refused, lost or late, by reason.",
+        description = "Reads the logs of entries and counts refused, lost and late requests by reason.",
         mixinStandardHelpOptions = true)
 final class ExplainCommand implements Callable<Integer> {
 
@@ -38,13 +38,13 @@
     @Option(
             names = "--window-seconds",
             defaultValue = "2",
-            description = "Length of the windows of time (default ${DEFAULT-VALUE}).")
+            description = "Length of a time window in seconds (default ${DEFAULT-VALUE}).")
     private long windowSeconds;
 
     @Option(names = "--json", description = "Print JSON instead of tables.")
     private boolean json;
 
-    @Option(names = "--plot", paramLabel = "FILE", description = "Also draw the counts by window as a PNG.")
+    @Option(names = "--plot", paramLabel = "FILE", description = "Also plot the counts per window as a PNG.")
     private Optional<Path> plot;
 
     /** {@inheritDoc} */
@@ -58,7 +58,8 @@
         logs.forEach(log -> requests.addAll(read(log)));
         if (requests.isEmpty()) {
             throw new ParameterException(
-                    spec.commandLine(), "no ended request in " + logs + ": name logs of entries at level info");
+                    spec.commandLine(),
+                    "no completed request in " + logs + ": pass logs that entries wrote at level info");
         }
         LossReport report = LossReport.of(requests, windowSeconds * MILLIS_PER_SECOND);
         spec.commandLine().getOut().println(json ? report.json() : report.table());
@@ -67,7 +68,7 @@
     }
 
     private List<EndedRequest> read(Path log) {
-        // A byte that is no text spoils its own line only.
+        // ISO 8859-1 accepts any byte, so an invalid byte affects its own line only.
         try (Stream<String> lines = Files.lines(log, StandardCharsets.ISO_8859_1)) {
             return lines.map(EndedRequest::parse).flatMap(Optional::stream).toList();
         } catch (IOException failure) {
--- a/src/main/java/io/waxwingquay/command/HostedCommand.java
+++ b/src/main/java/io/waxwingquay/command/HostedCommand.java
@@ -10,11 +10,11 @@
 import picocli.CommandLine.Spec;
 
 /**
- * Runs one role on the prepared platform, until SIGTERM.
+ * Runs one role on the prepared platform until SIGTERM.
  */
 @Command(
         name = "hosted",
-        description = "Runs a role on the prepared platform, by the settings file that it writes.",
+        description = "Runs a role on the prepared platform with the settings file that the platform writes.",
         mixinStandardHelpOptions = true)
 final class HostedCommand implements Callable<Integer> {
 
@@ -24,10 +24,12 @@
     @Parameters(index = "0", description = "The role: ${COMPLETION-CANDIDATES}.")
     private HostedRole role;
 
-    @Option(names = "--settings", description = "The settings file; else the variable WAXWINGQUAY_CONFIG names it.")
+    @Option(
+            names = "--settings",
+            description = "The settings file; by default the one that the variable WAXWINGQUAY_CONFIG names.")
     private Path file;
 
-    @Option(names = "--log", description = "The lowest level that is logged: ${COMPLETION-CANDIDATES}.")
+    @Option(names = "--log", description = "The minimum log level: ${COMPLETION-CANDIDATES}.")
     private LogLevel level = LogLevel.INFO;
 
     /** {@inheritDoc} */
--- a/src/main/java/io/waxwingquay/command/HostedRole.java
+++ b/src/main/java/io/waxwingquay/command/HostedRole.java
@@ -20,11 +20,11 @@
 import java.util.function.BiFunction;
 import sun.misc.Signal;
 
-/** The roles on the prepared platform, and how a process runs one of them. */
+/** A role that a process can run on the prepared platform. */
 enum HostedRole {
-    /** Takes callers' requests. */
+    /** Accepts callers' requests. */
     ENTRY(HostedEntry::start),
-    /** Looks after the engine beside it. */
+    /** Manages the engine beside it. */
     SIDE(HostedSide::start);
 
     private static final System.Logger LOG = System.getLogger("waxwingquay.command");
@@ -35,7 +35,7 @@
         this.starter = starter;
     }
 
-    /** The settings file that the platform names for this process. */
+    /** Returns the settings file that the platform names in the environment, or {@code local.toml} if it names none. */
     static Path defaultSettingsFile() {
         return Path.of(System.getenv().getOrDefault(SettingsFile.VARIABLE, "local.toml"));
     }
@@ -44,8 +44,8 @@
      * Runs the role until SIGTERM.
      *
      * @param file the settings file.
-     * @param level the lowest level that is logged.
-     * @param errors told why it can't run.
+     * @param level the minimum log level.
+     * @param errors receives the reason if the role can't run.
      * @return the exit code.
      */
     int run(Path file, LogLevel level, PrintWriter errors) throws InterruptedException {
@@ -67,24 +67,24 @@
         HostedProcess process = started.get();
         CountDownLatch closed = new CountDownLatch(1);
         Signal.handle(new Signal("TERM"), signal -> process.leave().thenRun(closed::countDown));
-        // The settings that this program uses do not change while a VM lives; the virtual machine would exit on HUP.
+        // Without a handler the JVM would exit on SIGHUP. The settings in use do not change during the life of a VM.
         Signal.handle(
                 new Signal("HUP"),
                 signal -> LOG.log(
                         System.Logger.Level.INFO,
-                        "command: told of changed settings, none of which apply to a running process"));
+                        "command: ignored SIGHUP, as no changed setting applies to a running process"));
         closed.await();
         Logging.flush();
         return ExitCodes.OK;
     }
 
     /**
-     * Starts the process. All of it is put together on its loop, so that two threads never read and load classes side by
-     * side.
+     * Starts the process. All of its parts are assembled on its event loop, so that two threads never read and load
+     * classes concurrently.
      *
      * @param settings the settings.
-     * @param errors told why it can't start.
-     * @return the process; empty if it can't start, and nothing of it is left then.
+     * @param errors receives the reason if the process can't start.
+     * @return the process; empty if it can't start, in which case everything that was opened is closed.
      */
     Optional<HostedProcess> start(HostSettings settings, PrintWriter errors) {
         EventLoop loop = EventLoop.start("loop");
--- a/src/main/java/io/waxwingquay/command/HttpPlatform.java
+++ b/src/main/java/io/waxwingquay/command/HttpPlatform.java
@@ -10,7 +10,7 @@
 import org.eclipse.jetty.client.HttpClient;
 
 /**
- * Clients of the platform over HTTP, for the time of one command.
+ * HTTP clients of the platform for the duration of one command.
  */
 final class HttpPlatform implements PlatformFactory.Platform {
 
@@ -25,9 +25,9 @@
     }
 
     /**
-     * Opens clients.
+     * Opens the clients.
      *
-     * @param url where the platform answers.
+     * @param url the URL of the platform.
      * @return the clients.
      */
     static PlatformFactory.Platform open(URI url) {
@@ -52,7 +52,7 @@
         try {
             client.stop();
         } catch (Exception failure) {
-            throw new IllegalStateException("the platform's client did not stop", failure);
+            throw new IllegalStateException("the HTTP client of the platform failed to stop", failure);
         }
     }
 }
--- a/src/main/java/io/waxwingquay/command/KeyFile.java
+++ b/src/main/java/io/waxwingquay/command/KeyFile.java
@@ -15,8 +15,8 @@
 import java.util.Set;
 
 /**
- * An operator's private key in a file that only its owner may read, with the public key beside it in a file of the
- * same name with {@code .pub}.
+ * An operator's private key in a file that is accessible to its owner only. The public key is in a file of the same
+ * name with the suffix {@code .pub}.
  */
 final class KeyFile {
 
@@ -29,20 +29,22 @@
         this.file = file;
     }
 
+    /** Generates a key pair and writes both files, neither of which may exist. */
     KeyPair create() throws IOException {
         KeyPair pair = KeyCodec.generate();
-        // The permissions are set as the file is made, so that there is no moment at which others can open it.
+        // The file is created with its permissions, so that there is no moment at which others can open it.
         Files.createFile(file, PosixFilePermissions.asFileAttribute(OWNER_ONLY));
         Files.writeString(file, KeyCodec.text(pair.getPrivate()) + "\n");
         Files.writeString(publicKeyFile(), KeyCodec.text(pair.getPublic()) + "\n", StandardOpenOption.CREATE_NEW);
         return pair;
     }
 
+    /** Returns a signer for this key; refuses a key file that others than its owner may access. */
     BundleSigner signer() throws IOException {
         Set<PosixFilePermission> permissions = Files.getPosixFilePermissions(file);
         if (!OWNER_ONLY.containsAll(permissions)) {
             throw new BundleException(
-                    "private key " + file + " may be used by others than its owner ("
+                    "private key " + file + " is accessible to others than its owner ("
                             + PosixFilePermissions.toString(permissions) + "); run: chmod 600 " + file,
                     null);
         }
--- a/src/main/java/io/waxwingquay/command/Main.java
+++ b/src/main/java/io/waxwingquay/command/Main.java
@@ -16,7 +16,7 @@
 import picocli.CommandLine.Spec;
 
 /**
- * The one binary: a subcommand for each role and each operator action.
+ * Main class of the command line, with a subcommand for each role and each operator action.
  */
 @Command(
         name = "waxwingquay",
@@ -26,7 +26,7 @@
         version = "waxwingquay 0.1.0")
 public final class Main implements Runnable {
 
-    /** The commands that run until they are stopped. */
+    /** Commands that run a role until the process is stopped. */
     private static final Set<String> ROLE_COMMANDS = Set.of("entry", "side", "hosted");
 
     @Spec
@@ -35,9 +35,9 @@
     private Main() {}
 
     /**
-     * Starts the command line.
+     * Runs the command line.
      *
-     * @param arguments the arguments.
+     * @param arguments the command-line arguments.
      */
     public static void main(String[] arguments) {
         Logging.configure(LogFormat.TEXT, LogLevel.WARN);
@@ -45,12 +45,12 @@
     }
 
     /**
-     * The command line as far as one call needs it. A process that is started again after a failure is missed until it
-     * answers, and describing commands that it does not run was two fifths of the time until then.
+     * Creates a command line with the commands that one invocation needs. A process that restarts after a failure
+     * serves nothing until it is up, and describing commands that it does not run took two fifths of that time.
      *
      * @param platforms opens clients of the platform.
-     * @param arguments the arguments of the call.
-     * @return the command that the first argument names if it runs a role, else all.
+     * @param arguments the arguments of the invocation.
+     * @return a command line with only the command that the first argument names if that runs a role, else with all.
      */
     static CommandLine commandLine(PlatformFactory platforms, String[] arguments) {
         Map<String, Supplier<Object>> factories = commandFactories(platforms);
@@ -61,7 +61,7 @@
     }
 
     /**
-     * The whole command line.
+     * Creates a command line with all commands.
      *
      * @param platforms opens clients of the platform.
      * @return the command line.
@@ -98,10 +98,10 @@
     /** {@inheritDoc} */
     @Override
     public void run() {
-        throw new ParameterException(spec.commandLine(), "a command is needed");
+        throw new ParameterException(spec.commandLine(), "a subcommand is required");
     }
 
-    /** An operator is told what failed in a sentence; the trace is for a search after a cause, at DEBUG. */
+    /** Prints the failure to the operator in one line and logs its stack trace at DEBUG. */
     private static int reportFailure(Exception failure, CommandLine command, ParseResult arguments) {
         command.getErr().println(command.getCommandSpec().qualifiedName() + " failed: " + failure);
         System.getLogger("waxwingquay.command").log(System.Logger.Level.DEBUG, "command: a command failed.", failure);
--- a/src/main/java/io/waxwingquay/command/PlatformFactory.java
+++ b/src/main/java/io/waxwingquay/command/PlatformFactory.java
@@ -5,7 +5,7 @@
 import java.net.URI;
 
 /**
- * Opens clients of the platform's services for a command.
+ * Opens clients of the platform's services.
  */
 @FunctionalInterface
 public interface PlatformFactory {
@@ -13,23 +13,23 @@
     /**
      * Opens the clients.
      *
-     * @param url where the platform answers.
+     * @param url the URL of the platform.
      * @return the clients.
      */
     Platform open(URI url);
 
-    /** Clients of the platform, closed after the command. */
+    /** Clients of the platform, closed when the command ends. */
     interface Platform extends AutoCloseable {
 
         /**
-         * The table service.
+         * Returns the client of the table service.
          *
          * @return the client.
          */
         TableService table();
 
         /**
-         * The object store.
+         * Returns the client of the object store.
          *
          * @return the client.
          */
--- a/src/main/java/io/waxwingquay/command/RehearseCommand.java
+++ b/src/main/java/io/waxwingquay/command/RehearseCommand.java
@@ -14,11 +14,11 @@
 import picocli.CommandLine.Option;
 
 /**
- * Plays the hosted roles on loopback against stand-ins; the build runs it to make its class archive.
+ * Runs the hosted roles on loopback against stand-ins; the build runs it to create the class archive.
  */
 @Command(
         name = "rehearse",
-        description = "Plays the hosted roles on loopback against stand-ins.",
+        description = "Runs the hosted roles on loopback against stand-ins.",
         mixinStandardHelpOptions = true)
 final class RehearseCommand implements Callable<Integer> {
 
@@ -26,7 +26,7 @@
     private static final int MAX_FIRST_PORT = 30_000;
     private static final int MAX_ATTEMPTS = 5;
 
-    @Option(names = "--port", description = "The first of ten free ports on loopback; drawn if it is left out.")
+    @Option(names = "--port", description = "The first of ten free ports on loopback; chosen at random by default.")
     private Optional<Integer> port = Optional.empty();
 
     /** {@inheritDoc} */
@@ -42,7 +42,7 @@
         return ExitCodes.OK;
     }
 
-    /** Other programs may use some of the ports that are drawn. */
+    /** Runs on random ports and retries with others if a port is in use by another program. */
     private static void playOnRandomPorts() throws Exception {
         for (int attempt = 1; ; attempt++) {
             try {
--- a/src/main/java/io/waxwingquay/command/RoleRunner.java
+++ b/src/main/java/io/waxwingquay/command/RoleRunner.java
@@ -11,22 +11,23 @@
 import java.util.function.Supplier;
 
 /**
- * What the commands of the long-running roles share: reading settings, and leaving gracefully on a signal.
+ * Runs the long-running roles: reads their settings, starts them, and shuts them down gracefully on a signal.
  */
 final class RoleRunner {
 
     private RoleRunner() {}
 
     /**
-     * Reads settings and runs a role until its process is told to stop.
+     * Reads the settings and runs a role until its process is stopped.
      *
-     * @param <S> the settings.
+     * @param <S> the type of the settings.
      * @param file the settings file.
-     * @param errors where a refusal is told.
+     * @param errors receives the reason if the role can't run.
      * @param reader reads the settings.
-     * @param starter starts the role and returns what drains it.
+     * @param starter starts the role.
      * @return the exit code.
-     * @throws InterruptedException if the wait is interrupted.
+     * @throws InterruptedException if the thread is interrupted while the role runs.
+     * @throws ExecutionException if the role fails to close.
      */
     static <S> int run(Path file, PrintWriter errors, SettingsReader<S> reader, RoleStarter<S> starter)
             throws InterruptedException, ExecutionException {
@@ -48,9 +49,9 @@
             errors.println("failed: " + malformed.getMessage());
             return ExitCodes.FAILED;
         }
-        // The virtual machine exits when the hooks have ended, so a signal drains before the process goes.
+        // The JVM exits after its shutdown hooks have ended, so a signal drains the role before the process exits.
         Runtime.getRuntime().addShutdownHook(new Thread(running::drainUnlessClosed, "drain"));
-        // A drain that an operator asked for ends the process too; without this it would stay, deaf and idle.
+        // A drain that an operator requested ends the process too, which would otherwise stay up without serving.
         running.closed().get();
         return ExitCodes.OK;
     }
@@ -58,7 +59,7 @@
     /**
      * Reads settings.
      *
-     * @param <S> the settings.
+     * @param <S> the type of the settings.
      */
     @FunctionalInterface
     interface SettingsReader<S> {
@@ -69,7 +70,7 @@
     /**
      * Starts a role.
      *
-     * @param <S> the settings.
+     * @param <S> the type of the settings.
      */
     @FunctionalInterface
     interface RoleStarter<S> {
@@ -78,10 +79,10 @@
     }
 
     /**
-     * A role that runs.
+     * A running role.
      *
      * @param drain starts a graceful shutdown.
-     * @param closed completes when it has closed.
+     * @param closed completes when the role has closed.
      */
     record RunningRole(Supplier<CompletableFuture<?>> drain, CompletableFuture<Void> closed) {
 
--- a/src/main/java/io/waxwingquay/command/SideCommand.java
+++ b/src/main/java/io/waxwingquay/command/SideCommand.java
@@ -12,7 +12,7 @@
 import picocli.CommandLine.Spec;
 
 /**
- * Runs a side until it is told to stop; it then finishes what is in flight.
+ * Runs a side process until it is stopped, and drains requests in flight before it exits.
  */
 @Command(name = "side", description = "Runs a side process beside its target.", mixinStandardHelpOptions = true)
 final class SideCommand implements Callable<Integer> {
--- a/src/main/java/io/waxwingquay/command/SignatureFile.java
+++ b/src/main/java/io/waxwingquay/command/SignatureFile.java
@@ -8,7 +8,7 @@
 import java.nio.file.Path;
 
 /**
- * The signature beside a bundle's file: one line with the key's identifier and the signature.
+ * Reads and writes the signature file beside a bundle's file: one line with the key's identifier and the signature.
  */
 final class SignatureFile {
 
@@ -26,7 +26,7 @@
         }
         String[] fields = Files.readString(file).strip().split("\\s+");
         if (fields.length != 2) {
-            throw new BundleException(file + " is no signature; run 'bundle sign' again", null);
+            throw new BundleException(file + " is not a signature file; run 'bundle sign' again", null);
         }
         long version = BundleDocument.parse(bundle.toString(), document).version();
         return new SignedBundle(version, document, fields[1], fields[0]);
--- a/src/main/java/io/waxwingquay/command/package-info.java
+++ b/src/main/java/io/waxwingquay/command/package-info.java
@@ -1,4 +1,4 @@
 /**
- * The command line: one runnable jar with a subcommand for each role and operator action.
+ * The command line, with a subcommand for each role and each operator action.
  */
 package io.waxwingquay.command;
--- a/src/test/java/io/waxwingquay/command/HostedRoleTest.java
+++ b/src/test/java/io/waxwingquay/command/HostedRoleTest.java
@@ -19,8 +19,7 @@
 
     private static final String LOOPBACK = "127.0.0.1";
 
-    // A port is taken. The process stayed alive and served nothing, so that nobody
-    // started it again.
+    // Guards against a process that stays alive without serving when a port is in use, so that nobody restarts it.
     @Test
     void reportsPortInUseAndDoesNotStart() throws IOException {
         int port = FreePorts.adjacent(4, List.of(LOOPBACK));
--- a/src/test/java/io/waxwingquay/command/MainTest.java
+++ b/src/test/java/io/waxwingquay/command/MainTest.java
@@ -52,8 +52,8 @@
         assertTrue(err.toString().contains("line 2: service: is no known key; did you mean services?"), err.toString());
     }
 
-    // A private key that others on the machine can read lets any of them sign bundles, unseen. Such a file is
-    // refused before it is used, with the command that mends it.
+    // Guards against private keys that other users of the machine can read and sign bundles with unnoticed. Such a
+    // file is refused before use, and the message gives the command that corrects its permissions.
     @Test
     void refusesKeyReadableByOthers() throws IOException {
         String key = key("operator");
@@ -61,10 +61,10 @@
         Files.setPosixFilePermissions(Path.of(key), PosixFilePermissions.fromString("rw-r-----"));
         assertEquals(ExitCodes.FAILED, run("bundle", "sign", "--key", key, bundle(1)));
         assertTrue(err.toString().contains("chmod 600"), err.toString());
-        assertEquals(ExitCodes.FAILED, run("bundle", "keygen", key), "an existing key is never replaced");
+        assertEquals(ExitCodes.FAILED, run("bundle", "keygen", key), "an existing key must not be replaced");
     }
 
-    // Each way a submission can end has its own exit code, so that a script never takes "unknown" for "failed".
+    // Guards against scripts that mistake an unknown outcome of a submission for a failed one: each has its exit code.
     @Test
     void exitCodesDistinguishRefusedUnknownAndFailed() throws IOException {
         String file = bundle(1);
@@ -105,8 +105,8 @@
         assertHelp(Main.commandLine(url -> new FakePlatformClients()), List.of());
     }
 
-    // A process with a bad setting that started all the same would run with a default nobody chose. It refuses to
-    // start, with one sentence for each key, and the exit code says that it was refused and did not fail.
+    // Guards against a process that starts despite an invalid setting and runs with a default that nobody chose. The
+    // start is refused with one message for each key, and with the exit code for refused rather than for failed.
     @Test
     void everyRoleRefusesInvalidSettings() throws IOException {
         String entry = Files.readString(Path.of("docs", "settings", "entry.toml"))
--- a/src/test/java/io/waxwingquay/command/OperatorKeysTest.java
+++ b/src/test/java/io/waxwingquay/command/OperatorKeysTest.java
@@ -28,7 +28,7 @@
 import org.junit.jupiter.api.io.TempDir;
 import picocli.CommandLine;
 
-/** An operator at the command line, against a platform over HTTP and a running process. */
+/** Tests operator keys from the command line, against a platform over HTTP and a running process. */
 class OperatorKeysTest {
 
     private static final long EXIT_TIMEOUT_SECONDS = 60;
@@ -47,8 +47,8 @@
         platform.close();
     }
 
-    // A key that leaked must not be able to change the system once a bundle has replaced it, neither at the command
-    // line nor in a running process whose settings still name it as the root, even if a bundle lists it by mistake.
+    // Guards against a leaked key that can still change the system after a bundle has replaced it: at the command line,
+    // or in a running process whose settings still name it as the root, even if a bundle lists it by mistake.
     @Test
     void refusesRevokedKeyAfterRotation() throws Exception {
         String first = key("first");
@@ -95,7 +95,9 @@
             }
             String admin = Files.readString(log).replaceAll("(?s).*for operators on port ([0-9]+).*", "127.0.0.1:$1");
             assertEquals(202, call(admin, "/shutdown", "none"));
-            assertTrue(process.waitFor(EXIT_TIMEOUT_SECONDS, TimeUnit.SECONDS), "the process stayed after its drain");
+            assertTrue(
+                    process.waitFor(EXIT_TIMEOUT_SECONDS, TimeUnit.SECONDS),
+                    "the process did not exit after its drain");
             assertEquals(ExitCodes.OK, process.exitValue());
         } finally {
             process.destroyForcibly().waitFor();
