--- a/src/main/java/io/waxwingquay/process/BootEpochAllocator.java
+++ b/src/main/java/io/waxwingquay/process/BootEpochAllocator.java
@@ -9,12 +9,12 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * The number that names one life of a side process. It is also its fencing number towards the engine.
+ * Allocates the epoch of an incarnation of a side process, which also is its fencing token towards the engine.
  *
- * <p>Failure: a VM is replaced by one whose clock runs behind. Symptom: with the wall clock alone the replacement has
- * the lower number, so its peers keep the dead one and a fenced engine refuses its orders. The number is therefore
- * raised above the one kept in the table service. With the table service out the wall clock alone has to do, as a side
- * that could not start would leave its models unserved.
+ * <p>The wall clock alone does not suffice: if a VM is replaced by one whose clock runs behind, the replacement would
+ * have the lower epoch, so that its peers would keep the dead incarnation and a fenced engine would refuse its orders.
+ * The epoch is therefore raised above the one stored in the table service. While the table service is unavailable, the
+ * wall clock alone is used, as a side that could not start would leave its models unserved.
  */
 final class BootEpochAllocator {
 
@@ -30,21 +30,24 @@
     }
 
     /**
-     * Takes the number for this life.
+     * Allocates an epoch for this incarnation.
      *
      * @param name the process's name.
-     * @return the number; does not fail.
+     * @return the epoch; never completes exceptionally.
      */
     CompletableFuture<Long> allocate(String name) {
         String key = KEY_PREFIX + name;
         return table.read(List.of(key))
                 .thenCompose(rows -> commitNext(key, Optional.ofNullable(rows.get(key))))
                 .exceptionally(failure -> {
-                    LOG.log(System.Logger.Level.WARNING, "process: No boot epoch from the table, using the clock.");
+                    LOG.log(
+                            System.Logger.Level.WARNING,
+                            "process: cannot allocate a boot epoch in the table service; using the clock.");
                     return clock.epochMillis();
                 });
     }
 
+    /** Commits an epoch above the one in the row and retries with the stored row on a conflict. */
     private CompletableFuture<Long> commitNext(String key, Optional<Row> row) {
         long lastEpoch = row.map(Row::value).map(Long::parseLong).orElse(0L);
         long epoch = Math.max(clock.epochMillis(), lastEpoch + 1L);
--- a/src/main/java/io/waxwingquay/process/DocumentCodec.java
+++ b/src/main/java/io/waxwingquay/process/DocumentCodec.java
@@ -9,8 +9,8 @@
 import java.util.zip.InflaterInputStream;
 
 /**
- * Bundle documents as peers send them. At 620 models a document has some 370 KB, which 4,400 times a day would take
- * twice the 9 KB/s of a node; deflated it has a seventh of that.
+ * Compresses the bundle documents that peers send to each other. With 620 models a document has about 370 KB; sent
+ * 4,400 times a day it would take twice the 9 KB/s of a node. Deflated it has a seventh of that size.
  */
 final class DocumentCodec {
 
@@ -23,24 +23,25 @@
         try (DeflaterOutputStream out = new DeflaterOutputStream(deflated)) {
             out.write(document);
         } catch (IOException failure) {
-            throw new UncheckedIOException("a buffer in memory failed", failure);
+            throw new UncheckedIOException("writing to a memory buffer failed", failure);
         }
         return deflated.toByteArray();
     }
 
     /**
-     * The exact document; whether it is trusted its signature tells later. The bound stops a faulty peer whose few
-     * bytes would inflate until memory is out.
+     * Restores the exact document; its signature is verified later. The size limit protects against a faulty peer whose
+     * small answer would inflate until memory is exhausted.
      */
     static byte[] inflate(byte[] deflated) {
         try (InflaterInputStream in = new InflaterInputStream(new ByteArrayInputStream(deflated))) {
             byte[] document = in.readNBytes(MAX_DOCUMENT_BYTES + 1);
             if (document.length > MAX_DOCUMENT_BYTES) {
-                throw new BundleException("a peer's bundle has over " + MAX_DOCUMENT_BYTES + " bytes", null);
+                throw new BundleException(
+                        "a peer's bundle inflates to more than " + MAX_DOCUMENT_BYTES + " bytes", null);
             }
             return document;
         } catch (IOException failure) {
-            throw new BundleException("a peer's bundle does not inflate", failure);
+            throw new BundleException("a peer's bundle cannot be inflated", failure);
         }
     }
 }
--- a/src/main/java/io/waxwingquay/process/EntryProcess.java
+++ b/src/main/java/io/waxwingquay/process/EntryProcess.java
@@ -12,7 +12,7 @@
 import java.util.random.RandomGenerator;
 
 /**
- * An entry process, put together from its settings.
+ * An entry process, assembled from its settings.
  */
 public final class EntryProcess implements AutoCloseable {
 
@@ -31,9 +31,9 @@
     }
 
     /**
-     * Starts an entry process. It is ready when it has a bundle in force.
+     * Starts an entry process, which becomes ready when it has a bundle in force.
      *
-     * @param settings what it is told.
+     * @param settings the settings.
      * @return the running process.
      */
     public static EntryProcess start(EntrySettings settings) {
@@ -60,7 +60,7 @@
     }
 
     /**
-     * Where callers reach it.
+     * Returns the address on which callers reach this entry.
      *
      * @return the address.
      */
@@ -69,16 +69,16 @@
     }
 
     /**
-     * The version of the bundle in force here.
+     * Returns the version of the bundle in force in this process.
      *
-     * @return the version, 0 while there is none.
+     * @return the version; 0 while there is none.
      */
     public long bundleVersion() {
         return runtime.bundles().version();
     }
 
     /**
-     * Where operators reach it.
+     * Returns the port on which operators reach this process.
      *
      * @return the admin port.
      */
@@ -87,7 +87,7 @@
     }
 
     /**
-     * Where it listens for other processes.
+     * Returns the address on which this process listens for other processes.
      *
      * @return the address.
      */
@@ -96,7 +96,7 @@
     }
 
     /**
-     * What it knows of the sides.
+     * Returns this entry's view of the sides.
      *
      * @return the membership.
      */
@@ -105,9 +105,9 @@
     }
 
     /**
-     * Refuses new requests, finishes those in flight, then closes.
+     * Refuses new requests, waits for those in flight to end, and then closes.
      *
-     * @return whether everything in flight was finished.
+     * @return completes when closed, with whether all requests in flight ended in time.
      */
     public CompletableFuture<Boolean> drain() {
         return node.drain(DRAIN_LIMIT_MILLIS).thenApplyAsync(finished -> {
@@ -117,9 +117,9 @@
     }
 
     /**
-     * Tells when this process has closed, by a drain or otherwise.
+     * Returns a future of the end of this process, by a drain or otherwise.
      *
-     * @return completes then.
+     * @return completes when this process has closed.
      */
     public CompletableFuture<Void> closed() {
         return runtime.closed();
@@ -162,12 +162,12 @@
     }
 
     /**
-     * What the state dump shows of an entry.
+     * The section of an entry in the state dump.
      *
-     * @param name its name.
-     * @param inFlight requests in flight.
-     * @param pendingOutcomes outcomes of claimed calls still to be recorded in the table.
-     * @param retriesLeft retries that may be sent now.
+     * @param name the name of the process.
+     * @param inFlight the number of requests in flight.
+     * @param pendingOutcomes the number of outcomes of claimed calls that are not yet recorded in the table.
+     * @param retriesLeft the number of retries that the retry budget allows now.
      * @param sides the sides with their load, as this entry knows them.
      */
     private record EntryState(
--- a/src/main/java/io/waxwingquay/process/GatedSideHandler.java
+++ b/src/main/java/io/waxwingquay/process/GatedSideHandler.java
@@ -22,7 +22,7 @@
 import java.util.function.Function;
 
 /**
- * What a side process answers from its first moment on: its peers at once, entries once it has a bundle in force.
+ * Answers calls of peers from the start of a side process, and rejects calls of entries until a bundle is in force.
  */
 final class GatedSideHandler extends ForwardingPeer implements SideProtocol {
 
@@ -37,9 +37,9 @@
     }
 
     /**
-     * Lets entries in.
+     * Starts to pass calls of entries on.
      *
-     * @param readyNode the side.
+     * @param readyNode the node that answers them.
      */
     void open(SideNode readyNode) {
         node.set(Optional.of(readyNode));
--- a/src/main/java/io/waxwingquay/process/PeerBundleFetcher.java
+++ b/src/main/java/io/waxwingquay/process/PeerBundleFetcher.java
@@ -12,7 +12,7 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Fetches bundles from the peer that last told of a higher version, or else from any peer.
+ * Fetches bundles from the peer that last announced a newer version, or else from a random peer.
  */
 final class PeerBundleFetcher implements BundleFeed.PeerFetcher {
 
@@ -30,9 +30,9 @@
     }
 
     /**
-     * Notes who told of a higher version.
+     * Notes a peer that announced a newer version.
      *
-     * @param from the peer.
+     * @param from the address of the peer.
      */
     void notePeerWithNewerBundle(HostPort from) {
         peerWithNewerBundle = Optional.of(from);
--- a/src/main/java/io/waxwingquay/process/PeerHandler.java
+++ b/src/main/java/io/waxwingquay/process/PeerHandler.java
@@ -19,7 +19,7 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * Answers what any other process may ask.
+ * Answers the calls that any other process may make.
  */
 final class PeerHandler implements PeerProtocol {
 
--- a/src/main/java/io/waxwingquay/process/PlannedItems.java
+++ b/src/main/java/io/waxwingquay/process/PlannedItems.java
@@ -12,9 +12,10 @@
 import java.util.Set;
 
 /**
- * Placement for one side. The plan is made again at most once an interval, as the order loop asks far more often than
- * the view of the others changes, and each plan costs processor time that grows with the service. So the interval grows
- * with the sides: a plan over 2,400 sides was measured at 0.2 s, of which one a second is 20% of a core.
+ * Determines the wanted items of one side from a placement plan. The plan is recomputed at most once per interval, as
+ * the order loop asks far more often than the membership view changes, and the processor time of a plan grows with the
+ * service. The interval grows with the number of sides: a plan over 2,400 sides takes 0.2 s, so one a second would take
+ * 20% of a core.
  */
 final class PlannedItems implements WantedItems {
 
@@ -48,12 +49,12 @@
         this.startMillis = clock.monotonicMillis();
     }
 
-    /** This side's share of the plan as it was last made. */
+    /** Returns this side's share of the last plan. */
     synchronized Plan.Share share() {
         return plan.shareOf(sideId);
     }
 
-    /** Models for which the plan found no room on any side. */
+    /** Returns the models for which the last plan found no room on any side. */
     synchronized List<String> unplacedModels() {
         return plan.unplacedModels();
     }
@@ -92,10 +93,10 @@
     }
 
     /**
-     * When plans are made.
+     * Times that determine when plans are computed.
      *
-     * @param minPlanIntervalMillis the least time between two plans.
-     * @param maxSettleMillis the longest wait for the other sides before the first plan.
+     * @param minPlanIntervalMillis the shortest time between two plans of the same bundle.
+     * @param maxSettleMillis the longest wait for the other sides to become known before the first plan.
      */
     record Timing(long minPlanIntervalMillis, long maxSettleMillis) {}
 }
--- a/src/main/java/io/waxwingquay/process/ProcessRuntime.java
+++ b/src/main/java/io/waxwingquay/process/ProcessRuntime.java
@@ -41,7 +41,7 @@
 import org.eclipse.jetty.client.HttpClient;
 
 /**
- * What an entry and a side have in common: platform clients, peers, membership, gossip and the bundle in force.
+ * Components that entries and sides share: platform clients, peers, membership, gossip and the bundle in force.
  */
 final class ProcessRuntime implements AutoCloseable {
 
@@ -108,7 +108,7 @@
         this.vmWatch = new VmWatch(vmList, peers, connections, clock, random, self, VM_LIST_INTERVAL_MILLIS);
     }
 
-    /** Starts to follow the bundle, the peers and the VM list. */
+    /** Starts to track the bundle, the peers and the VM list. */
     void start() {
         bundles.onAdopted(bundle -> gossip.hurry());
         feed.start();
@@ -117,11 +117,11 @@
     }
 
     /**
-     * Opens the port for operators.
+     * Starts the admin server for operators.
      *
-     * @param notReady why the process takes no work, if so.
+     * @param notReady returns why the process is not ready, or empty if it is.
      * @param drain starts a graceful shutdown.
-     * @param sections adds what the role shows in the state dump.
+     * @param sections adds the sections of the role to the state dump.
      */
     void startAdminServer(Supplier<Optional<String>> notReady, Runnable drain, Consumer<StateDump> sections) {
         StateDump dump = new StateDump()
@@ -209,11 +209,11 @@
     }
 
     /**
-     * Closes something together with this foundation, before everything that was owned earlier.
+     * Registers a resource to be closed together with this runtime, before all that were registered earlier.
      *
-     * @param <T> what it is.
-     * @param closeable what is closed.
-     * @return the same.
+     * @param <T> the type of the resource.
+     * @param closeable the resource.
+     * @return the resource.
      */
     <T extends AutoCloseable> T registerCloseable(T closeable) {
         closeables.push(closeable);
@@ -233,7 +233,7 @@
         try {
             resource.close();
         } catch (Exception failure) {
-            LOG.log(System.Logger.Level.WARNING, "process: A part did not close cleanly.", failure);
+            LOG.log(System.Logger.Level.WARNING, "process: a component failed to close.", failure);
         }
     }
 
@@ -275,13 +275,13 @@
     }
 
     /**
-     * What the state dump shows of the bundle.
+     * The section of the bundle in the state dump.
      *
-     * @param version the version in force, 0 while there is none.
-     * @param services services it names.
-     * @param models models it names.
-     * @param adapters adapters it names.
-     * @param lastFailure why the last look for a newer one failed.
+     * @param version the version in force; 0 while there is none.
+     * @param services the number of services in the bundle.
+     * @param models the number of models in the bundle.
+     * @param adapters the number of adapters in the bundle.
+     * @param lastFailure why the last poll for a newer bundle failed.
      */
     private record BundleState(long version, long services, long models, long adapters, Optional<String> lastFailure) {}
 }
--- a/src/main/java/io/waxwingquay/process/ShippedCharts.java
+++ b/src/main/java/io/waxwingquay/process/ShippedCharts.java
@@ -12,19 +12,17 @@
 import io.waxwingquay.transport.generated.SideState;
 
 /**
- * Every state chart that this program interprets.
+ * The state charts that this program interprets.
  */
 public final class ShippedCharts {
 
     private ShippedCharts() {}
 
     /**
-     * Reads and checks all charts.
+     * Loads and validates all charts before the process starts, because a chart that lacks a transition would fail the
+     * first request that needs it, long after the start.
      *
-     * <p>Failure: a chart lacks a move. Symptom: the first request that needs it fails, long after the start. With the
-     * check a process with such a chart does not start.
-     *
-     * @throws io.waxwingquay.chart.ChartException.Malformed if a chart is missing or faulty.
+     * @throws io.waxwingquay.chart.ChartException.Malformed if a chart is missing or malformed.
      */
     public static void validateAll() {
         StateChart.load(RequestPhase.CHART_NAME, RequestPhase.class, RequestPhase.Event.class);
--- a/src/main/java/io/waxwingquay/process/SideDump.java
+++ b/src/main/java/io/waxwingquay/process/SideDump.java
@@ -10,15 +10,15 @@
 import java.util.Optional;
 
 /**
- * What the state dump shows of a side.
+ * The section of a side in the state dump.
  *
- * @param identity who it is.
- * @param state its lifecycle.
- * @param attempts remembered attempts by state.
- * @param memory the memory ledger, empty for a plain service.
- * @param orderLoop the order loop.
- * @param permits shared limits.
- * @param placement this side's share of the plan.
+ * @param identity the identity of the side.
+ * @param state the state of its lifecycle.
+ * @param attempts the number of retained attempts in each state.
+ * @param memory the memory ledger; empty for a plain service.
+ * @param orderLoop the state of the order loop.
+ * @param permits the permits of each shared limit.
+ * @param placement the placement plan as far as it concerns this side.
  */
 record SideDump(
         SideIdentity identity,
@@ -30,25 +30,25 @@
         Placement placement) {
 
     /**
-     * The order loop.
+     * The state of the order loop.
      *
-     * @param reportAgeMillis how long ago the engine's residency was read.
+     * @param reportAgeMillis the age of the last residency report read from the engine; empty before the first.
      * @param refusedItems wanted items for which there is no room.
      */
     record OrderLoop(Optional<Long> reportAgeMillis, List<String> refusedItems) {}
 
     /**
-     * Permits of one limit.
+     * The permits of one shared limit.
      *
-     * @param lent lent out by this side as a home.
-     * @param held held by this side.
+     * @param lent the number of permits that this side lends.
+     * @param held the number of permits that this side holds.
      */
     record PermitCount(int lent, int held) {}
 
     /**
-     * The plan.
+     * The placement plan as far as it concerns this side.
      *
-     * @param share what this side is to hold.
+     * @param share the items assigned to this side.
      * @param homelessModels models for which no side has room.
      */
     record Placement(Plan.Share share, List<String> homelessModels) {}
--- a/src/main/java/io/waxwingquay/process/SideProcess.java
+++ b/src/main/java/io/waxwingquay/process/SideProcess.java
@@ -29,7 +29,7 @@
 import java.util.random.RandomGenerator;
 
 /**
- * A side process, put together from its settings.
+ * A side process, assembled from its settings.
  */
 public final class SideProcess implements AutoCloseable {
 
@@ -82,10 +82,10 @@
     }
 
     /**
-     * Starts a side process. It answers its peers at once and serves when it has a bundle in force.
+     * Starts a side process, which answers its peers at once and serves when it has a bundle in force.
      *
-     * @param settings what it is told.
-     * @param decisions how it decides.
+     * @param settings the settings.
+     * @param decisions the strategies that it uses.
      * @return the running process.
      */
     public static SideProcess start(SideSettings settings, Decisions decisions) {
@@ -99,9 +99,9 @@
     }
 
     /**
-     * Starts a side process that decides as the product does.
+     * Starts a side process with the default strategies.
      *
-     * @param settings what it is told.
+     * @param settings the settings.
      * @return the running process.
      */
     public static SideProcess start(SideSettings settings) {
@@ -109,7 +109,7 @@
     }
 
     /**
-     * Where it listens for other processes.
+     * Returns the address on which this process listens for other processes.
      *
      * @return the address.
      */
@@ -118,16 +118,16 @@
     }
 
     /**
-     * The version of the bundle in force here.
+     * Returns the version of the bundle in force in this process.
      *
-     * @return the version, 0 while there is none.
+     * @return the version; 0 while there is none.
      */
     public long bundleVersion() {
         return runtime.bundles().version();
     }
 
     /**
-     * Where operators reach it.
+     * Returns the port on which operators reach this process.
      *
      * @return the admin port.
      */
@@ -136,16 +136,16 @@
     }
 
     /**
-     * Whether it has a bundle in force and takes work.
+     * Returns whether a bundle is in force, so that this side serves requests.
      *
-     * @return whether it is ready.
+     * @return whether this side is ready.
      */
     public boolean isReady() {
         return node.get().isPresent();
     }
 
     /**
-     * Leaves: refuses new work, finishes what runs, then closes. Asked again, it goes on with that.
+     * Refuses new requests, waits for those in flight to end, and then closes. Further calls return the same drain.
      *
      * @return completes when closed.
      */
@@ -160,9 +160,9 @@
     }
 
     /**
-     * Whether it has begun to leave.
+     * Returns whether this side has begun to leave.
      *
-     * @return whether it takes no new work any more.
+     * @return whether this side accepts no new requests any more.
      */
     public boolean isLeaving() {
         return node.get()
@@ -172,9 +172,9 @@
     }
 
     /**
-     * Tells when this process has closed, by a drain or otherwise.
+     * Returns a future of the end of this process, by a drain or otherwise.
      *
-     * @return completes then.
+     * @return completes when this process has closed.
      */
     public CompletableFuture<Void> closed() {
         return runtime.closed();
@@ -197,8 +197,9 @@
     }
 
     /**
-     * The others may know of this side what it does not: that a newer process stands in its place, or that the platform
-     * is about to take its VM away. Lending on would lend each permit twice; serving on would be cut off by the platform.
+     * Acts on what other processes know of this side: that a newer incarnation has replaced it, or that the platform is
+     * about to remove its VM. If the side continued, each permit would be lent twice in the first case, and the platform
+     * would cut off its requests in the second.
      */
     private void checkOwnRecord() {
         runtime.members().side(identity.sideId()).ifPresent(known -> {
@@ -249,7 +250,7 @@
         if (service.isEmpty()) {
             LOG.log(
                     System.Logger.Level.ERROR,
-                    "process: Bundle {0} names no service {1}; name it or mend the settings.",
+                    "process: bundle {0} names no service {1}; add it to the bundle or correct the settings.",
                     bundle.version(),
                     settings.service());
             return;
@@ -261,9 +262,9 @@
     }
 
     /**
-     * Failure: a bundle comes while a side that was told to stop before it had one closes its parts. Symptom: it takes
-     * requests, and the close cuts them. Both take the same lock, so either the drain finds what was opened or nothing
-     * opens any more.
+     * Creates and opens the node unless this side is draining. A bundle may arrive while a side that was stopped before
+     * it had one closes its components; a node opened then would accept requests that the close cuts off. This method
+     * and the drain hold the same lock, so either the drain finds the open node or none is opened any more.
      */
     private synchronized void openNode(Service service) {
         if (drainCompletion.isPresent()) {
@@ -352,14 +353,14 @@
     }
 
     /**
-     * How a side decides.
+     * The strategies of a side.
      *
-     * @param placement what its target holds.
-     * @param admission which requests can still make their deadline.
+     * @param placement determines which items its target holds.
+     * @param admission determines which requests can still meet their deadline.
      */
     public record Decisions(PlacementStrategy placement, AdmissionRule admission) {
 
-        /** The product's. */
+        /** The strategies used in production. */
         public static final Decisions DEFAULT = new Decisions(
                 PlacementStrategy.named("planned", DemandThresholds.DEFAULT), AdmissionRule.WITH_RUN_TIME);
     }
--- a/src/main/java/io/waxwingquay/process/package-info.java
+++ b/src/main/java/io/waxwingquay/process/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Whole processes: an entry or a side, put together from its settings. Nothing is decided here.
+ * Assembles the entry and side processes from their settings. This package holds no decision logic.
  */
 package io.waxwingquay.process;
--- a/src/test/java/io/waxwingquay/process/DocumentCodecTest.java
+++ b/src/test/java/io/waxwingquay/process/DocumentCodecTest.java
@@ -10,7 +10,8 @@
 
 class DocumentCodecTest {
 
-    // The signature is over the exact bytes: one byte off and every process refuses the bundle from its peers.
+    // Guards against a document that changes in transit: the signature covers the exact bytes, so every process would
+    // refuse the bundle from its peers.
     @Test
     void roundTripPreservesDocument() {
         byte[] document = new byte[100_000];
@@ -19,7 +20,8 @@
         assertArrayEquals(new byte[0], DocumentCodec.inflate(DocumentCodec.deflate(new byte[0])));
     }
 
-    // A faulty peer answers with bytes that inflate without end, or not at all: a failed look, not an exhausted heap.
+    // Guards against an exhausted heap when a faulty peer answers with bytes that inflate without end, or not at all:
+    // only this poll may fail.
     @Test
     void rejectsOversizedAndCorruptInput() {
         byte[] tooLong = DocumentCodec.deflate(new byte[17 * 1024 * 1024]);
--- a/src/test/java/io/waxwingquay/process/OperationsTest.java
+++ b/src/test/java/io/waxwingquay/process/OperationsTest.java
@@ -34,7 +34,7 @@
 import org.junit.jupiter.api.Test;
 import org.slf4j.LoggerFactory;
 
-/** What an operator sees of a running deployment. */
+/** Tests the metrics, state dumps and log lines that operators see of a running deployment. */
 class OperationsTest {
 
     private static final long READY_MILLIS = 60_000;
@@ -75,9 +75,9 @@
                 .collect(Collectors.toCollection(TreeSet::new));
         Set<String> undocumented = new TreeSet<>(ownMetrics);
         undocumented.removeAll(documented);
-        assertEquals(Set.of(), undocumented, "seen but not in the page");
+        assertEquals(Set.of(), undocumented, "exposed but not documented");
         documented.removeAll(scraped);
-        assertEquals(Set.of(), documented, "in the page but not seen");
+        assertEquals(Set.of(), documented, "documented but not exposed");
     }
 
     @Test
@@ -111,8 +111,8 @@
         assertTrue(attempts > 0);
     }
 
-    // Someone on call has a caller's request identity and nothing else. The same identity has to lead through the
-    // lines of entry, side and target, and a refusal has to be there without a change of the log level.
+    // Guards against a request that cannot be traced by its identity, which may be all that someone on call has. The
+    // identity must be in the lines of entry, side and target, and a refusal must be logged at the default level.
     @Test
     void requestIdAppearsInLogsOfEveryProcess() throws Exception {
         Logger logger = (Logger) LoggerFactory.getLogger("waxwingquay");
@@ -158,7 +158,7 @@
                 }
             }
         }
-        assertTrue(checkedLines > 30, "only " + checkedLines + " lines were found");
+        assertTrue(checkedLines > 30, "only " + checkedLines + " log lines were found");
     }
 
     private static int complete(String requestId) throws Exception {
@@ -182,7 +182,7 @@
 
     private static JsonNode dump(int port) throws Exception {
         String text = get(port, "/dump");
-        assertFalse(text.toLowerCase(java.util.Locale.ROOT).contains("private"), "a secret is in the dump");
+        assertFalse(text.toLowerCase(java.util.Locale.ROOT).contains("private"), "the dump contains a secret");
         JsonNode whole = Json.MAPPER.readTree(text);
         assertEquals(0, whole.get("truncated").size());
         return whole.get("sections");
@@ -192,7 +192,7 @@
         try {
             return dump(port).get("side").get("attempts").path("DONE").asLong();
         } catch (Exception failure) {
-            throw new IllegalStateException("no dump", failure);
+            throw new IllegalStateException("the state dump cannot be read", failure);
         }
     }
 
@@ -218,7 +218,7 @@
         return names;
     }
 
-    /** Keeps what is logged. */
+    /** Captures log events. */
     private static final class CapturingAppender extends AppenderBase<ILoggingEvent> {
 
         private final List<ILoggingEvent> events = new CopyOnWriteArrayList<>();
--- a/src/test/java/io/waxwingquay/process/PlanIntervalTest.java
+++ b/src/test/java/io/waxwingquay/process/PlanIntervalTest.java
@@ -32,7 +32,8 @@
         }
     };
 
-    // A plan over 2,400 sides takes 0.2 s of processor time; one a second took a fifth of a core from each target's VM.
+    // Guards against plans that take a fifth of a core from each target's VM: a plan over 2,400 sides takes 0.2 s of
+    // processor time, and one a second was computed.
     @Test
     void planIntervalGrowsWithNumberOfSides() {
         assertEquals(61, plansPerMinute(13));
--- a/src/test/java/io/waxwingquay/process/PlannedItemsTest.java
+++ b/src/test/java/io/waxwingquay/process/PlannedItemsTest.java
@@ -46,8 +46,8 @@
             },
             new PlannedItems.Timing(1_000L, SETTLE_MILLIS));
 
-    // The caller sees models move, and wait for memory, for seconds after a restart of all. Each side starts, knows
-    // only itself and takes every model for its own; the others do the same, and then most copies are evicted.
+    // Guards against seconds of needless model loads after a restart of all sides: a side that knows only itself would
+    // plan every model for itself, as would all others, and most of the copies would then be evicted.
     @Test
     void keepsResidentItemsUntilMembershipSettles() {
         assertEquals(new Wanted(List.of(), Set.of(RESIDENT)), items.wanted(bundle()));
@@ -55,7 +55,8 @@
         assertEquals(2, items.wanted(bundle()).items().size());
     }
 
-    // The caller sees its model refused for ever: the others are dead or out of reach, and the platform too.
+    // Guards against a side that waits forever, so that requests for its models are refused, while the other sides and
+    // the platform are dead or unreachable.
     @Test
     void plansAloneAfterSettleTimeout() {
         nowMillis.addAndGet(SETTLE_MILLIS);
--- a/src/test/java/io/waxwingquay/process/ShippedChartsTest.java
+++ b/src/test/java/io/waxwingquay/process/ShippedChartsTest.java
@@ -30,8 +30,9 @@
         assertDoesNotThrow(ShippedCharts::validateAll);
     }
 
-    // Memory would be overcommitted if anything but the engine's own word freed it: an order that timed out may
-    // still land. The chart has no event for a timeout, and all but two events lead nowhere near ABSENT.
+    // Guards against overcommitted memory: only the engine's own report may free memory, because an order that timed
+    // out
+    // may still take effect. The chart has no event for a timeout, and only two events lead to ABSENT.
     @Test
     void onlyTheEngineFreesMemory() {
         StateChart<MemoryLedger.State, MemoryLedger.Event> chart =
@@ -45,8 +46,8 @@
         }
     }
 
-    // A caller's call would run twice if a second attempt took over a claim whose first may still start. The record
-    // itself refuses that move, whatever the caller of reclaimedBy believes.
+    // Guards against a call that runs twice because a second attempt takes over a claim whose first attempt may still
+    // start. The record itself refuses the transition, whatever the caller of reclaimedBy assumes.
     @Test
     void claimThatMayHaveRunIsNotReclaimed() {
         ClaimRecord claimed = ClaimRecord.of("first", "side-1", 1L, 7L, 0L);
@@ -58,8 +59,8 @@
         assertEquals("second", claimed.notRun().reclaimedBy(next).attemptId());
     }
 
-    // A chart that lacks a move would fail some request, long after the start. The process refuses to start and
-    // says which chart and which moves.
+    // Guards against a chart with a missing transition that fails a request long after the start. The process must
+    // refuse to start and name the chart and its missing transitions.
     @Test
     void malformedChartPreventsStart() throws Exception {
         Path chart = Files.createDirectories(directory.resolve("charts")).resolve("claim.chart");
@@ -67,7 +68,7 @@
         Path output = directory.resolve("output");
         Process process = start(output);
         try {
-            assertTrue(process.waitFor(LIMIT_SECONDS, TimeUnit.SECONDS), "the process went on");
+            assertTrue(process.waitFor(LIMIT_SECONDS, TimeUnit.SECONDS), "the process did not exit");
         } finally {
             process.destroyForcibly();
         }
--- a/src/test/java/io/waxwingquay/process/SideProcessTest.java
+++ b/src/test/java/io/waxwingquay/process/SideProcessTest.java
@@ -20,9 +20,9 @@
 
     private static final HostPort UNREACHABLE = new HostPort("127.0.0.1", 9);
 
-    // A side is told to stop before it has a bundle. Nothing is under way, so it closes its parts one after the
-    // other; the bundle comes meanwhile, the side opens and takes requests, and the close cuts them. A side that
-    // has begun to leave opens no more.
+    // Guards against requests that are cut off when a side is stopped before it has a bundle: nothing is in flight, so
+    // it
+    // closes its components at once, and a bundle that arrives meanwhile must not make it accept requests.
     @Test
     void doesNotStartServingWhileDraining() throws Exception {
         Bundle bundle = bundle();
