--- a/src/main/java/io/waxwingquay/command/Main.java
+++ b/src/main/java/io/waxwingquay/command/Main.java
@@ -89,7 +89,7 @@
 
     private static CommandLine commandLine(Map<String, Supplier<Object>> factories) {
         CommandLine root = new CommandLine(new Main());
-        factories.forEach((name, command) -> root.addSubcommand(name, command.get()));
+        factories.forEach((name, factory) -> root.addSubcommand(name, factory.get()));
         describeExitCodes(root);
         root.setCaseInsensitiveEnumValuesAllowed(true);
         return root.setExecutionExceptionHandler(Main::reportFailure);
--- a/src/main/java/io/waxwingquay/command/RehearseCommand.java
+++ b/src/main/java/io/waxwingquay/command/RehearseCommand.java
@@ -36,14 +36,14 @@
         if (port.isPresent()) {
             Rehearsal.play(port.get());
         } else {
-            playOnRandomPorts();
+            runOnRandomPorts();
         }
         Logging.flush();
         return ExitCodes.OK;
     }
 
     /** Runs on random ports and retries with others if a port is in use by another program. */
-    private static void playOnRandomPorts() throws Exception {
+    private static void runOnRandomPorts() throws Exception {
         for (int attempt = 1; ; attempt++) {
             try {
                 Rehearsal.play(ThreadLocalRandom.current().nextInt(MIN_FIRST_PORT, MAX_FIRST_PORT));
--- a/src/main/java/io/waxwingquay/command/RoleRunner.java
+++ b/src/main/java/io/waxwingquay/command/RoleRunner.java
@@ -41,18 +41,18 @@
             errors.println("settings file " + file + " cannot be read: " + failure.getMessage());
             return ExitCodes.FAILED;
         }
-        RunningRole running;
+        RunningRole runningRole;
         try {
             ShippedCharts.validateAll();
-            running = starter.start(settings);
+            runningRole = starter.start(settings);
         } catch (ChartException malformed) {
             errors.println("failed: " + malformed.getMessage());
             return ExitCodes.FAILED;
         }
         // The JVM exits after its shutdown hooks have ended, so a signal drains the role before the process exits.
-        Runtime.getRuntime().addShutdownHook(new Thread(running::drainUnlessClosed, "drain"));
+        Runtime.getRuntime().addShutdownHook(new Thread(runningRole::drainUnlessClosed, "drain"));
         // A drain that an operator requested ends the process too, which would otherwise stay up without serving.
-        running.closed().get();
+        runningRole.closed().get();
         return ExitCodes.OK;
     }
 
--- a/src/main/java/io/waxwingquay/process/SideProcess.java
+++ b/src/main/java/io/waxwingquay/process/SideProcess.java
@@ -202,10 +202,10 @@
      * would cut off its requests in the second.
      */
     private void checkOwnRecord() {
-        runtime.members().side(identity.sideId()).ifPresent(known -> {
-            if (known.epoch() > identity.epoch()) {
+        runtime.members().side(identity.sideId()).ifPresent(ownRecord -> {
+            if (ownRecord.epoch() > identity.epoch()) {
                 permitLender.supersede();
-            } else if (known.epoch() == identity.epoch() && known.state() == SideState.LEAVING) {
+            } else if (ownRecord.epoch() == identity.epoch() && ownRecord.state() == SideState.LEAVING) {
                 drain();
             }
         });
--- a/src/test/java/io/waxwingquay/command/HostedRoleTest.java
+++ b/src/test/java/io/waxwingquay/command/HostedRoleTest.java
@@ -23,8 +23,8 @@
     @Test
     void reportsPortInUseAndDoesNotStart() throws IOException {
         int port = FreePorts.adjacent(4, List.of(LOOPBACK));
-        try (ServerSocket taken = new ServerSocket(port + 2, 1, InetAddress.getByName(LOOPBACK))) {
-            String error = startError(settings(port, Optional.of(new HostPort(LOOPBACK, taken.getLocalPort()))));
+        try (ServerSocket occupied = new ServerSocket(port + 2, 1, InetAddress.getByName(LOOPBACK))) {
+            String error = startError(settings(port, Optional.of(new HostPort(LOOPBACK, occupied.getLocalPort()))));
             assertTrue(error.contains("free the port or change it"), error);
         }
     }
--- a/src/test/java/io/waxwingquay/command/MainTest.java
+++ b/src/test/java/io/waxwingquay/command/MainTest.java
@@ -138,9 +138,9 @@
 
     private void assertHelp(CommandLine command, List<String> path) {
         command.getSubcommands().forEach((name, subcommand) -> {
-            List<String> below = new ArrayList<>(path);
-            below.add(name);
-            assertHelp(subcommand, below);
+            List<String> subcommandPath = new ArrayList<>(path);
+            subcommandPath.add(name);
+            assertHelp(subcommand, subcommandPath);
         });
         List<String> arguments = new ArrayList<>(path);
         arguments.add("--help");
