--- a/src/main/java/io/waxwingquay/command/HostedRole.java
+++ b/src/main/java/io/waxwingquay/command/HostedRole.java
@@ -84,7 +84,7 @@
      *
      * @param settings the settings.
      * @param errors receives the reason if the process can't start.
-     * @return the process; empty if it can't start, in which case everything that was opened is closed.
+     * @return the process; empty if it can't start, in which case nothing of it keeps running.
      */
     Optional<HostedProcess> start(HostSettings settings, PrintWriter errors) {
         EventLoop loop = EventLoop.start("loop");
--- a/src/main/java/io/waxwingquay/command/KeyFile.java
+++ b/src/main/java/io/waxwingquay/command/KeyFile.java
@@ -39,12 +39,12 @@
         return pair;
     }
 
-    /** Returns a signer for this key; refuses a key file that others than its owner may access. */
+    /** Returns a signer for this key; refuses a key file that is accessible to users other than its owner. */
     BundleSigner signer() throws IOException {
         Set<PosixFilePermission> permissions = Files.getPosixFilePermissions(file);
         if (!OWNER_ONLY.containsAll(permissions)) {
             throw new BundleException(
-                    "private key " + file + " is accessible to others than its owner ("
+                    "private key " + file + " is accessible to users other than its owner ("
                             + PosixFilePermissions.toString(permissions) + "); run: chmod 600 " + file,
                     null);
         }
--- a/src/main/java/io/waxwingquay/process/EntryProcess.java
+++ b/src/main/java/io/waxwingquay/process/EntryProcess.java
@@ -105,7 +105,7 @@
     }
 
     /**
-     * Refuses new requests, waits for those in flight to end, and then closes.
+     * Rejects new requests, waits for those in flight to end, and then closes.
      *
      * @return completes when closed, with whether all requests in flight ended in time.
      */
--- a/src/main/java/io/waxwingquay/process/GatedSideHandler.java
+++ b/src/main/java/io/waxwingquay/process/GatedSideHandler.java
@@ -22,7 +22,8 @@
 import java.util.function.Function;
 
 /**
- * Answers calls of peers from the start of a side process, and rejects calls of entries until a bundle is in force.
+ * Answers peers from the start of a side process, and passes the calls of entries to its node once a bundle is in
+ * force.
  */
 final class GatedSideHandler extends ForwardingPeer implements SideProtocol {
 
@@ -37,9 +38,9 @@
     }
 
     /**
-     * Starts to pass calls of entries on.
+     * Passes the calls of entries to a node from now on.
      *
-     * @param readyNode the node that answers them.
+     * @param readyNode the node.
      */
     void open(SideNode readyNode) {
         node.set(Optional.of(readyNode));
--- a/src/main/java/io/waxwingquay/process/SideDump.java
+++ b/src/main/java/io/waxwingquay/process/SideDump.java
@@ -40,8 +40,8 @@
     /**
      * The permits of one shared limit.
      *
-     * @param lent the number of permits that this side lends.
-     * @param held the number of permits that this side holds.
+     * @param lent the number of permits that this side lends now.
+     * @param held the number of permits that this side holds now.
      */
     record PermitCount(int lent, int held) {}
 
--- a/src/main/java/io/waxwingquay/process/SideProcess.java
+++ b/src/main/java/io/waxwingquay/process/SideProcess.java
@@ -145,7 +145,7 @@
     }
 
     /**
-     * Refuses new requests, waits for those in flight to end, and then closes. Further calls return the same drain.
+     * Rejects new requests, waits for those in flight to end, and then closes. Further calls return the same drain.
      *
      * @return completes when closed.
      */
@@ -198,7 +198,7 @@
 
     /**
      * Acts on what other processes know of this side: that a newer incarnation has replaced it, or that the platform is
-     * about to remove its VM. If the side continued, each permit would be lent twice in the first case, and the platform
+     * about to remove its VM. If it continued, each permit would be lent twice in the first case, and the platform
      * would cut off its requests in the second.
      */
     private void checkOwnRecord() {
--- a/src/test/java/io/waxwingquay/process/PlanIntervalTest.java
+++ b/src/test/java/io/waxwingquay/process/PlanIntervalTest.java
@@ -32,8 +32,8 @@
         }
     };
 
-    // Guards against plans that take a fifth of a core from each target's VM: a plan over 2,400 sides takes 0.2 s of
-    // processor time, and one a second was computed.
+    // Guards against plans that are as frequent for many sides as for few: a plan over 2,400 sides takes 0.2 s of
+    // processor time, so that one a second took a fifth of a core from each target's VM.
     @Test
     void planIntervalGrowsWithNumberOfSides() {
         assertEquals(61, plansPerMinute(13));
--- a/src/test/java/io/waxwingquay/process/PlannedItemsTest.java
+++ b/src/test/java/io/waxwingquay/process/PlannedItemsTest.java
@@ -46,8 +46,8 @@
             },
             new PlannedItems.Timing(1_000L, SETTLE_MILLIS));
 
-    // Guards against seconds of needless model loads after a restart of all sides: a side that knows only itself would
-    // plan every model for itself, as would all others, and most of the copies would then be evicted.
+    // Guards against models that move and wait for memory for seconds after a restart of all sides: each side that
+    // knows only itself would plan every model for itself, and most of the copies would then be evicted.
     @Test
     void keepsResidentItemsUntilMembershipSettles() {
         assertEquals(new Wanted(List.of(), Set.of(RESIDENT)), items.wanted(bundle()));
--- a/src/test/java/io/waxwingquay/process/ShippedChartsTest.java
+++ b/src/test/java/io/waxwingquay/process/ShippedChartsTest.java
@@ -31,8 +31,7 @@
     }
 
     // Guards against overcommitted memory: only the engine's own report may free memory, because an order that timed
-    // out
-    // may still take effect. The chart has no event for a timeout, and only two events lead to ABSENT.
+    // out may still take effect. The chart has no event for a timeout, and only two events lead to ABSENT.
     @Test
     void onlyTheEngineFreesMemory() {
         StateChart<MemoryLedger.State, MemoryLedger.Event> chart =
--- a/src/test/java/io/waxwingquay/process/SideProcessTest.java
+++ b/src/test/java/io/waxwingquay/process/SideProcessTest.java
@@ -20,9 +20,8 @@
 
     private static final HostPort UNREACHABLE = new HostPort("127.0.0.1", 9);
 
-    // Guards against requests that are cut off when a side is stopped before it has a bundle: nothing is in flight, so
-    // it
-    // closes its components at once, and a bundle that arrives meanwhile must not make it accept requests.
+    // Guards against requests that are cut off when a side is stopped before it has a bundle. Nothing is in flight, so
+    // it closes its components at once, and a bundle that arrives meanwhile must not make it accept requests.
     @Test
     void doesNotStartServingWhileDraining() throws Exception {
         Bundle bundle = bundle();
