--- a/src/main/java/io/waxwingquay/command/Main.java
+++ b/src/main/java/io/waxwingquay/command/Main.java
@@ -16,7 +16,7 @@
 import picocli.CommandLine.Spec;
 
 /**
- * The one binary: a subcommand for each role and each operator action.
+ * Main class of the command line, with a subcommand for each role and each operator action.
  */
 @Command(
         name = "waxwingquay",
@@ -26,8 +26,8 @@
         version = "waxwingquay 0.1.0")
 public final class Main implements Runnable {
 
-    /** The commands that run until they are stopped. */
-    private static final Set<String> ROLES = Set.of("entry", "side", "hosted");
+    /** Commands that run a role until the process is stopped. */
+    private static final Set<String> ROLE_COMMANDS = Set.of("entry", "side", "hosted");
 
     @Spec
     private CommandSpec spec;
@@ -35,9 +35,9 @@
     private Main() {}
 
     /**
-     * Starts the command line.
+     * Runs the command line.
      *
-     * @param arguments the arguments.
+     * @param arguments the command-line arguments.
      */
     public static void main(String[] arguments) {
         Logging.configure(LogFormat.TEXT, LogLevel.WARN);
@@ -45,64 +45,64 @@
     }
 
     /**
-     * The command line as far as one call needs it. A process that is started again after a failure is missed until it
-     * answers, and describing commands that it does not run was two fifths of the time until then.
+     * Creates a command line with the commands that one invocation needs. A process that restarts after a failure
+     * serves nothing until it is up, and describing commands that it does not run took two fifths of that time.
      *
      * @param platforms opens clients of the platform.
-     * @param arguments the arguments of the call.
-     * @return the command that the first argument names if it runs a role, else all.
+     * @param arguments the arguments of the invocation.
+     * @return a command line with only the command that the first argument names if that runs a role, else with all.
      */
     static CommandLine commandLine(PlatformFactory platforms, String[] arguments) {
-        Map<String, Supplier<Object>> commands = commands(platforms);
-        if (arguments.length > 0 && ROLES.contains(arguments[0])) {
-            commands.keySet().retainAll(Set.of(arguments[0]));
+        Map<String, Supplier<Object>> factories = commandFactories(platforms);
+        if (arguments.length > 0 && ROLE_COMMANDS.contains(arguments[0])) {
+            factories.keySet().retainAll(Set.of(arguments[0]));
         }
-        return commandLine(commands);
+        return commandLine(factories);
     }
 
     /**
-     * The whole command line.
+     * Creates a command line with all commands.
      *
      * @param platforms opens clients of the platform.
      * @return the command line.
      */
     static CommandLine commandLine(PlatformFactory platforms) {
-        return commandLine(commands(platforms));
+        return commandLine(commandFactories(platforms));
     }
 
-    private static Map<String, Supplier<Object>> commands(PlatformFactory platforms) {
-        Map<String, Supplier<Object>> commands = new LinkedHashMap<>();
-        commands.put("entry", EntryCommand::new);
-        commands.put("side", SideCommand::new);
-        commands.put("hosted", HostedCommand::new);
-        commands.put("rehearse", RehearseCommand::new);
-        commands.put("bundle", () -> new BundleCommand(platforms));
-        commands.put("dump", DumpCommand::new);
-        commands.put("explain", ExplainCommand::new);
-        commands.put("demo", DemoCommand::new);
-        commands.put("capacity", CapacityCommand::new);
-        commands.put("bench", BenchCommand::new);
-        commands.put("standin", StandinCommand::new);
-        commands.put("completion", CompletionCommand::new);
-        return commands;
+    private static Map<String, Supplier<Object>> commandFactories(PlatformFactory platforms) {
+        Map<String, Supplier<Object>> factories = new LinkedHashMap<>();
+        factories.put("entry", EntryCommand::new);
+        factories.put("side", SideCommand::new);
+        factories.put("hosted", HostedCommand::new);
+        factories.put("rehearse", RehearseCommand::new);
+        factories.put("bundle", () -> new BundleCommand(platforms));
+        factories.put("dump", DumpCommand::new);
+        factories.put("explain", ExplainCommand::new);
+        factories.put("demo", DemoCommand::new);
+        factories.put("capacity", CapacityCommand::new);
+        factories.put("bench", BenchCommand::new);
+        factories.put("standin", StandinCommand::new);
+        factories.put("completion", CompletionCommand::new);
+        return factories;
     }
 
-    private static CommandLine commandLine(Map<String, Supplier<Object>> commands) {
+    private static CommandLine commandLine(Map<String, Supplier<Object>> factories) {
         CommandLine root = new CommandLine(new Main());
-        commands.forEach((name, command) -> root.addSubcommand(name, command.get()));
+        factories.forEach((name, factory) -> root.addSubcommand(name, factory.get()));
         describeExitCodes(root);
         root.setCaseInsensitiveEnumValuesAllowed(true);
-        return root.setExecutionExceptionHandler(Main::tell);
+        return root.setExecutionExceptionHandler(Main::reportFailure);
     }
 
     /** {@inheritDoc} */
     @Override
     public void run() {
-        throw new ParameterException(spec.commandLine(), "a command is needed");
+        throw new ParameterException(spec.commandLine(), "a subcommand is required");
     }
 
-    /** An operator is told what failed in a sentence; the trace is for a search after a cause, at DEBUG. */
-    private static int tell(Exception failure, CommandLine command, ParseResult arguments) {
+    /** Prints the failure to the operator in one line and logs its stack trace at DEBUG. */
+    private static int reportFailure(Exception failure, CommandLine command, ParseResult arguments) {
         command.getErr().println(command.getCommandSpec().qualifiedName() + " failed: " + failure);
         System.getLogger("waxwingquay.command").log(System.Logger.Level.DEBUG, "command: a command failed.", failure);
         return ExitCodes.FAILED;
@@ -112,7 +112,7 @@
         command.getCommandSpec()
                 .usageMessage()
                 .exitCodeListHeading("%nExit codes:%n")
-                .exitCodeList(ExitCodes.help());
+                .exitCodeList(ExitCodes.descriptions());
         command.getSubcommands().values().forEach(Main::describeExitCodes);
     }
 }
--- a/src/main/java/io/waxwingquay/command/SideCommand.java
+++ b/src/main/java/io/waxwingquay/command/SideCommand.java
@@ -12,7 +12,7 @@
 import picocli.CommandLine.Spec;
 
 /**
- * Runs a side until it is told to stop; it then finishes what is in flight.
+ * Runs a side process until it is stopped, and drains requests in flight before it exits.
  */
 @Command(name = "side", description = "Runs a side process beside its target.", mixinStandardHelpOptions = true)
 final class SideCommand implements Callable<Integer> {
@@ -26,10 +26,10 @@
     /** {@inheritDoc} */
     @Override
     public Integer call() throws InterruptedException, ExecutionException {
-        return Roles.run(file, spec.commandLine().getErr(), SideSettings::read, settings -> {
+        return RoleRunner.run(file, spec.commandLine().getErr(), SideSettings::read, settings -> {
             Logging.configure(settings.process().logFormat(), settings.process().logLevel());
             SideProcess process = SideProcess.start(settings);
-            return new Roles.Running(process::drain, process.closed());
+            return new RoleRunner.RunningRole(process::drain, process.closed());
         });
     }
 }
--- a/src/main/java/io/waxwingquay/process/EntryProcess.java
+++ b/src/main/java/io/waxwingquay/process/EntryProcess.java
@@ -12,54 +12,55 @@
 import java.util.random.RandomGenerator;
 
 /**
- * An entry process, put together from its settings.
+ * An entry process, assembled from its settings.
  */
 public final class EntryProcess implements AutoCloseable {
 
     private static final String ROLE = "entry";
     private static final long DRAIN_LIMIT_MILLIS = 120_000L;
-    private static final int OUTCOME_LIMIT_BYTES = 65_536;
-    private static final int CLAIM_BATCH = 64;
+    private static final int MAX_OUTCOME_BYTES = 65_536;
+    private static final int MAX_CLAIMS_PER_TRANSACTION = 64;
     private static final double PERCENT = 100.0;
 
-    private final Foundation foundation;
+    private final ProcessRuntime runtime;
     private final EntryNode node;
 
-    private EntryProcess(Foundation foundation, EntryNode node) {
-        this.foundation = foundation;
+    private EntryProcess(ProcessRuntime runtime, EntryNode node) {
+        this.runtime = runtime;
         this.node = node;
     }
 
     /**
-     * Starts an entry process. It is ready when it has a bundle in force.
+     * Starts an entry process, which becomes ready when it has a bundle in force.
      *
-     * @param settings what it is told.
+     * @param settings the settings.
      * @return the running process.
      */
     public static EntryProcess start(EntrySettings settings) {
-        Foundation foundation = new Foundation(settings.process(), ROLE, RandomGenerator.of("L64X128MixRandom"));
-        PeerHandler peer = new PeerHandler(
-                foundation.gossip().handler(), foundation.bundles(), foundation.suspects(), Optional.empty());
-        foundation.server().servePeer(peer);
+        ProcessRuntime runtime = new ProcessRuntime(settings.process(), ROLE, RandomGenerator.of("L64X128MixRandom"));
+        PeerHandler peerHandler =
+                new PeerHandler(runtime.gossip().handler(), runtime.bundles(), runtime.suspects(), Optional.empty());
+        runtime.server().servePeer(peerHandler);
         EntryNode node = EntryNode.builder()
-                .configuration(limits(settings))
-                .bundles(foundation.bundles())
-                .membership(foundation.members())
-                .connections(foundation.connections())
-                .table(foundation.table())
-                .suspects(foundation.suspects())
-                .meters(foundation.meters())
-                .clock(foundation.clock())
-                .random(foundation.random())
+                .configuration(toLimits(settings))
+                .bundles(runtime.bundles())
+                .membership(runtime.members())
+                .connections(runtime.connections())
+                .table(runtime.table())
+                .suspects(runtime.suspects())
+                .meters(runtime.meters())
+                .clock(runtime.clock())
+                .random(runtime.random())
                 .build();
-        EntryProcess process = new EntryProcess(foundation, node.start());
-        foundation.observe(process::notReady, process::drain, dump -> dump.section("entry", process::state));
-        foundation.start();
+        EntryProcess process = new EntryProcess(runtime, node.start());
+        runtime.startAdminServer(
+                process::notReadyReason, process::drain, dump -> dump.section("entry", process::dumpState));
+        runtime.start();
         return process;
     }
 
     /**
-     * Where callers reach it.
+     * Returns the address on which callers reach this entry.
      *
      * @return the address.
      */
@@ -68,45 +69,45 @@
     }
 
     /**
-     * The version of the bundle in force here.
+     * Returns the version of the bundle in force in this process.
      *
-     * @return the version, 0 while there is none.
+     * @return the version; 0 while there is none.
      */
     public long bundleVersion() {
-        return foundation.bundles().version();
+        return runtime.bundles().version();
     }
 
     /**
-     * Where operators reach it.
+     * Returns the port on which operators reach this process.
      *
      * @return the admin port.
      */
     public int adminPort() {
-        return foundation.adminPort();
+        return runtime.adminPort();
     }
 
     /**
-     * Where it listens for other processes.
+     * Returns the address on which this process listens for other processes.
      *
      * @return the address.
      */
     public HostPort address() {
-        return foundation.server().address();
+        return runtime.server().address();
     }
 
     /**
-     * What it knows of the sides.
+     * Returns this entry's view of the sides.
      *
      * @return the membership.
      */
     public Membership membership() {
-        return foundation.members();
+        return runtime.members();
     }
 
     /**
-     * Refuses new requests, finishes those in flight, then closes.
+     * Rejects new requests, waits for those in flight to end, and then closes.
      *
-     * @return whether everything in flight was finished.
+     * @return completes when closed, with whether all requests in flight ended in time.
      */
     public CompletableFuture<Boolean> drain() {
         return node.drain(DRAIN_LIMIT_MILLIS).thenApplyAsync(finished -> {
@@ -116,36 +117,36 @@
     }
 
     /**
-     * Tells when this process has closed, by a drain or otherwise.
+     * Returns a future of the end of this process, by a drain or otherwise.
      *
-     * @return completes then.
+     * @return completes when this process has closed.
      */
     public CompletableFuture<Void> closed() {
-        return foundation.closed();
+        return runtime.closed();
     }
 
     /** {@inheritDoc} */
     @Override
     public void close() {
         node.close();
-        foundation.close();
+        runtime.close();
     }
 
-    private Optional<String> notReady() {
-        return foundation.bundles().current().isPresent() ? Optional.empty() : Optional.of("no bundle in force yet");
+    private Optional<String> notReadyReason() {
+        return runtime.bundles().current().isPresent() ? Optional.empty() : Optional.of("no bundle in force yet");
     }
 
-    private EntryState state() {
+    private EntryState dumpState() {
         return new EntryState(
-                foundation.settings().name(),
+                runtime.settings().name(),
                 node.inFlight(),
                 node.pendingOutcomes(),
                 node.retriesLeft(),
                 node.loadBoard()
-                        .views(foundation.members().sides(), foundation.clock().monotonicMillis()));
+                        .views(runtime.members().sides(), runtime.clock().monotonicMillis()));
     }
 
-    private static EntryConfiguration limits(EntrySettings settings) {
+    private static EntryConfiguration toLimits(EntrySettings settings) {
         return new EntryConfiguration(
                 settings.process().host(),
                 settings.callerPort(),
@@ -154,19 +155,19 @@
                 settings.defaultDeadlineMillis(),
                 settings.maxDeadlineMillis(),
                 (int) settings.maxBodyBytes(),
-                OUTCOME_LIMIT_BYTES,
+                MAX_OUTCOME_BYTES,
                 250L,
                 settings.retryBudgetPercent() / PERCENT,
-                CLAIM_BATCH);
+                MAX_CLAIMS_PER_TRANSACTION);
     }
 
     /**
-     * What the state dump shows of an entry.
+     * The section of an entry in the state dump.
      *
-     * @param name its name.
-     * @param inFlight requests in flight.
-     * @param pendingOutcomes outcomes of claimed calls still to be recorded in the table.
-     * @param retriesLeft retries that may be sent now.
+     * @param name the name of the process.
+     * @param inFlight the number of requests in flight.
+     * @param pendingOutcomes the number of outcomes of claimed calls that are not yet recorded in the table.
+     * @param retriesLeft the number of retries that the retry budget allows now.
      * @param sides the sides with their load, as this entry knows them.
      */
     private record EntryState(
--- a/src/main/java/io/waxwingquay/process/PlannedItems.java
+++ b/src/main/java/io/waxwingquay/process/PlannedItems.java
@@ -12,44 +12,50 @@
 import java.util.Set;
 
 /**
- * Placement for one side. The plan is made again at most once an interval, as the order loop asks far more often than
- * the view of the others changes, and each plan costs processor time that grows with the service. So the interval grows
- * with the sides: a plan over 2,400 sides was measured at 0.2 s, of which one a second is 20% of a core.
+ * Determines the wanted items of one side from a placement plan. The plan is recomputed at most once per interval, as
+ * the order loop asks far more often than the membership view changes, and the processor time of a plan grows with the
+ * service. The interval grows with the number of sides: a plan over 2,400 sides takes 0.2 s, so one a second would take
+ * 20% of a core.
  */
 final class PlannedItems implements WantedItems {
 
-    private static final long MILLIS_A_SIDE = 10L;
+    private static final long PLAN_INTERVAL_MILLIS_PER_SIDE = 10L;
 
     private final String sideId;
     private final String service;
     private final Membership membership;
     private final PlacementStrategy strategy;
     private final Clock clock;
-    private final Pace pace;
+    private final Timing timing;
     private final long startMillis;
-    private boolean settled;
+    private boolean membershipSettled;
     private Plan plan = Plan.EMPTY;
-    private long plannedVersion;
-    private long plannedMillis;
+    private long plannedBundleVersion;
+    private long lastPlanMillis;
 
     PlannedItems(
-            String sideId, String service, Membership membership, PlacementStrategy strategy, Clock clock, Pace pace) {
+            String sideId,
+            String service,
+            Membership membership,
+            PlacementStrategy strategy,
+            Clock clock,
+            Timing timing) {
         this.sideId = sideId;
         this.service = service;
         this.membership = membership;
         this.strategy = strategy;
         this.clock = clock;
-        this.pace = pace;
+        this.timing = timing;
         this.startMillis = clock.monotonicMillis();
     }
 
-    /** This side's share of the plan as it was last made. */
+    /** Returns this side's share of the last plan. */
     synchronized Plan.Share share() {
         return plan.shareOf(sideId);
     }
 
-    /** Models for which the plan found no room on any side. */
-    synchronized List<String> homelessModels() {
+    /** Returns the models for which the last plan found no room on any side. */
+    synchronized List<String> unplacedModels() {
         return plan.unplacedModels();
     }
 
@@ -57,40 +63,40 @@
     @Override
     public synchronized Wanted wanted(Bundle bundle) {
         long nowMillis = clock.monotonicMillis();
-        settled = settled || isSettled(bundle, nowMillis);
-        if (!settled) {
-            return new Wanted(List.of(), residentHere());
+        membershipSettled = membershipSettled || isMembershipSettled(bundle, nowMillis);
+        if (!membershipSettled) {
+            return new Wanted(List.of(), residentItems());
         }
-        if (bundle.version() != plannedVersion || nowMillis - plannedMillis >= waitMillis()) {
+        if (bundle.version() != plannedBundleVersion || nowMillis - lastPlanMillis >= planIntervalMillis()) {
             plan = strategy.plan(PlacementInput.of(bundle, service, membership.sides(), plan, nowMillis));
-            plannedVersion = bundle.version();
-            plannedMillis = nowMillis;
+            plannedBundleVersion = bundle.version();
+            lastPlanMillis = nowMillis;
         }
         Plan.Share share = plan.shareOf(sideId);
         return new Wanted(share.wantedItems(), share.protectedItems());
     }
 
-    private long waitMillis() {
-        return Math.max(pace.planMillis(), membership.sides().size() * MILLIS_A_SIDE);
+    private long planIntervalMillis() {
+        return Math.max(timing.minPlanIntervalMillis(), membership.sides().size() * PLAN_INTERVAL_MILLIS_PER_SIDE);
     }
 
-    private boolean isSettled(Bundle bundle, long nowMillis) {
-        long known = membership.sides().stream()
+    private boolean isMembershipSettled(Bundle bundle, long nowMillis) {
+        long knownSides = membership.sides().stream()
                 .filter(side -> side.service().equals(service))
                 .count();
         int replicas = bundle.service(service).map(Bundle.Service::replicas).orElse(0);
-        return known >= replicas || nowMillis - startMillis >= pace.settleMillis();
+        return knownSides >= replicas || nowMillis - startMillis >= timing.maxSettleMillis();
     }
 
-    private Set<String> residentHere() {
+    private Set<String> residentItems() {
         return membership.side(sideId).map(Side::residentItems).orElse(Set.of());
     }
 
     /**
-     * When plans are made.
+     * Times that determine when plans are computed.
      *
-     * @param planMillis the least time between two plans.
-     * @param settleMillis the longest wait for the other sides before the first plan.
+     * @param minPlanIntervalMillis the shortest time between two plans of the same bundle.
+     * @param maxSettleMillis the longest wait for the other sides to become known before the first plan.
      */
-    record Pace(long planMillis, long settleMillis) {}
+    record Timing(long minPlanIntervalMillis, long maxSettleMillis) {}
 }
--- a/src/main/java/io/waxwingquay/process/ShippedCharts.java
+++ b/src/main/java/io/waxwingquay/process/ShippedCharts.java
@@ -12,21 +12,19 @@
 import io.waxwingquay.transport.generated.SideState;
 
 /**
- * Every state chart that this program interprets.
+ * The state charts that this program interprets.
  */
 public final class ShippedCharts {
 
     private ShippedCharts() {}
 
     /**
-     * Reads and checks all charts.
+     * Loads and validates all charts before the process starts, because a chart that lacks a transition would fail the
+     * first request that needs it, long after the start.
      *
-     * <p>Failure: a chart lacks a move. Symptom: the first request that needs it fails, long after the start. With the
-     * check a process with such a chart does not start.
-     *
-     * @throws io.waxwingquay.chart.ChartException.Malformed if a chart is missing or faulty.
+     * @throws io.waxwingquay.chart.ChartException.Malformed if a chart is missing or malformed.
      */
-    public static void check() {
+    public static void validateAll() {
         StateChart.load(AttemptPhase.CHART_NAME, AttemptPhase.class, AttemptPhase.Event.class);
         StateChart.load(RequestState.CHART_NAME, RequestState.class, RequestState.Event.class);
         StateChart.load(MemoryLedger.CHART_NAME, MemoryLedger.State.class, MemoryLedger.Event.class);
--- a/src/main/java/io/waxwingquay/process/SideProcess.java
+++ b/src/main/java/io/waxwingquay/process/SideProcess.java
@@ -29,78 +29,79 @@
 import java.util.random.RandomGenerator;
 
 /**
- * A side process, put together from its settings.
+ * A side process, assembled from its settings.
  */
 public final class SideProcess implements AutoCloseable {
 
     private static final System.Logger LOG = System.getLogger("waxwingquay.process");
     private static final String ROLE = "side";
-    private static final long PAUSE_MILLIS = 2_000L;
-    private static final int RENEWALS_A_LEASE = 5;
-    private static final int MARGIN_SHARE = 10;
-    private static final int MAX_ASKS = 3;
-    private static final long HEARTBEAT_MILLIS = 500L;
-    private static final long PLAN_MILLIS = 1_000L;
-    private static final long SETTLE_MILLIS = 5_000L;
-
-    private final Foundation foundation;
+    private static final long MAX_HEARTBEAT_GAP_MILLIS = 2_000L;
+    private static final int RENEWALS_PER_LEASE = 5;
+    private static final int LEASE_MARGIN_DIVISOR = 10;
+    private static final int MAX_PEERS_ASKED = 3;
+    private static final long HEARTBEAT_INTERVAL_MILLIS = 500L;
+    private static final long MIN_PLAN_INTERVAL_MILLIS = 1_000L;
+    private static final long MAX_SETTLE_MILLIS = 5_000L;
+
+    private final ProcessRuntime runtime;
     private final SideSettings settings;
     private final SideIdentity identity;
-    private final PermitLender permitHome;
-    private final PeerHandler peer;
-    private final SideDoor door;
-    private final PlannedItems planned;
-    private final AtomicReference<Optional<LeasedPermits>> held = new AtomicReference<>(Optional.empty());
+    private final PermitLender permitLender;
+    private final PeerHandler peerHandler;
+    private final GatedSideHandler sideHandler;
+    private final PlannedItems plannedItems;
+    private final AtomicReference<Optional<LeasedPermits>> leasedPermits = new AtomicReference<>(Optional.empty());
     private final Decisions decisions;
     private final AtomicReference<Optional<SideNode>> node = new AtomicReference<>(Optional.empty());
-    private Optional<CompletableFuture<Void>> draining = Optional.empty();
+    private Optional<CompletableFuture<Void>> drainCompletion = Optional.empty();
 
-    private SideProcess(Foundation foundation, SideSettings settings, Decisions decisions, long epoch) {
-        this.foundation = foundation;
+    private SideProcess(ProcessRuntime runtime, SideSettings settings, Decisions decisions, long epoch) {
+        this.runtime = runtime;
         this.settings = settings;
         this.decisions = decisions;
         this.identity = new SideIdentity(
-                foundation.settings().name(),
-                foundation.server().address(),
-                foundation.settings().dataCentre(),
+                runtime.settings().name(),
+                runtime.server().address(),
+                runtime.settings().dataCentre(),
                 settings.service(),
                 settings.replica(),
                 epoch);
-        this.planned = new PlannedItems(
+        this.plannedItems = new PlannedItems(
                 identity.sideId(),
                 identity.serviceName(),
-                foundation.members(),
+                runtime.members(),
                 decisions.placement(),
-                foundation.clock(),
-                new PlannedItems.Pace(PLAN_MILLIS, SETTLE_MILLIS));
-        PermitLender.Slots none = new PermitLender.Slots(settings.replica(), settings.replica() + 1, 0, 0.0, 0);
-        this.permitHome = new PermitLender(foundation.clock(), settings.permitLeaseMillis(), PAUSE_MILLIS, none);
-        this.peer = new PeerHandler(
-                foundation.gossip().handler(), foundation.bundles(), foundation.suspects(), Optional.of(permitHome));
-        this.door = new SideDoor(peer, epoch);
+                runtime.clock(),
+                new PlannedItems.Timing(MIN_PLAN_INTERVAL_MILLIS, MAX_SETTLE_MILLIS));
+        PermitLender.Slots noSlots = new PermitLender.Slots(settings.replica(), settings.replica() + 1, 0, 0.0, 0);
+        this.permitLender =
+                new PermitLender(runtime.clock(), settings.permitLeaseMillis(), MAX_HEARTBEAT_GAP_MILLIS, noSlots);
+        this.peerHandler = new PeerHandler(
+                runtime.gossip().handler(), runtime.bundles(), runtime.suspects(), Optional.of(permitLender));
+        this.sideHandler = new GatedSideHandler(peerHandler, epoch);
     }
 
     /**
-     * Starts a side process. It answers its peers at once and serves when it has a bundle in force.
+     * Starts a side process, which answers its peers at once and serves when it has a bundle in force.
      *
-     * @param settings what it is told.
-     * @param decisions how it decides.
+     * @param settings the settings.
+     * @param decisions the strategies that it uses.
      * @return the running process.
      */
     public static SideProcess start(SideSettings settings, Decisions decisions) {
-        Foundation foundation = new Foundation(settings.process(), ROLE, RandomGenerator.of("L64X128MixRandom"));
-        long epoch = new BootEpoch(foundation.table(), foundation.clock())
-                .take(settings.process().name())
+        ProcessRuntime runtime = new ProcessRuntime(settings.process(), ROLE, RandomGenerator.of("L64X128MixRandom"));
+        long epoch = new BootEpochAllocator(runtime.table(), runtime.clock())
+                .allocate(settings.process().name())
                 .join();
-        SideProcess process = new SideProcess(foundation, settings, decisions, epoch);
+        SideProcess process = new SideProcess(runtime, settings, decisions, epoch);
         process.run();
         return process;
     }
 
     /**
-     * Starts a side process that decides as the product does.
+     * Starts a side process with the default strategies.
      *
-     * @param settings what it is told.
+     * @param settings the settings.
      * @return the running process.
      */
     public static SideProcess start(SideSettings settings) {
@@ -108,7 +109,7 @@
     }
 
     /**
-     * Where it listens for other processes.
+     * Returns the address on which this process listens for other processes.
      *
      * @return the address.
      */
@@ -117,51 +118,51 @@
     }
 
     /**
-     * The version of the bundle in force here.
+     * Returns the version of the bundle in force in this process.
      *
-     * @return the version, 0 while there is none.
+     * @return the version; 0 while there is none.
      */
     public long bundleVersion() {
-        return foundation.bundles().version();
+        return runtime.bundles().version();
     }
 
     /**
-     * Where operators reach it.
+     * Returns the port on which operators reach this process.
      *
      * @return the admin port.
      */
     public int adminPort() {
-        return foundation.adminPort();
+        return runtime.adminPort();
     }
 
     /**
-     * Whether it has a bundle in force and takes work.
+     * Returns whether a bundle is in force, so that this side serves requests.
      *
-     * @return whether it is ready.
+     * @return whether this side is ready.
      */
     public boolean isReady() {
         return node.get().isPresent();
     }
 
     /**
-     * Leaves: refuses new work, finishes what runs, then closes. Asked again, it goes on with that.
+     * Rejects new requests, waits for those in flight to end, and then closes. Further calls return the same drain.
      *
      * @return completes when closed.
      */
     public synchronized CompletableFuture<Void> drain() {
-        if (draining.isEmpty()) {
+        if (drainCompletion.isEmpty()) {
             CompletableFuture<Void> drained = node.get()
                     .map(running -> running.drain(settings.drainLimitMillis()))
                     .orElseGet(() -> CompletableFuture.completedFuture(null));
-            draining = Optional.of(drained.thenRunAsync(this::close));
+            drainCompletion = Optional.of(drained.thenRunAsync(this::close));
         }
-        return draining.get();
+        return drainCompletion.get();
     }
 
     /**
-     * Whether it has begun to leave.
+     * Returns whether this side has begun to leave.
      *
-     * @return whether it takes no new work any more.
+     * @return whether this side accepts no new requests any more.
      */
     public boolean isLeaving() {
         return node.get()
@@ -171,114 +172,118 @@
     }
 
     /**
-     * Tells when this process has closed, by a drain or otherwise.
+     * Returns a future of the end of this process, by a drain or otherwise.
      *
-     * @return completes then.
+     * @return completes when this process has closed.
      */
     public CompletableFuture<Void> closed() {
-        return foundation.closed();
+        return runtime.closed();
     }
 
     /** {@inheritDoc} */
     @Override
     public void close() {
         node.get().ifPresent(SideNode::close);
-        foundation.close();
+        runtime.close();
     }
 
     private void run() {
-        foundation.server().serveSide(door);
-        foundation.bundles().onAdopted(this::adopted);
-        foundation.observe(this::notReady, this::drain, dump -> dump.section("side", this::state));
-        foundation.start();
-        every(HEARTBEAT_MILLIS, permitHome::heartbeat);
-        every(HEARTBEAT_MILLIS, this::heedMembership);
+        runtime.server().serveSide(sideHandler);
+        runtime.bundles().onAdopted(this::onBundleAdopted);
+        runtime.startAdminServer(this::notReadyReason, this::drain, dump -> dump.section("side", this::dumpState));
+        runtime.start();
+        scheduleEvery(HEARTBEAT_INTERVAL_MILLIS, permitLender::heartbeat);
+        scheduleEvery(HEARTBEAT_INTERVAL_MILLIS, this::checkOwnRecord);
     }
 
     /**
-     * The others may know of this side what it does not: that a newer process stands in its place, or that the platform
-     * is about to take its VM away. Lending on would lend each permit twice; serving on would be cut off by the platform.
+     * Acts on what other processes know of this side: that a newer incarnation has replaced it, or that the platform is
+     * about to remove its VM. If it continued, each permit would be lent twice in the first case, and the platform
+     * would cut off its requests in the second.
      */
-    private void heedMembership() {
-        foundation.members().side(identity.sideId()).ifPresent(known -> {
-            if (known.epoch() > identity.epoch()) {
-                permitHome.supersede();
-            } else if (known.epoch() == identity.epoch() && known.state() == SideState.LEAVING) {
+    private void checkOwnRecord() {
+        runtime.members().side(identity.sideId()).ifPresent(ownRecord -> {
+            if (ownRecord.epoch() > identity.epoch()) {
+                permitLender.supersede();
+            } else if (ownRecord.epoch() == identity.epoch() && ownRecord.state() == SideState.LEAVING) {
                 drain();
             }
         });
     }
 
-    private Optional<String> notReady() {
+    private Optional<String> notReadyReason() {
         return isReady() ? Optional.empty() : Optional.of("no bundle in force yet");
     }
 
-    private SideDump state() {
+    private SideDump dumpState() {
         return new SideDump(
                 identity,
                 node.get().map(SideNode::state).map(Enum::name).orElse("NO_BUNDLE"),
                 node.get().map(SideNode::attemptsByState).orElse(Map.of()),
                 node.get().flatMap(SideNode::memory),
-                orderLoop(),
-                permitsByLimit(),
-                new SideDump.Placement(planned.share(), planned.homelessModels()));
+                dumpOrderLoop(),
+                dumpPermits(),
+                new SideDump.Placement(plannedItems.share(), plannedItems.unplacedModels()));
     }
 
-    private SideDump.OrderLoop orderLoop() {
-        long nowMillis = foundation.clock().monotonicMillis();
+    private SideDump.OrderLoop dumpOrderLoop() {
+        long nowMillis = runtime.clock().monotonicMillis();
         return new SideDump.OrderLoop(
                 node.get().flatMap(SideNode::lastResidencyReadMillis).map(readMillis -> nowMillis - readMillis),
                 node.get().map(SideNode::unplaceableItems).orElse(List.of()));
     }
 
-    private Map<Permits.Limit, SideDump.PermitCount> permitsByLimit() {
+    private Map<Permits.Limit, SideDump.PermitCount> dumpPermits() {
         Map<Permits.Limit, SideDump.PermitCount> counts = new EnumMap<>(Permits.Limit.class);
         for (Permits.Limit limit : Permits.Limit.values()) {
-            int heldHere = held.get().map(permits -> permits.countInUse(limit)).orElse(0);
-            counts.put(limit, new SideDump.PermitCount(permitHome.countLent(limit), heldHere));
+            int heldCount = leasedPermits
+                    .get()
+                    .map(permits -> permits.countInUse(limit))
+                    .orElse(0);
+            counts.put(limit, new SideDump.PermitCount(permitLender.countLent(limit), heldCount));
         }
         return counts;
     }
 
-    void adopted(Bundle bundle) {
+    void onBundleAdopted(Bundle bundle) {
         Optional<Service> service = bundle.service(settings.service());
         if (service.isEmpty()) {
             LOG.log(
                     System.Logger.Level.ERROR,
-                    "process: Bundle {0} names no service {1}; name it or mend the settings.",
+                    "process: bundle {0} names no service {1}; add it to the bundle or correct the settings.",
                     bundle.version(),
                     settings.service());
             return;
         }
-        permitHome.configure(slots(service.get()));
+        permitLender.configure(slots(service.get()));
         if (node.get().isEmpty()) {
-            open(service.get());
+            openNode(service.get());
         }
     }
 
     /**
-     * Failure: a bundle comes while a side that was told to stop before it had one closes its parts. Symptom: it takes
-     * requests, and the close cuts them. Both take the same lock, so either the drain finds what was opened or nothing
-     * opens any more.
+     * Creates and opens the node unless this side is draining. A bundle may arrive while a side that was stopped before
+     * it had one closes its components; a node opened then would accept requests that the close cuts off. This method
+     * and the drain hold the same lock, so either the drain finds the open node or none is opened any more.
      */
-    private synchronized void open(Service service) {
-        if (draining.isPresent()) {
+    private synchronized void openNode(Service service) {
+        if (drainCompletion.isPresent()) {
             return;
         }
-        LeasedPermits permits = permits();
-        held.set(Optional.of(permits));
-        every(settings.permitLeaseMillis() / RENEWALS_A_LEASE, permits::renew);
-        SideNodeBuilder builder = builder(permits);
+        LeasedPermits permits = createPermits();
+        leasedPermits.set(Optional.of(permits));
+        scheduleEvery(settings.permitLeaseMillis() / RENEWALS_PER_LEASE, permits::renew);
+        SideNodeBuilder builder = nodeBuilder(permits);
         SideNode ready = settings.targetKind() == TargetType.PLAIN
                 ? builder.forPlainService(new HttpPlainService(
-                        foundation.http(), target(), foundation.settings().tableTimeoutMillis()))
-                : builder.forModelEngine(engine(), ledger(service));
+                        runtime.http(), targetAddress(), runtime.settings().tableTimeoutMillis()))
+                : builder.forModelEngine(createEngine(), createLedger(service));
         node.set(Optional.of(ready));
         ready.start();
-        door.open(ready);
+        sideHandler.open(ready);
     }
 
-    private SideNodeBuilder builder(Permits permits) {
+    private SideNodeBuilder nodeBuilder(Permits permits) {
         return new SideNodeBuilder(identity)
                 .limits(SideLimits.defaults()
                         .withQueueLimit(settings.queueLimit())
@@ -286,46 +291,47 @@
                         .withAttemptRetentionMillis(settings.attemptRetentionMillis())
                         .withStreamSilenceMillis(settings.streamSilenceMillis())
                         .withPollWaitMillis(settings.pollWaitMillis()))
-                .clock(foundation.clock())
-                .random(foundation.random())
-                .bundles(foundation.bundles())
-                .membership(foundation.members())
-                .suspects(foundation.suspects())
-                .connections(foundation.connections())
-                .peer(peer)
+                .clock(runtime.clock())
+                .random(runtime.random())
+                .bundles(runtime.bundles())
+                .membership(runtime.members())
+                .suspects(runtime.suspects())
+                .connections(runtime.connections())
+                .peer(peerHandler)
                 .permits(permits)
-                .wantedItems(planned)
+                .wantedItems(plannedItems)
                 .admissionRule(decisions.admission())
-                .meters(foundation.meters());
+                .meters(runtime.meters());
     }
 
-    private HttpModelEngine engine() {
+    private HttpModelEngine createEngine() {
         return new HttpModelEngine(
-                foundation.http(),
-                target(),
-                foundation.settings().tableTimeoutMillis(),
+                runtime.http(),
+                targetAddress(),
+                runtime.settings().tableTimeoutMillis(),
                 settings.streamSilenceMillis());
     }
 
-    private MemoryLedger ledger(Service service) {
+    private MemoryLedger createLedger(Service service) {
         return service.ordersFenced()
-                ? MemoryLedger.forFencedEngine(
-                        service.memoryBytes(), foundation.clock(), settings.orderQuarantineMillis())
+                ? MemoryLedger.forFencedEngine(service.memoryBytes(), runtime.clock(), settings.orderQuarantineMillis())
                 : MemoryLedger.forUnfencedEngine(
-                        service.memoryBytes(), foundation.clock(), settings.orderQuarantineMillis());
+                        service.memoryBytes(), runtime.clock(), settings.orderQuarantineMillis());
     }
 
-    private LeasedPermits permits() {
-        return LeasedPermits.forHolder(identity.sideId(), permitHome)
-                .withPeers(settings.service(), foundation.members(), foundation.connections())
-                .withClock(foundation.clock(), foundation.random())
-                .withTotalSlots(limit -> foundation
-                        .bundles()
+    private LeasedPermits createPermits() {
+        return LeasedPermits.forHolder(identity.sideId(), permitLender)
+                .withPeers(settings.service(), runtime.members(), runtime.connections())
+                .withClock(runtime.clock(), runtime.random())
+                .withTotalSlots(limit -> runtime.bundles()
                         .current()
                         .flatMap(bundle -> bundle.service(settings.service()))
                         .map(service -> slots(service).totalSlots(limit))
                         .orElse(0))
-                .withBounds(MAX_ASKS, settings.permitLeaseMillis(), settings.permitLeaseMillis() / MARGIN_SHARE)
+                .withBounds(
+                        MAX_PEERS_ASKED,
+                        settings.permitLeaseMillis(),
+                        settings.permitLeaseMillis() / LEASE_MARGIN_DIVISOR)
                 .build();
     }
 
@@ -338,23 +344,23 @@
                 service.adapterLoadsAtOnce());
     }
 
-    private HostPort target() {
+    private HostPort targetAddress() {
         return new HostPort(settings.targetUrl().getHost(), settings.targetUrl().getPort());
     }
 
-    private void every(long millis, Runnable task) {
-        foundation.scheduler().scheduleAtFixedRate(task, millis, millis, TimeUnit.MILLISECONDS);
+    private void scheduleEvery(long intervalMillis, Runnable task) {
+        runtime.scheduler().scheduleAtFixedRate(task, intervalMillis, intervalMillis, TimeUnit.MILLISECONDS);
     }
 
     /**
-     * How a side decides.
+     * The strategies of a side.
      *
-     * @param placement what its target holds.
-     * @param admission which requests can still make their deadline.
+     * @param placement determines which items its target holds.
+     * @param admission determines which requests can still meet their deadline.
      */
     public record Decisions(PlacementStrategy placement, AdmissionRule admission) {
 
-        /** The product's. */
+        /** The strategies used in production. */
         public static final Decisions DEFAULT = new Decisions(
                 PlacementStrategy.named("planned", DemandThresholds.DEFAULT), AdmissionRule.WITH_RUN_TIME);
     }
