--- a/src/main/java/io/waxwingquay/bench/LocalDeployment.java
+++ b/src/main/java/io/waxwingquay/bench/LocalDeployment.java
@@ -69,7 +69,7 @@
         this.targets = new LocalTargets(bundle, choices.costs, choices.timeScale, choices.weightLoadMillis);
         this.texts = new SettingsText(
                 new HostPort(LOOPBACK, platform.port()),
-                KeyCodec.text(operatorKey.getPublic()),
+                KeyCodec.encode(operatorKey.getPublic()),
                 DATA_CENTRES,
                 choices.leaseMillis,
                 choices.orderQuarantineMillis);
@@ -143,7 +143,7 @@
             BundleArchive archive = new BundleArchive(
                     new HttpTableService(client, address, TABLE_TIMEOUT_MILLIS),
                     new HttpObjectStore(client, address, TABLE_TIMEOUT_MILLIS));
-            TrustedKeys roots = TrustedKeys.ofRoots(List.of(KeyCodec.text(operatorKey.getPublic())));
+            TrustedKeys roots = TrustedKeys.ofRoots(List.of(KeyCodec.encode(operatorKey.getPublic())));
             return new BundleAcceptance(archive, roots).submit(signed(document)).join();
         } finally {
             stop(client);
--- a/src/main/java/io/waxwingquay/bundle/BundleAcceptance.java
+++ b/src/main/java/io/waxwingquay/bundle/BundleAcceptance.java
@@ -40,7 +40,7 @@
                 .exceptionally(BundleAcceptance::beforeCommit);
     }
 
-    private CompletableFuture<Outcome> check(SignedBundle bundle, Optional<BundleArchive.Current> current) {
+    private CompletableFuture<Outcome> check(SignedBundle bundle, Optional<BundleArchive.CurrentRow> current) {
         if (isSame(bundle, current)) {
             return already(bundle);
         }
@@ -57,7 +57,7 @@
         });
     }
 
-    private CompletableFuture<TrustedKeys> keysInForce(Optional<BundleArchive.Current> current) {
+    private CompletableFuture<TrustedKeys> keysInForce(Optional<BundleArchive.CurrentRow> current) {
         if (current.isEmpty()) {
             return CompletableFuture.completedFuture(roots);
         }
@@ -95,7 +95,7 @@
                 .exceptionally(failure -> unknown(attempt, "the table did not answer"));
     }
 
-    private CompletableFuture<Outcome> judge(Attempt attempt, Optional<BundleArchive.Current> current) {
+    private CompletableFuture<Outcome> judge(Attempt attempt, Optional<BundleArchive.CurrentRow> current) {
         long inForce = versionOf(current);
         long version = attempt.row().version();
         if (inForce == version) {
@@ -119,7 +119,7 @@
                 new Outcome(Verdict.ACCEPTED, state, version, "bundle " + version + " is accepted"));
     }
 
-    private static CompletableFuture<Outcome> lost(Attempt attempt, Optional<BundleArchive.Current> current) {
+    private static CompletableFuture<Outcome> lost(Attempt attempt, Optional<BundleArchive.CurrentRow> current) {
         BundleRow row = current.orElseThrow().row();
         String message = "another bundle won over " + attempt.row().version() + ": version " + row.version()
                 + " signed by key " + row.keyId() + " is in force; rebase on it and submit the next version";
@@ -158,13 +158,13 @@
         return BundleChart.CHART.next(state, event).orElse(state);
     }
 
-    private static boolean isSame(SignedBundle bundle, Optional<BundleArchive.Current> current) {
+    private static boolean isSame(SignedBundle bundle, Optional<BundleArchive.CurrentRow> current) {
         return current.filter(found -> found.row().version() == bundle.version())
                 .filter(found -> found.row().hash().equals(bundle.hash()))
                 .isPresent();
     }
 
-    private static long versionOf(Optional<BundleArchive.Current> current) {
+    private static long versionOf(Optional<BundleArchive.CurrentRow> current) {
         return current.map(found -> found.row().version()).orElse(0L);
     }
 
@@ -193,12 +193,12 @@
     private record Attempt(
             BundleRow row, long expectedRowVersion, boolean changesKeys, int number, boolean mayHaveLanded) {
 
-        static Attempt first(BundleChain.Verified verified, Optional<BundleArchive.Current> current) {
+        static Attempt first(BundleChain.Verified verified, Optional<BundleArchive.CurrentRow> current) {
             Stream<Long> earlier = current.stream().flatMap(found -> found.row().keyVersions().stream());
             Stream<Long> own =
                     verified.changesKeys() ? Stream.of(verified.bundle().version()) : Stream.empty();
             List<Long> keyVersions = Stream.concat(earlier, own).toList();
-            long expected = current.map(BundleArchive.Current::rowVersion).orElse(TableService.ABSENT);
+            long expected = current.map(BundleArchive.CurrentRow::rowVersion).orElse(TableService.ABSENT);
             return new Attempt(
                     BundleRow.of(verified.signed(), keyVersions), expected, verified.changesKeys(), 1, false);
         }
--- a/src/main/java/io/waxwingquay/bundle/BundleArchive.java
+++ b/src/main/java/io/waxwingquay/bundle/BundleArchive.java
@@ -35,10 +35,10 @@
      *
      * @return the row, or empty if none was ever accepted.
      */
-    public CompletableFuture<Optional<Current>> current() {
-        return converted(table.read(List.of(BundleRow.CURRENT))
-                .thenApply(rows -> Optional.ofNullable(rows.get(BundleRow.CURRENT))
-                        .map(row -> new Current(BundleRow.parse(row.value()), row.version()))));
+    public CompletableFuture<Optional<CurrentRow>> current() {
+        return converted(table.read(List.of(BundleRow.CURRENT_KEY))
+                .thenApply(rows -> Optional.ofNullable(rows.get(BundleRow.CURRENT_KEY))
+                        .map(row -> new CurrentRow(BundleRow.parse(row.value()), row.version()))));
     }
 
     /**
@@ -51,7 +51,7 @@
     CompletableFuture<List<SignedBundle>> keyBundles(BundleRow row, long aboveVersion) {
         List<String> keys = row.keyVersions().stream()
                 .filter(version -> version > aboveVersion && version < row.version())
-                .map(BundleRow::keysRow)
+                .map(BundleRow::keyChangeRowKey)
                 .toList();
         if (keys.isEmpty()) {
             return CompletableFuture.completedFuture(List.of());
@@ -89,9 +89,9 @@
      */
     CompletableFuture<Boolean> accept(BundleRow row, long expectedRowVersion, boolean changesKeys) {
         List<TableService.Write> writes = new ArrayList<>();
-        writes.add(new TableService.Write(BundleRow.CURRENT, expectedRowVersion, row.json()));
+        writes.add(new TableService.Write(BundleRow.CURRENT_KEY, expectedRowVersion, row.json()));
         if (changesKeys) {
-            String key = BundleRow.keysRow(row.version());
+            String key = BundleRow.keyChangeRowKey(row.version());
             writes.add(new TableService.Write(key, TableService.ABSENT, row.json()));
         }
         return converted(table.commit(writes).thenApply(TableService.CommitResult::committed));
@@ -140,5 +140,5 @@
      * @param row the row.
      * @param rowVersion the row's version in the table service, for the next compare-and-set.
      */
-    public record Current(BundleRow row, long rowVersion) {}
+    public record CurrentRow(BundleRow row, long rowVersion) {}
 }
--- a/src/main/java/io/waxwingquay/bundle/BundleChain.java
+++ b/src/main/java/io/waxwingquay/bundle/BundleChain.java
@@ -33,7 +33,7 @@
         Walk walk = walk(roots, chain.subList(0, chain.size() - 1));
         Bundle bundle = SignatureCheck.verify(last, walk.keys());
         return new Verified(
-                last, bundle, walk.verified(), walk.keys(), walk.keys().after(bundle.keys()));
+                last, bundle, walk.verified(), walk.keys(), walk.keys().updatedBy(bundle.keys()));
     }
 
     private static Walk walk(TrustedKeys roots, List<SignedBundle> keyBundles) {
@@ -41,7 +41,7 @@
         List<SignedBundle> verified = new ArrayList<>();
         for (SignedBundle each : keyBundles) {
             try {
-                keys = keys.after(SignatureCheck.verify(each, keys).keys());
+                keys = keys.updatedBy(SignatureCheck.verify(each, keys).keys());
                 verified.add(each);
             } catch (BundleException skipped) {
                 // Roots newer than this bundle: the check of the bundle to adopt decides, see the class comment.
--- a/src/main/java/io/waxwingquay/bundle/BundleDocument.java
+++ b/src/main/java/io/waxwingquay/bundle/BundleDocument.java
@@ -63,7 +63,7 @@
     private static Bundle.Key key(TomlTable table) {
         Bundle.Key key = new Bundle.Key(table.text("id"), table.text("public_key"));
         try {
-            String id = KeyCodec.id(KeyCodec.publicKey(key.publicKey()));
+            String id = KeyCodec.id(KeyCodec.decodePublicKey(key.publicKey()));
             if (!id.equals(key.id())) {
                 table.report("id", "is not the identifier of its public_key; write id = \"" + id + "\"");
             }
--- a/src/main/java/io/waxwingquay/bundle/BundleFeed.java
+++ b/src/main/java/io/waxwingquay/bundle/BundleFeed.java
@@ -261,7 +261,7 @@
          * @param phase which of these intervals is its turn, so that processes started together do not look together.
          * @return this builder.
          */
-        public Builder lookingAlways(BooleanSupplier always, int every, int phase) {
+        public Builder pollEveryInterval(BooleanSupplier always, int every, int phase) {
             this.looksAlways = always;
             this.otherwiseEvery = every;
             this.firstTick = phase;
--- a/src/main/java/io/waxwingquay/bundle/BundleRow.java
+++ b/src/main/java/io/waxwingquay/bundle/BundleRow.java
@@ -16,7 +16,7 @@
 public record BundleRow(long version, String hash, String signature, String keyId, List<Long> keyVersions) {
 
     /** The key of the row that names the bundle in force. */
-    public static final String CURRENT = "bundle/current";
+    public static final String CURRENT_KEY = "bundle/current";
 
     /**
      * The key of the row that keeps a bundle which changed the operator keys.
@@ -24,7 +24,7 @@
      * @param version the bundle's version.
      * @return the row's key.
      */
-    public static String keysRow(long version) {
+    public static String keyChangeRowKey(long version) {
         return "bundle/keys/" + version;
     }
 
@@ -37,7 +37,7 @@
         try {
             return Json.MAPPER.readValue(json, BundleRow.class);
         } catch (JsonProcessingException failure) {
-            throw new BundleException("row " + CURRENT + " is malformed", failure);
+            throw new BundleException("row " + CURRENT_KEY + " is malformed", failure);
         }
     }
 
@@ -45,7 +45,7 @@
         try {
             return Json.MAPPER.writeValueAsString(this);
         } catch (JsonProcessingException failure) {
-            throw new BundleException("row " + CURRENT + " can't be written", failure);
+            throw new BundleException("row " + CURRENT_KEY + " can't be written", failure);
         }
     }
 }
--- a/src/main/java/io/waxwingquay/bundle/KeyCodec.java
+++ b/src/main/java/io/waxwingquay/bundle/KeyCodec.java
@@ -42,7 +42,7 @@
      * @return the key.
      * @throws BundleException if the text is no such key.
      */
-    public static PublicKey publicKey(String base64) {
+    public static PublicKey decodePublicKey(String base64) {
         try {
             return KeyFactory.getInstance(ALGORITHM)
                     .generatePublic(new X509EncodedKeySpec(Base64.getDecoder().decode(base64.strip())));
@@ -59,7 +59,7 @@
      * @return the key.
      * @throws BundleException if the text is no such key.
      */
-    public static PrivateKey privateKey(String base64) {
+    public static PrivateKey decodePrivateKey(String base64) {
         try {
             return KeyFactory.getInstance(ALGORITHM)
                     .generatePrivate(new PKCS8EncodedKeySpec(Base64.getDecoder().decode(base64.strip())));
@@ -74,7 +74,7 @@
      * @param key a public or private key.
      * @return base64 of its encoding.
      */
-    public static String text(Key key) {
+    public static String encode(Key key) {
         return Base64.getEncoder().encodeToString(key.getEncoded());
     }
 
--- a/src/main/java/io/waxwingquay/bundle/TrustedKeys.java
+++ b/src/main/java/io/waxwingquay/bundle/TrustedKeys.java
@@ -38,7 +38,7 @@
      * @param bundleKeys the keys of the verified bundle; without a trusted key in it the present ones stay.
      * @return the keys that may sign the next bundle.
      */
-    public TrustedKeys after(Bundle.Keys bundleKeys) {
+    public TrustedKeys updatedBy(Bundle.Keys bundleKeys) {
         Set<String> allRevoked = new HashSet<>(revoked);
         allRevoked.addAll(bundleKeys.revoked());
         Map<String, PublicKey> next = bundleKeys.trusted().isEmpty()
@@ -89,7 +89,7 @@
     private static Map<String, PublicKey> byId(List<String> publicKeys) {
         Map<String, PublicKey> result = new LinkedHashMap<>();
         for (String text : publicKeys) {
-            PublicKey key = KeyCodec.publicKey(text);
+            PublicKey key = KeyCodec.decodePublicKey(text);
             result.put(KeyCodec.id(key), key);
         }
         return result;
--- a/src/main/java/io/waxwingquay/command/BundleCommand.java
+++ b/src/main/java/io/waxwingquay/command/BundleCommand.java
@@ -83,7 +83,7 @@
         return reporting(() -> {
             KeyPair pair = new KeyFile(file).create();
             out().println("id = \"" + KeyCodec.id(pair.getPublic()) + "\"");
-            out().println("public_key = \"" + KeyCodec.text(pair.getPublic()) + "\"");
+            out().println("public_key = \"" + KeyCodec.encode(pair.getPublic()) + "\"");
             return ExitCodes.OK;
         });
     }
@@ -142,7 +142,7 @@
                     long limitMillis) {
         return reporting(() -> {
             try (PlatformFactory.Platform platform = platforms.open(url)) {
-                Optional<BundleArchive.Current> current = archive(platform)
+                Optional<BundleArchive.CurrentRow> current = archive(platform)
                         .current()
                         .orTimeout(limitMillis, TimeUnit.MILLISECONDS)
                         .join();
--- a/src/main/java/io/waxwingquay/command/HostedRole.java
+++ b/src/main/java/io/waxwingquay/command/HostedRole.java
@@ -49,7 +49,7 @@
      * @return the exit code.
      */
     int run(Path file, LogLevel level, PrintWriter errors) throws InterruptedException {
-        Logging.toStandardOutput(LogFormat.TEXT, level);
+        Logging.configureStandardOutput(LogFormat.TEXT, level);
         HostSettings settings;
         try {
             settings = SettingsFile.read(file);
--- a/src/main/java/io/waxwingquay/command/KeyFile.java
+++ b/src/main/java/io/waxwingquay/command/KeyFile.java
@@ -33,8 +33,8 @@
         KeyPair pair = KeyCodec.generate();
         // The permissions are set as the file is made, so that there is no moment at which others can open it.
         Files.createFile(file, PosixFilePermissions.asFileAttribute(OWNER_ONLY));
-        Files.writeString(file, KeyCodec.text(pair.getPrivate()) + "\n");
-        Files.writeString(publicFile(), KeyCodec.text(pair.getPublic()) + "\n", StandardOpenOption.CREATE_NEW);
+        Files.writeString(file, KeyCodec.encode(pair.getPrivate()) + "\n");
+        Files.writeString(publicFile(), KeyCodec.encode(pair.getPublic()) + "\n", StandardOpenOption.CREATE_NEW);
         return pair;
     }
 
@@ -46,7 +46,7 @@
                             + PosixFilePermissions.toString(permissions) + "); run: chmod 600 " + file,
                     null);
         }
-        return BundleSigner.of(KeyCodec.privateKey(read(file)), KeyCodec.publicKey(read(publicFile())));
+        return BundleSigner.of(KeyCodec.decodePrivateKey(read(file)), KeyCodec.decodePublicKey(read(publicFile())));
     }
 
     Path publicFile() {
--- a/src/main/java/io/waxwingquay/command/RehearseCommand.java
+++ b/src/main/java/io/waxwingquay/command/RehearseCommand.java
@@ -32,7 +32,7 @@
     /** {@inheritDoc} */
     @Override
     public Integer call() throws Exception {
-        Logging.toStandardOutput(LogFormat.TEXT, LogLevel.INFO);
+        Logging.configureStandardOutput(LogFormat.TEXT, LogLevel.INFO);
         if (port.isPresent()) {
             Rehearsal.play(port.get());
         } else {
--- a/src/main/java/io/waxwingquay/observe/Logging.java
+++ b/src/main/java/io/waxwingquay/observe/Logging.java
@@ -48,12 +48,12 @@
      * @param format how log lines look.
      * @param level the lowest level of our own parts that is written.
      */
-    public static void toStandardOutput(LogFormat format, LogLevel level) {
+    public static void configureStandardOutput(LogFormat format, LogLevel level) {
         output = new BoundedOutput(System.out);
         configure((LoggerContext) LoggerFactory.getILoggerFactory(), format, level, output);
     }
 
-    /** Writes out what {@link #toStandardOutput} still holds. */
+    /** Writes out what {@link #configureStandardOutput} still holds. */
     public static void flush() {
         BoundedOutput current = output;
         if (current != null) {
--- a/src/main/java/io/waxwingquay/observe/ProcessMeters.java
+++ b/src/main/java/io/waxwingquay/observe/ProcessMeters.java
@@ -43,7 +43,7 @@
      *
      * @param bundles the bundle in force.
      */
-    public void watch(BundleSource bundles) {
+    public void registerBundle(BundleSource bundles) {
         AtomicLong adoptedAtMillis = new AtomicLong(clock.monotonicMillis());
         bundles.onAdopted(bundle -> adoptedAtMillis.set(clock.monotonicMillis()));
         Gauge.builder("waxwingquay.bundle.version", bundles, ProcessMeters::version)
--- a/src/main/java/io/waxwingquay/process/Foundation.java
+++ b/src/main/java/io/waxwingquay/process/Foundation.java
@@ -99,7 +99,7 @@
         this.feed = own(BundleFeed.builder(bundles, new BundleArchive(table, objects))
                 .peers(fetcher)
                 .schedule(scheduler, settings.bundlePollMillis())
-                .lookingAlways(this::isReader, RARE_LOOK, random.nextInt(RARE_LOOK))
+                .pollEveryInterval(this::isReader, RARE_LOOK, random.nextInt(RARE_LOOK))
                 .build());
         this.gossip = gossip(fetcher);
         VmList.Vm self =
@@ -131,7 +131,7 @@
                 .section("peers", peers::all)
                 .section("suspects", suspects::snapshot);
         sections.accept(dump);
-        measures.watch(bundles);
+        measures.registerBundle(bundles);
         admin = Optional.of(own(AdminServer.builder(meters, dump)
                 .listen(settings.host(), settings.adminPort())
                 .notReady(notReady)
--- a/src/main/java/io/waxwingquay/settings/TomlTable.java
+++ b/src/main/java/io/waxwingquay/settings/TomlTable.java
@@ -219,7 +219,7 @@
      *
      * @return whether a fault was noted.
      */
-    public boolean faulty() {
+    public boolean hasProblems() {
         return document.problemCount() > 0;
     }
 
--- a/src/test/java/io/waxwingquay/bundle/BundleAcceptanceTest.java
+++ b/src/test/java/io/waxwingquay/bundle/BundleAcceptanceTest.java
@@ -43,9 +43,9 @@
     // reading the row back finds the own hash.
     @Test
     void answerLostAfterAcceptanceIsStillTellingAccepted() {
-        platform.commitAnswersToLose = 1;
+        platform.commitAnswersToDrop = 1;
         assertEquals(Verdict.ACCEPTED, submit(operator.bundle(1)).verdict());
-        assertEquals(1, platform.rows.get(BundleRow.CURRENT).version());
+        assertEquals(1, platform.rows.get(BundleRow.CURRENT_KEY).version());
     }
 
     // A rival wins, and the answer to our own losing commit is lost. The row names the rival's hash, so ours
@@ -54,7 +54,7 @@
     void answerLostAfterAnotherWonIsRefused() {
         SignedBundle rival = operator.sign(Operator.document(1, "rival"));
         platform.beforeCommit = () -> {
-            platform.beforeCommit = () -> platform.commitAnswersToLose = 1;
+            platform.beforeCommit = () -> platform.commitAnswersToDrop = 1;
             submit(rival);
         };
         Outcome outcome = submit(operator.bundle(1));
@@ -66,9 +66,9 @@
     // compare-and-set goes out again; when every one is lost the operator is told that the outcome is unknown.
     @Test
     void commitsLostAreTriedAgainAndThenToldAsUnknown() {
-        platform.commitsToLose = 1;
+        platform.commitsToDrop = 1;
         assertEquals(Verdict.ACCEPTED, submit(operator.bundle(1)).verdict());
-        platform.commitsToLose = 10;
+        platform.commitsToDrop = 10;
         assertEquals(Verdict.UNKNOWN, submit(operator.bundle(2)).verdict());
     }
 
@@ -77,8 +77,8 @@
     @Test
     void answerLostAndThenReplacedIsUnknownRatherThanRefused() {
         submit(operator.bundle(1));
-        platform.commitAnswersToLose = 1;
-        platform.afterLostAnswer =
+        platform.commitAnswersToDrop = 1;
+        platform.afterDroppedAnswer =
                 () -> assertEquals(Verdict.ACCEPTED, submit(operator.bundle(3)).verdict());
         Outcome outcome = submit(operator.bundle(2));
         assertEquals(Verdict.UNKNOWN, outcome.verdict());
@@ -89,13 +89,13 @@
     void outcomesFollowTheStateChart() {
         assertEquals(BundleChart.State.ACCEPTED, submit(operator.bundle(1)).state());
         assertEquals(BundleChart.State.REFUSED, submit(operator.bundle(9)).state());
-        platform.commitsToLose = 10;
+        platform.commitsToDrop = 10;
         assertEquals(BundleChart.State.STORED, submit(operator.bundle(2)).state());
     }
 
     @Test
     void platformOutBeforeTheCommitIsToldAsNothingAccepted() {
-        platform.out = true;
+        platform.outage = true;
         assertEquals(Verdict.NOT_REACHED, submit(operator.bundle(1)).verdict());
     }
 
@@ -128,6 +128,6 @@
     }
 
     private BundleRow inForce() {
-        return BundleRow.parse(platform.rows.get(BundleRow.CURRENT).value());
+        return BundleRow.parse(platform.rows.get(BundleRow.CURRENT_KEY).value());
     }
 }
--- a/src/test/java/io/waxwingquay/bundle/BundleFeedTest.java
+++ b/src/test/java/io/waxwingquay/bundle/BundleFeedTest.java
@@ -61,7 +61,7 @@
     // no bundle and stays not ready, rather than serve an old one.
     @Test
     void restartedWithTheStoreOutTakesThePeersBundleOrStaysWithout() {
-        platform.out = true;
+        platform.outage = true;
         BundleFeed alone = feed(new BundleHolder(operator.root()));
         alone.refresh().join();
         assertEquals(Optional.empty(), holder.current());
@@ -85,7 +85,7 @@
         feed(new BundleHolder(operator.root())).refresh().join();
         assertEquals(4, holder.version());
         BundleHolder restarted = new BundleHolder(operator.root());
-        platform.out = true;
+        platform.outage = true;
         feedOf(restarted, holder).refresh().join();
         assertEquals(4, restarted.version());
         assertRefusedBy(restarted, operator.bundle(5));
@@ -107,7 +107,7 @@
     // of waiting for the next look; a hint of no higher version costs nothing.
     @Test
     void hintOfAHigherVersionAsksPeersAtOnce() throws Exception {
-        platform.out = true;
+        platform.outage = true;
         BundleHolder peer = new BundleHolder(operator.root());
         peer.adopt(List.of(operator.bundle(6)));
         CompletableFuture<Long> adopted = new CompletableFuture<>();
@@ -130,7 +130,7 @@
     @Test
     void aProcessThatOthersReadForLooksRarelyButDoesLook() {
         BundleFeed feed = BundleFeed.builder(holder, platform.archive())
-                .lookingAlways(() -> false, 30, 2)
+                .pollEveryInterval(() -> false, 30, 2)
                 .build();
         feed.tick().join();
         submit(operator.bundle(1));
@@ -152,7 +152,7 @@
         AtomicInteger asked = new AtomicInteger();
         BundleHolder peer = new BundleHolder(operator.root());
         peer.adopt(List.of(operator.bundle(1)));
-        platform.out = true;
+        platform.outage = true;
         BundleFeed feed = BundleFeed.builder(holder, platform.archive())
                 .peers(version -> {
                     if (asked.getAndIncrement() == 0) {
--- a/src/test/java/io/waxwingquay/bundle/FakePlatform.java
+++ b/src/test/java/io/waxwingquay/bundle/FakePlatform.java
@@ -14,11 +14,11 @@
 
     final Map<String, Row> rows = new HashMap<>();
     final Map<String, byte[]> objects = new HashMap<>();
-    boolean out;
-    int commitAnswersToLose;
-    int commitsToLose;
+    boolean outage;
+    int commitAnswersToDrop;
+    int commitsToDrop;
     Runnable beforeCommit = () -> {};
-    Runnable afterLostAnswer = () -> {};
+    Runnable afterDroppedAnswer = () -> {};
 
     @Override
     public CompletableFuture<Map<String, Row>> read(List<String> keys) {
@@ -30,7 +30,7 @@
     @Override
     public CompletableFuture<CommitResult> commit(List<Write> writes) {
         beforeCommit.run();
-        if (out || commitsToLose-- > 0) {
+        if (outage || commitsToDrop-- > 0) {
             return unavailable();
         }
         Map<String, Optional<Row>> conflicts = new HashMap<>();
@@ -40,8 +40,8 @@
         if (conflicts.isEmpty()) {
             writes.forEach(write -> rows.put(write.key(), new Row(write.value(), write.expectedVersion() + 1)));
         }
-        if (commitAnswersToLose-- > 0) {
-            afterLostAnswer.run();
+        if (commitAnswersToDrop-- > 0) {
+            afterDroppedAnswer.run();
             return unavailable();
         }
         return answer(new CommitResult(conflicts.isEmpty(), conflicts));
@@ -49,7 +49,7 @@
 
     @Override
     public CompletableFuture<Void> put(String name, byte[] bytes) {
-        if (!out) {
+        if (!outage) {
             objects.put(name, bytes);
         }
         return answer(null);
@@ -61,13 +61,13 @@
     }
 
     /** From now on nothing answers. */
-    public void goOut() {
-        out = true;
+    public void startOutage() {
+        outage = true;
     }
 
     /** Some commits vanish before they take effect. */
-    public void loseCommits(int count) {
-        commitsToLose = count;
+    public void dropCommits(int count) {
+        commitsToDrop = count;
     }
 
     BundleArchive archive() {
@@ -79,7 +79,7 @@
     }
 
     private <T> CompletableFuture<T> answer(T value) {
-        return out ? unavailable() : CompletableFuture.completedFuture(value);
+        return outage ? unavailable() : CompletableFuture.completedFuture(value);
     }
 
     private static <T> CompletableFuture<T> unavailable() {
--- a/src/test/java/io/waxwingquay/bundle/Operator.java
+++ b/src/test/java/io/waxwingquay/bundle/Operator.java
@@ -15,7 +15,7 @@
     }
 
     String publicKey() {
-        return KeyCodec.text(pair.getPublic());
+        return KeyCodec.encode(pair.getPublic());
     }
 
     TrustedKeys root() {
--- a/src/test/java/io/waxwingquay/command/MainTest.java
+++ b/src/test/java/io/waxwingquay/command/MainTest.java
@@ -72,9 +72,9 @@
         run("bundle", "sign", "--key", key, file);
         String stranger = key("stranger");
         assertEquals(ExitCodes.REFUSED, run("bundle", "submit", PLATFORM, "--trusted-key", stranger + ".pub", file));
-        platform.loseCommits(100);
+        platform.dropCommits(100);
         assertEquals(ExitCodes.UNKNOWN_OUTCOME, run("bundle", "submit", PLATFORM, "--trusted-key", key + ".pub", file));
-        platform.goOut();
+        platform.startOutage();
         assertEquals(ExitCodes.FAILED, run("bundle", "submit", PLATFORM, "--trusted-key", key + ".pub", file));
         assertEquals(ExitCodes.FAILED, run("bundle", "status", PLATFORM));
         assertEquals(ExitCodes.USAGE, run("bundle", "submit", file));
--- a/src/test/java/io/waxwingquay/observe/AdminServerTest.java
+++ b/src/test/java/io/waxwingquay/observe/AdminServerTest.java
@@ -80,7 +80,7 @@
         AtomicLong nowMillis = new AtomicLong(1_000);
         ProcessMeters meters = new ProcessMeters(registry, new FixedClock(nowMillis));
         Bundles bundles = new Bundles();
-        meters.watch(bundles);
+        meters.registerBundle(bundles);
         bundles.adopt(7);
         nowMillis.addAndGet(2_500);
         meters.countCall("gossip", 120, 80);
--- a/src/test/java/io/waxwingquay/process/SideProcessTest.java
+++ b/src/test/java/io/waxwingquay/process/SideProcessTest.java
@@ -28,7 +28,7 @@
         Bundle bundle = bundle();
         Bundle.Service service = bundle.services().get(0);
         try (PlatformStandin platform = PlatformStandin.builder().start()) {
-            String key = KeyCodec.text(KeyCodec.generate().getPublic());
+            String key = KeyCodec.encode(KeyCodec.generate().getPublic());
             String text = new SettingsText(new HostPort("127.0.0.1", platform.port()), key, 1, 1_000L, 0L)
                     .side(service, 0, NOBODY, List.of(0, 0));
             SideProcess side = SideProcess.start(SideSettings.parse("side", text.getBytes(StandardCharsets.UTF_8)));
--- a/src/test/java/io/waxwingquay/scenario/CallPathWorld.java
+++ b/src/test/java/io/waxwingquay/scenario/CallPathWorld.java
@@ -77,7 +77,7 @@
     private final PlatformStandin platform = PlatformStandin.builder().start();
     private final KeyPair operatorKey = KeyCodec.generate();
     private final SettingsText texts = new SettingsText(
-            new HostPort(LOOPBACK, platform.port()), KeyCodec.text(operatorKey.getPublic()), 1, LEASE_MILLIS, 0L);
+            new HostPort(LOOPBACK, platform.port()), KeyCodec.encode(operatorKey.getPublic()), 1, LEASE_MILLIS, 0L);
     private final HttpClient http = HttpCalls.startClient(16, TABLE_TIMEOUT_MILLIS);
     private final Caller caller = new Caller();
     private final Map<String, ModelEngineStandin> engines = new LinkedHashMap<>();
@@ -283,7 +283,7 @@
                 new HttpObjectStore(http, address, TABLE_TIMEOUT_MILLIS));
         BundleSigner signer = BundleSigner.of(operatorKey.getPrivate(), operatorKey.getPublic());
         BundleAcceptance.Outcome outcome = new BundleAcceptance(
-                        archive, TrustedKeys.ofRoots(List.of(KeyCodec.text(operatorKey.getPublic()))))
+                        archive, TrustedKeys.ofRoots(List.of(KeyCodec.encode(operatorKey.getPublic()))))
                 .submit(signer.sign(document.getBytes(StandardCharsets.UTF_8)))
                 .join();
         assertEquals(BundleAcceptance.Verdict.ACCEPTED, outcome.verdict());
