--- a/src/main/java/io/waxwingquay/bundle/BundleAcceptance.java
+++ b/src/main/java/io/waxwingquay/bundle/BundleAcceptance.java
@@ -15,7 +15,7 @@
     private static final int COMMIT_ATTEMPTS = 3;
 
     private final BundleArchive archive;
-    private final TrustedKeys roots;
+    private final TrustedKeys rootKeys;
 
     /**
      * An acceptance.
@@ -25,7 +25,7 @@
      */
     public BundleAcceptance(BundleArchive archive, TrustedKeys roots) {
         this.archive = archive;
-        this.roots = roots;
+        this.rootKeys = roots;
     }
 
     /**
@@ -36,129 +36,129 @@
      */
     public CompletableFuture<Outcome> submit(SignedBundle bundle) {
         return archive.current()
-                .thenCompose(current -> check(bundle, current))
-                .exceptionally(BundleAcceptance::beforeCommit);
+                .thenCompose(current -> verifyAndCommit(bundle, current))
+                .exceptionally(BundleAcceptance::failedBeforeCommit);
     }
 
-    private CompletableFuture<Outcome> check(SignedBundle bundle, Optional<BundleArchive.CurrentRow> current) {
-        if (isSame(bundle, current)) {
-            return already(bundle);
+    private CompletableFuture<Outcome> verifyAndCommit(SignedBundle bundle, Optional<BundleArchive.CurrentRow> current) {
+        if (isInForce(bundle, current)) {
+            return alreadyInForce(bundle);
         }
-        long inForce = versionOf(current);
-        if (bundle.version() != inForce + 1) {
-            return notNext(bundle, inForce);
+        long versionInForce = versionOf(current);
+        if (bundle.version() != versionInForce + 1) {
+            return refusedVersion(bundle, versionInForce);
         }
-        return keysInForce(current).thenCompose(keys -> {
+        return trustedKeys(current).thenCompose(keys -> {
             BundleChain.Verified verified = BundleChain.verify(keys, List.of(bundle));
-            if (verified.after().isEmpty()) {
+            if (verified.keysAfter().isEmpty()) {
                 throw new BundleException.Untrusted("this bundle leaves no key that may sign the next one");
             }
-            return archive.store(bundle).thenCompose(stored -> commit(Attempt.first(verified, current)));
+            return archive.store(bundle).thenCompose(stored -> commit(CommitAttempt.first(verified, current)));
         });
     }
 
-    private CompletableFuture<TrustedKeys> keysInForce(Optional<BundleArchive.CurrentRow> current) {
+    private CompletableFuture<TrustedKeys> trustedKeys(Optional<BundleArchive.CurrentRow> current) {
         if (current.isEmpty()) {
-            return CompletableFuture.completedFuture(roots);
+            return CompletableFuture.completedFuture(rootKeys);
         }
         BundleRow row = current.get().row();
-        return archive.keyBundles(row, 0)
+        return archive.fetchKeyChanges(row, 0)
                 .thenCombine(
                         archive.fetch(row), (keyBundles, last) -> Stream.concat(keyBundles.stream(), Stream.of(last))
                                 .toList())
-                .thenApply(chain -> BundleChain.verify(roots, chain).after());
+                .thenApply(chain -> BundleChain.verify(rootKeys, chain).keysAfter());
     }
 
-    private CompletableFuture<Outcome> commit(Attempt attempt) {
+    private CompletableFuture<Outcome> commit(CommitAttempt attempt) {
         return archive.accept(attempt.row(), attempt.expectedRowVersion(), attempt.changesKeys())
                 .handle((committed, failure) -> failure == null
                         ? committed ? accepted(attempt) : readBack(attempt)
-                        : unanswered(attempt, failure))
+                        : afterCommitFailure(attempt, failure))
                 .thenCompose(next -> next);
     }
 
-    private CompletableFuture<Outcome> unanswered(Attempt attempt, Throwable failure) {
-        boolean refused = BundleArchive.unwrapped(failure).getCause() instanceof PlatformException.Refused;
-        if (refused && !attempt.mayHaveLanded()) {
-            return CompletableFuture.completedFuture(beforeCommit(failure));
+    private CompletableFuture<Outcome> afterCommitFailure(CommitAttempt attempt, Throwable failure) {
+        boolean refused = BundleArchive.unwrap(failure).getCause() instanceof PlatformException.Refused;
+        if (refused && !attempt.mayHaveCommitted()) {
+            return CompletableFuture.completedFuture(failedBeforeCommit(failure));
         }
-        return readBack(attempt.withoutAnswer());
+        return readBack(attempt.withAnswerLost());
     }
 
     // The answer to a commit can be lost after the write, so an operator told "failed" would submit again and be
     // refused, or believe that the old bundle is in force. Reading the row back tells who won. A row that has not
     // moved proves nothing, for the write may still land; committing again with the same expected row version is
     // harmless, since at most one of the two can match.
-    private CompletableFuture<Outcome> readBack(Attempt attempt) {
+    private CompletableFuture<Outcome> readBack(CommitAttempt attempt) {
         return archive.current()
-                .thenCompose(current -> judge(attempt, current))
+                .thenCompose(current -> outcomeFromRow(attempt, current))
                 .exceptionally(failure -> unknown(attempt, "the table did not answer"));
     }
 
-    private CompletableFuture<Outcome> judge(Attempt attempt, Optional<BundleArchive.CurrentRow> current) {
-        long inForce = versionOf(current);
+    private CompletableFuture<Outcome> outcomeFromRow(CommitAttempt attempt, Optional<BundleArchive.CurrentRow> current) {
+        long versionInForce = versionOf(current);
         long version = attempt.row().version();
-        if (inForce == version) {
-            boolean won = current.get().row().hash().equals(attempt.row().hash());
-            return won ? accepted(attempt) : lost(attempt, current);
+        if (versionInForce == version) {
+            boolean isOwn = current.get().row().hash().equals(attempt.row().hash());
+            return isOwn ? accepted(attempt) : refusedForOther(attempt, current);
         }
-        if (inForce > version && !attempt.mayHaveLanded()) {
-            return lost(attempt, current);
+        if (versionInForce > version && !attempt.mayHaveCommitted()) {
+            return refusedForOther(attempt, current);
         }
         // A higher version may have replaced ours after an unanswered commit put ours in force.
-        if (inForce > version || attempt.number() >= COMMIT_ATTEMPTS) {
-            return CompletableFuture.completedFuture(unknown(attempt, "version " + inForce + " is in force"));
+        if (versionInForce > version || attempt.number() >= COMMIT_ATTEMPTS) {
+            return CompletableFuture.completedFuture(unknown(attempt, "version " + versionInForce + " is in force"));
         }
-        return commit(attempt.again());
+        return commit(attempt.next());
     }
 
-    private static CompletableFuture<Outcome> accepted(Attempt attempt) {
+    private static CompletableFuture<Outcome> accepted(CommitAttempt attempt) {
         long version = attempt.row().version();
-        BundleChart.State state = step(BundleChart.State.STORED, BundleChart.Event.ACCEPT);
+        BundleChart.State state = nextState(BundleChart.State.STORED, BundleChart.Event.ACCEPT);
         return CompletableFuture.completedFuture(
                 new Outcome(Verdict.ACCEPTED, state, version, "bundle " + version + " is accepted"));
     }
 
-    private static CompletableFuture<Outcome> lost(Attempt attempt, Optional<BundleArchive.CurrentRow> current) {
+    private static CompletableFuture<Outcome> refusedForOther(CommitAttempt attempt, Optional<BundleArchive.CurrentRow> current) {
         BundleRow row = current.orElseThrow().row();
         String message = "another bundle won over " + attempt.row().version() + ": version " + row.version()
                 + " signed by key " + row.keyId() + " is in force; rebase on it and submit the next version";
-        BundleChart.State state = step(BundleChart.State.STORED, BundleChart.Event.REFUSE);
+        BundleChart.State state = nextState(BundleChart.State.STORED, BundleChart.Event.REFUSE);
         return CompletableFuture.completedFuture(new Outcome(Verdict.REFUSED, state, row.version(), message));
     }
 
-    private static Outcome unknown(Attempt attempt, String cause) {
+    private static Outcome unknown(CommitAttempt attempt, String cause) {
         long version = attempt.row().version();
         String message = "whether bundle " + version + " was accepted is unknown: " + cause + "; ask 'bundle status'";
         return new Outcome(Verdict.UNKNOWN, BundleChart.State.STORED, version - 1, message);
     }
 
-    private static Outcome beforeCommit(Throwable failure) {
-        Throwable cause = BundleArchive.unwrapped(failure);
+    private static Outcome failedBeforeCommit(Throwable failure) {
+        Throwable cause = BundleArchive.unwrap(failure);
         String message = "nothing was accepted: " + cause.getMessage();
         return cause instanceof BundleException.Unreachable
                 ? new Outcome(Verdict.NOT_REACHED, BundleChart.State.SIGNED, 0, message)
-                : new Outcome(Verdict.REFUSED, step(BundleChart.State.SIGNED, BundleChart.Event.REFUSE), 0, message);
+                : new Outcome(Verdict.REFUSED, nextState(BundleChart.State.SIGNED, BundleChart.Event.REFUSE), 0, message);
     }
 
-    private static CompletableFuture<Outcome> notNext(SignedBundle bundle, long inForce) {
-        String message = "version " + bundle.version() + " is not the next; version " + inForce
-                + " is in force, so write version = " + (inForce + 1);
-        BundleChart.State state = step(BundleChart.State.SIGNED, BundleChart.Event.REFUSE);
-        return CompletableFuture.completedFuture(new Outcome(Verdict.REFUSED, state, inForce, message));
+    private static CompletableFuture<Outcome> refusedVersion(SignedBundle bundle, long versionInForce) {
+        String message = "version " + bundle.version() + " is not the next; version " + versionInForce
+                + " is in force, so write version = " + (versionInForce + 1);
+        BundleChart.State state = nextState(BundleChart.State.SIGNED, BundleChart.Event.REFUSE);
+        return CompletableFuture.completedFuture(new Outcome(Verdict.REFUSED, state, versionInForce, message));
     }
 
-    private static CompletableFuture<Outcome> already(SignedBundle bundle) {
+    private static CompletableFuture<Outcome> alreadyInForce(SignedBundle bundle) {
         String message = "bundle " + bundle.version() + " is already in force";
         return CompletableFuture.completedFuture(
                 new Outcome(Verdict.ACCEPTED, BundleChart.State.ACCEPTED, bundle.version(), message));
     }
 
-    private static BundleChart.State step(BundleChart.State state, BundleChart.Event event) {
+    private static BundleChart.State nextState(BundleChart.State state, BundleChart.Event event) {
         return BundleChart.CHART.next(state, event).orElse(state);
     }
 
-    private static boolean isSame(SignedBundle bundle, Optional<BundleArchive.CurrentRow> current) {
+    private static boolean isInForce(SignedBundle bundle, Optional<BundleArchive.CurrentRow> current) {
         return current.filter(found -> found.row().version() == bundle.version())
                 .filter(found -> found.row().hash().equals(bundle.hash()))
                 .isPresent();
@@ -190,25 +190,25 @@
      */
     public record Outcome(Verdict verdict, BundleChart.State state, long versionInForce, String message) {}
 
-    private record Attempt(
-            BundleRow row, long expectedRowVersion, boolean changesKeys, int number, boolean mayHaveLanded) {
+    private record CommitAttempt(
+            BundleRow row, long expectedRowVersion, boolean changesKeys, int number, boolean mayHaveCommitted) {
 
-        static Attempt first(BundleChain.Verified verified, Optional<BundleArchive.CurrentRow> current) {
-            Stream<Long> earlier = current.stream().flatMap(found -> found.row().keyVersions().stream());
-            Stream<Long> own =
+        static CommitAttempt first(BundleChain.Verified verified, Optional<BundleArchive.CurrentRow> current) {
+            Stream<Long> earlierVersions = current.stream().flatMap(found -> found.row().keyVersions().stream());
+            Stream<Long> ownVersion =
                     verified.changesKeys() ? Stream.of(verified.bundle().version()) : Stream.empty();
-            List<Long> keyVersions = Stream.concat(earlier, own).toList();
-            long expected = current.map(BundleArchive.CurrentRow::rowVersion).orElse(TableService.ABSENT);
-            return new Attempt(
-                    BundleRow.of(verified.signed(), keyVersions), expected, verified.changesKeys(), 1, false);
+            List<Long> keyVersions = Stream.concat(earlierVersions, ownVersion).toList();
+            long expectedRowVersion = current.map(BundleArchive.CurrentRow::rowVersion).orElse(TableService.ABSENT);
+            return new CommitAttempt(
+                    BundleRow.of(verified.signed(), keyVersions), expectedRowVersion, verified.changesKeys(), 1, false);
         }
 
-        Attempt again() {
-            return new Attempt(row, expectedRowVersion, changesKeys, number + 1, mayHaveLanded);
+        CommitAttempt next() {
+            return new CommitAttempt(row, expectedRowVersion, changesKeys, number + 1, mayHaveCommitted);
         }
 
-        Attempt withoutAnswer() {
-            return new Attempt(row, expectedRowVersion, changesKeys, number, true);
+        CommitAttempt withAnswerLost() {
+            return new CommitAttempt(row, expectedRowVersion, changesKeys, number, true);
         }
     }
 }
--- a/src/main/java/io/waxwingquay/bundle/BundleArchive.java
+++ b/src/main/java/io/waxwingquay/bundle/BundleArchive.java
@@ -36,7 +36,7 @@
      * @return the row, or empty if none was ever accepted.
      */
     public CompletableFuture<Optional<CurrentRow>> current() {
-        return converted(table.read(List.of(BundleRow.CURRENT_KEY))
+        return withBundleException(table.read(List.of(BundleRow.CURRENT_KEY))
                 .thenApply(rows -> Optional.ofNullable(rows.get(BundleRow.CURRENT_KEY))
                         .map(row -> new CurrentRow(BundleRow.parse(row.value()), row.version()))));
     }
@@ -48,15 +48,15 @@
      * @param aboveVersion versions up to this one are left out.
      * @return the bundles, without the one in force itself.
      */
-    CompletableFuture<List<SignedBundle>> keyBundles(BundleRow row, long aboveVersion) {
-        List<String> keys = row.keyVersions().stream()
+    CompletableFuture<List<SignedBundle>> fetchKeyChanges(BundleRow row, long aboveVersion) {
+        List<String> rowKeys = row.keyVersions().stream()
                 .filter(version -> version > aboveVersion && version < row.version())
                 .map(BundleRow::keyChangeRowKey)
                 .toList();
-        if (keys.isEmpty()) {
+        if (rowKeys.isEmpty()) {
             return CompletableFuture.completedFuture(List.of());
         }
-        return converted(table.read(keys).thenCompose(rows -> fetchAll(keys, rows)));
+        return withBundleException(table.read(rowKeys).thenCompose(rows -> fetchAll(rowKeys, rows)));
     }
 
     /**
@@ -66,7 +66,7 @@
      * @return the signed bundle, whose bytes have the row's hash.
      */
     CompletableFuture<SignedBundle> fetch(BundleRow row) {
-        return converted(objects.get(row.hash()).thenApply(found -> signed(row, found)));
+        return withBundleException(objects.get(row.hash()).thenApply(found -> toSignedBundle(row, found)));
     }
 
     /**
@@ -76,7 +76,7 @@
      * @return completes when stored.
      */
     CompletableFuture<Void> store(SignedBundle bundle) {
-        return converted(objects.put(bundle.hash(), bundle.document()));
+        return withBundleException(objects.put(bundle.hash(), bundle.document()));
     }
 
     /**
@@ -89,16 +89,16 @@
      */
     CompletableFuture<Boolean> accept(BundleRow row, long expectedRowVersion, boolean changesKeys) {
         List<TableService.Write> writes = new ArrayList<>();
-        writes.add(new TableService.Write(BundleRow.CURRENT_KEY, expectedRowVersion, row.json()));
+        writes.add(new TableService.Write(BundleRow.CURRENT_KEY, expectedRowVersion, row.toJson()));
         if (changesKeys) {
-            String key = BundleRow.keyChangeRowKey(row.version());
-            writes.add(new TableService.Write(key, TableService.ABSENT, row.json()));
+            String keyChangeRowKey = BundleRow.keyChangeRowKey(row.version());
+            writes.add(new TableService.Write(keyChangeRowKey, TableService.ABSENT, row.toJson()));
         }
-        return converted(table.commit(writes).thenApply(TableService.CommitResult::committed));
+        return withBundleException(table.commit(writes).thenApply(TableService.CommitResult::committed));
     }
 
-    private CompletableFuture<List<SignedBundle>> fetchAll(List<String> keys, Map<String, TableService.Row> rows) {
-        List<CompletableFuture<SignedBundle>> fetches = keys.stream()
+    private CompletableFuture<List<SignedBundle>> fetchAll(List<String> rowKeys, Map<String, TableService.Row> rows) {
+        List<CompletableFuture<SignedBundle>> fetches = rowKeys.stream()
                 .filter(rows::containsKey)
                 .map(key -> fetch(BundleRow.parse(rows.get(key).value())))
                 .toList();
@@ -106,7 +106,7 @@
                 .thenApply(done -> fetches.stream().map(CompletableFuture::join).toList());
     }
 
-    private static SignedBundle signed(BundleRow row, Optional<byte[]> found) {
+    private static SignedBundle toSignedBundle(BundleRow row, Optional<byte[]> found) {
         byte[] document = found.orElseThrow(
                 () -> new BundleException.Unreachable("object " + row.hash() + " is not in the object store", null));
         SignedBundle bundle = new SignedBundle(row.version(), document, row.signature(), row.keyId());
@@ -116,12 +116,12 @@
         return bundle;
     }
 
-    private static <T> CompletableFuture<T> converted(CompletableFuture<T> future) {
+    private static <T> CompletableFuture<T> withBundleException(CompletableFuture<T> future) {
         return future.handle((value, failure) -> {
             if (failure == null) {
                 return value;
             }
-            Throwable cause = unwrapped(failure);
+            Throwable cause = unwrap(failure);
             throw cause instanceof PlatformException
                     ? new BundleException.Unreachable(cause.getMessage(), cause)
                     : cause instanceof BundleException known
@@ -130,7 +130,7 @@
         });
     }
 
-    static Throwable unwrapped(Throwable failure) {
+    static Throwable unwrap(Throwable failure) {
         return failure instanceof CompletionException && failure.getCause() != null ? failure.getCause() : failure;
     }
 
--- a/src/main/java/io/waxwingquay/bundle/BundleChain.java
+++ b/src/main/java/io/waxwingquay/bundle/BundleChain.java
@@ -23,23 +23,23 @@
     /**
      * Verifies a chain.
      *
-     * @param roots the keys trusted before it.
+     * @param rootKeys the keys trusted before it.
      * @param chain the bundles; the last is the one to adopt.
      * @return the last bundle with the keys that hold after it.
      * @throws BundleException if the last bundle is not trusted or not valid.
      */
-    static Verified verify(TrustedKeys roots, List<SignedBundle> chain) {
+    static Verified verify(TrustedKeys rootKeys, List<SignedBundle> chain) {
         SignedBundle last = chain.get(chain.size() - 1);
-        Walk walk = walk(roots, chain.subList(0, chain.size() - 1));
-        Bundle bundle = SignatureCheck.verify(last, walk.keys());
+        VerifiedKeyChanges keyChanges = verifyKeyChanges(rootKeys, chain.subList(0, chain.size() - 1));
+        Bundle bundle = SignatureCheck.verify(last, keyChanges.keys());
         return new Verified(
-                last, bundle, walk.verified(), walk.keys(), walk.keys().updatedBy(bundle.keys()));
+                last, bundle, keyChanges.bundles(), keyChanges.keys(), keyChanges.keys().updatedBy(bundle.keys()));
     }
 
-    private static Walk walk(TrustedKeys roots, List<SignedBundle> keyBundles) {
-        TrustedKeys keys = roots;
+    private static VerifiedKeyChanges verifyKeyChanges(TrustedKeys rootKeys, List<SignedBundle> keyChanges) {
+        TrustedKeys keys = rootKeys;
         List<SignedBundle> verified = new ArrayList<>();
-        for (SignedBundle each : keyBundles) {
+        for (SignedBundle each : keyChanges) {
             try {
                 keys = keys.updatedBy(SignatureCheck.verify(each, keys).keys());
                 verified.add(each);
@@ -48,22 +48,22 @@
                 continue;
             }
         }
-        return new Walk(keys, verified);
+        return new VerifiedKeyChanges(keys, verified);
     }
 
-    private record Walk(TrustedKeys keys, List<SignedBundle> verified) {}
+    private record VerifiedKeyChanges(TrustedKeys keys, List<SignedBundle> bundles) {}
 
     /** A bundle that passed, with the verified key bundles before it and the keys before and after it. */
     record Verified(
-            SignedBundle signed, Bundle bundle, List<SignedBundle> keyBundles, TrustedKeys before, TrustedKeys after) {
+            SignedBundle signed, Bundle bundle, List<SignedBundle> keyChanges, TrustedKeys keysBefore, TrustedKeys keysAfter) {
 
         boolean changesKeys() {
-            return !before.sameAs(after);
+            return !keysBefore.sameAs(keysAfter);
         }
 
-        List<SignedBundle> keyBundlesAfter(List<SignedBundle> earlier) {
+        List<SignedBundle> keyChangesAfter(List<SignedBundle> earlier) {
             List<SignedBundle> result = new ArrayList<>(earlier);
-            result.addAll(keyBundles);
+            result.addAll(keyChanges);
             if (changesKeys()) {
                 result.add(signed);
             }
--- a/src/main/java/io/waxwingquay/bundle/BundleDocument.java
+++ b/src/main/java/io/waxwingquay/bundle/BundleDocument.java
@@ -42,10 +42,10 @@
     private static Bundle bundle(TomlTable root) {
         long version = root.number("version", VERSION);
         Bundle.Keys keys = root.table("keys", BundleDocument::keys).orElse(new Bundle.Keys(List.of(), List.of()));
-        List<Placed<Bundle.Service>> services = root.tables("services", table -> placed(table, service(table)));
-        List<Placed<Bundle.Model>> models = root.tables("models", table -> placed(table, model(table)));
-        List<Placed<Bundle.Adapter>> adapters = root.tables("adapters", table -> placed(table, adapter(table)));
-        List<Placed<Bundle.Operation>> operations = root.tables("operations", table -> placed(table, operation(table)));
+        List<Located<Bundle.Service>> services = root.tables("services", table -> located(table, service(table)));
+        List<Located<Bundle.Model>> models = root.tables("models", table -> located(table, model(table)));
+        List<Located<Bundle.Adapter>> adapters = root.tables("adapters", table -> located(table, adapter(table)));
+        List<Located<Bundle.Operation>> operations = root.tables("operations", table -> located(table, operation(table)));
         BundleRules rules = new BundleRules(services, models, adapters, operations);
         rules.check();
         return new Bundle(version, keys, values(services), values(models), values(adapters), values(operations));
@@ -112,14 +112,14 @@
         return new Bundle.Operation(table.text("service"), table.text("name"), table.flag("non_idempotent", true));
     }
 
-    private static <T> Placed<T> placed(TomlTable table, T value) {
-        return new Placed<>(table, value);
+    private static <T> Located<T> located(TomlTable table, T value) {
+        return new Located<>(table, value);
     }
 
-    private static <T> List<T> values(List<Placed<T>> placed) {
-        return placed.stream().map(Placed::value).toList();
+    private static <T> List<T> values(List<Located<T>> located) {
+        return located.stream().map(Located::value).toList();
     }
 
     /** A value with the table it was read from, to which its faults are reported. */
-    record Placed<T>(TomlTable table, T value) {}
+    record Located<T>(TomlTable table, T value) {}
 }
--- a/src/main/java/io/waxwingquay/bundle/BundleFeed.java
+++ b/src/main/java/io/waxwingquay/bundle/BundleFeed.java
@@ -19,20 +19,20 @@
     private static final System.Logger LOG = System.getLogger("waxwingquay.bundle");
 
     // Bounds the walk through bundles that changed keys, so that a faulty peer can't keep it going for ever.
-    private static final int LONGEST_WALK = 256;
+    private static final int MAX_CHAIN_LENGTH = 256;
 
-    private static final long LOOK_LIMIT_MILLIS = 30_000;
+    private static final long REFRESH_TIMEOUT_MILLIS = 30_000;
 
     private final BundleHolder holder;
     private final BundleArchive archive;
     private final PeerFetcher peers;
     private final ScheduledExecutorService scheduler;
     private final long intervalMillis;
-    private final AtomicBoolean busy = new AtomicBoolean();
-    private final AtomicBoolean again = new AtomicBoolean();
-    private final BooleanSupplier looksAlways;
-    private final int otherwiseEvery;
-    private volatile int ticks;
+    private final AtomicBoolean refreshing = new AtomicBoolean();
+    private final AtomicBoolean refreshAgain = new AtomicBoolean();
+    private final BooleanSupplier pollsEveryInterval;
+    private final int intervalsPerPoll;
+    private volatile int intervalIndex;
     private volatile Optional<String> lastFailure = Optional.empty();
     private volatile ScheduledFuture<?> polling;
 
@@ -42,9 +42,9 @@
         this.peers = builder.peers;
         this.scheduler = builder.scheduler;
         this.intervalMillis = builder.intervalMillis;
-        this.looksAlways = builder.looksAlways;
-        this.otherwiseEvery = builder.otherwiseEvery;
-        this.ticks = builder.firstTick;
+        this.pollsEveryInterval = builder.pollsEveryInterval;
+        this.intervalsPerPoll = builder.intervalsPerPoll;
+        this.intervalIndex = builder.firstIntervalIndex;
     }
 
     /**
@@ -69,10 +69,10 @@
      * @return completes when done; never fails.
      */
     CompletableFuture<Void> tick() {
-        int tick = ticks;
-        ticks = (tick + 1) % otherwiseEvery;
-        boolean isTurn = tick == 0;
-        return isTurn || holder.version() == 0 || looksAlways.getAsBoolean()
+        int currentIndex = intervalIndex;
+        intervalIndex = (currentIndex + 1) % intervalsPerPoll;
+        boolean isOwnTurn = currentIndex == 0;
+        return isOwnTurn || holder.version() == 0 || pollsEveryInterval.getAsBoolean()
                 ? refresh()
                 : CompletableFuture.completedFuture(null);
     }
@@ -84,7 +84,7 @@
      */
     public void hint(long version) {
         if (version > holder.version()) {
-            scheduler.execute(() -> run(() -> fromPeers().thenCompose(this::fromTableUnless)));
+            scheduler.execute(() -> runExclusively(() -> adoptFromPeers().thenCompose(this::adoptFromTableUnless)));
         }
     }
 
@@ -94,10 +94,10 @@
      * @return completes when done; never fails.
      */
     public CompletableFuture<Void> refresh() {
-        return run(() -> fromTable()
+        return runExclusively(() -> adoptFromTable()
                 .handle((adopted, failure) -> failure == null
                         ? CompletableFuture.completedFuture(adopted)
-                        : fromPeers().thenApply(found -> noteUnless(found, failure)))
+                        : adoptFromPeers().thenApply(found -> recordFailureUnless(found, failure)))
                 .thenCompose(next -> next));
     }
 
@@ -119,70 +119,70 @@
         }
     }
 
-    private CompletableFuture<Void> run(Look look) {
-        if (!busy.compareAndSet(false, true)) {
-            again.set(true);
+    private CompletableFuture<Void> runExclusively(Refresh refresh) {
+        if (!refreshing.compareAndSet(false, true)) {
+            refreshAgain.set(true);
             return CompletableFuture.completedFuture(null);
         }
         lastFailure = Optional.empty();
         // A look that throws or never ends would leave this feed busy for good, and the process on an old bundle:
         // both are turned into a failed look, after which the next interval looks again.
-        return CompletableFuture.completedFuture(look)
-                .thenCompose(Look::now)
-                .orTimeout(LOOK_LIMIT_MILLIS, TimeUnit.MILLISECONDS)
+        return CompletableFuture.completedFuture(refresh)
+                .thenCompose(Refresh::start)
+                .orTimeout(REFRESH_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS)
                 .handle((adopted, failure) -> {
                     if (failure != null) {
-                        note(failure);
+                        recordFailure(failure);
                     }
-                    busy.set(false);
-                    return again.getAndSet(false);
+                    refreshing.set(false);
+                    return refreshAgain.getAndSet(false);
                 })
                 .thenCompose(once -> once ? refresh() : CompletableFuture.completedFuture(null));
     }
 
-    private CompletableFuture<Boolean> fromTableUnless(boolean adopted) {
-        return adopted ? CompletableFuture.completedFuture(true) : fromTable();
+    private CompletableFuture<Boolean> adoptFromTableUnless(boolean adopted) {
+        return adopted ? CompletableFuture.completedFuture(true) : adoptFromTable();
     }
 
-    private CompletableFuture<Boolean> fromTable() {
+    private CompletableFuture<Boolean> adoptFromTable() {
         return archive.current().thenCompose(current -> {
             if (current.isEmpty() || current.get().row().version() <= holder.version()) {
                 return CompletableFuture.completedFuture(false);
             }
             BundleRow row = current.get().row();
-            return archive.keyBundles(row, holder.version())
+            return archive.fetchKeyChanges(row, holder.version())
                     .thenCombine(archive.fetch(row), BundleFeed::append)
                     .thenApply(holder::adopt);
         });
     }
 
-    private CompletableFuture<Boolean> fromPeers() {
-        return walk(holder.version(), List.of()).thenApply(holder::adopt).exceptionally(failure -> {
-            note(failure);
+    private CompletableFuture<Boolean> adoptFromPeers() {
+        return fetchChain(holder.version(), List.of()).thenApply(holder::adopt).exceptionally(failure -> {
+            recordFailure(failure);
             return false;
         });
     }
 
-    private CompletableFuture<List<SignedBundle>> walk(long aboveVersion, List<SignedBundle> soFar) {
-        if (soFar.size() >= LONGEST_WALK) {
+    private CompletableFuture<List<SignedBundle>> fetchChain(long aboveVersion, List<SignedBundle> chain) {
+        if (chain.size() >= MAX_CHAIN_LENGTH) {
             return CompletableFuture.failedFuture(
-                    new BundleException("a peer offered more than " + LONGEST_WALK + " bundles", null));
+                    new BundleException("a peer offered more than " + MAX_CHAIN_LENGTH + " bundles", null));
         }
         return peers.fetchAbove(aboveVersion)
                 .thenCompose(found -> found.filter(bundle -> bundle.version() > aboveVersion)
-                        .map(bundle -> walk(bundle.version(), append(soFar, bundle)))
-                        .orElseGet(() -> CompletableFuture.completedFuture(soFar)));
+                        .map(bundle -> fetchChain(bundle.version(), append(chain, bundle)))
+                        .orElseGet(() -> CompletableFuture.completedFuture(chain)));
     }
 
-    private boolean noteUnless(boolean found, Throwable failure) {
-        if (!found) {
-            note(failure);
+    private boolean recordFailureUnless(boolean adopted, Throwable failure) {
+        if (!adopted) {
+            recordFailure(failure);
         }
-        return found;
+        return adopted;
     }
 
-    private void note(Throwable failure) {
-        String message = BundleArchive.unwrapped(failure).getMessage();
+    private void recordFailure(Throwable failure) {
+        String message = BundleArchive.unwrap(failure).getMessage();
         lastFailure = Optional.of(String.valueOf(message));
         LOG.log(System.Logger.Level.WARNING, "bundle: not refreshed: " + message);
     }
@@ -191,8 +191,8 @@
         return Stream.concat(list.stream(), Stream.of(last)).toList();
     }
 
-    private interface Look {
-        CompletableFuture<Boolean> now();
+    private interface Refresh {
+        CompletableFuture<Boolean> start();
     }
 
     /** Asks some peer for its next bundle above a version, see {@link BundleHolder#nextAbove}. */
@@ -218,9 +218,9 @@
         private PeerFetcher peers = aboveVersion -> CompletableFuture.completedFuture(Optional.empty());
         private ScheduledExecutorService scheduler;
         private long intervalMillis = DEFAULT_INTERVAL_MILLIS;
-        private BooleanSupplier looksAlways = () -> true;
-        private int otherwiseEvery = 1;
-        private int firstTick;
+        private BooleanSupplier pollsEveryInterval = () -> true;
+        private int intervalsPerPoll = 1;
+        private int firstIntervalIndex;
 
         private Builder(BundleHolder holder, BundleArchive archive) {
             this.holder = holder;
@@ -256,15 +256,15 @@
          * table service's 2,000, so the others rely on gossip and still look now and then, lest a process that
          * gossip does not reach stay on an old bundle for good.
          *
-         * @param always whether this process looks at each interval.
-         * @param every else it looks once in so many intervals, and while it has no bundle.
-         * @param phase which of these intervals is its turn, so that processes started together do not look together.
+         * @param condition whether this process looks at each interval.
+         * @param otherwiseIntervals else it looks once in so many intervals, and while it has no bundle.
+         * @param firstIndex which of these intervals is its turn, so that processes started together do not look together.
          * @return this builder.
          */
-        public Builder pollEveryInterval(BooleanSupplier always, int every, int phase) {
-            this.looksAlways = always;
-            this.otherwiseEvery = every;
-            this.firstTick = phase;
+        public Builder pollEveryInterval(BooleanSupplier condition, int otherwiseIntervals, int firstIndex) {
+            this.pollsEveryInterval = condition;
+            this.intervalsPerPoll = otherwiseIntervals;
+            this.firstIntervalIndex = firstIndex;
             return this;
         }
 
--- a/src/main/java/io/waxwingquay/bundle/BundleHolder.java
+++ b/src/main/java/io/waxwingquay/bundle/BundleHolder.java
@@ -37,12 +37,12 @@
         if (chain.isEmpty() || chain.get(chain.size() - 1).version() <= version()) {
             return false;
         }
-        BundleChain.Verified verified = BundleChain.verify(state.keys, above(chain, version()));
+        BundleChain.Verified verified = BundleChain.verify(state.keys, newerThan(chain, version()));
         state = new State(
                 Optional.of(verified.bundle()),
                 Optional.of(verified.signed()),
-                verified.after(),
-                verified.keyBundlesAfter(state.keyBundles));
+                verified.keysAfter(),
+                verified.keyChangesAfter(state.keyChanges));
         LOG.log(
                 System.Logger.Level.INFO,
                 "bundle: version {0} is in force",
@@ -81,17 +81,17 @@
      * @return the next bundle, or empty if the peer has all.
      */
     public Optional<SignedBundle> nextAbove(long aboveVersion) {
-        State now = state;
-        return now.keyBundles.stream()
+        State snapshot = state;
+        return snapshot.keyChanges.stream()
                 .filter(bundle -> bundle.version() > aboveVersion)
                 .findFirst()
-                .or(() -> now.signed.filter(bundle -> bundle.version() > aboveVersion));
+                .or(() -> snapshot.signed.filter(bundle -> bundle.version() > aboveVersion));
     }
 
-    private static List<SignedBundle> above(List<SignedBundle> chain, long version) {
+    private static List<SignedBundle> newerThan(List<SignedBundle> chain, long version) {
         return chain.stream().filter(bundle -> bundle.version() > version).toList();
     }
 
     private record State(
-            Optional<Bundle> bundle, Optional<SignedBundle> signed, TrustedKeys keys, List<SignedBundle> keyBundles) {}
+            Optional<Bundle> bundle, Optional<SignedBundle> signed, TrustedKeys keys, List<SignedBundle> keyChanges) {}
 }
--- a/src/main/java/io/waxwingquay/bundle/BundleRow.java
+++ b/src/main/java/io/waxwingquay/bundle/BundleRow.java
@@ -41,7 +41,7 @@
         }
     }
 
-    String json() {
+    String toJson() {
         try {
             return Json.MAPPER.writeValueAsString(this);
         } catch (JsonProcessingException failure) {
--- a/src/main/java/io/waxwingquay/bundle/BundleRules.java
+++ b/src/main/java/io/waxwingquay/bundle/BundleRules.java
@@ -1,6 +1,6 @@
 package io.waxwingquay.bundle;
 
-import io.waxwingquay.bundle.BundleDocument.Placed;
+import io.waxwingquay.bundle.BundleDocument.Located;
 import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
@@ -13,18 +13,18 @@
  */
 final class BundleRules {
 
-    private final List<Placed<Bundle.Service>> services;
-    private final List<Placed<Bundle.Model>> models;
-    private final List<Placed<Bundle.Adapter>> adapters;
-    private final List<Placed<Bundle.Operation>> operations;
+    private final List<Located<Bundle.Service>> services;
+    private final List<Located<Bundle.Model>> models;
+    private final List<Located<Bundle.Adapter>> adapters;
+    private final List<Located<Bundle.Operation>> operations;
     private final Map<String, Bundle.Service> servicesByName;
     private final Map<String, Bundle.Model> modelsByName;
 
     BundleRules(
-            List<Placed<Bundle.Service>> services,
-            List<Placed<Bundle.Model>> models,
-            List<Placed<Bundle.Adapter>> adapters,
-            List<Placed<Bundle.Operation>> operations) {
+            List<Located<Bundle.Service>> services,
+            List<Located<Bundle.Model>> models,
+            List<Located<Bundle.Adapter>> adapters,
+            List<Located<Bundle.Operation>> operations) {
         this.services = services;
         this.models = models;
         this.adapters = adapters;
@@ -34,25 +34,25 @@
     }
 
     void check() {
-        refuseDuplicates(services, Bundle.Service::name);
-        refuseDuplicates(models, Bundle.Model::name);
-        refuseDuplicates(adapters, adapter -> adapter.model() + "/" + adapter.name());
-        refuseDuplicates(operations, operation -> operation.service() + "/" + operation.name());
+        reportDuplicates(services, Bundle.Service::name);
+        reportDuplicates(models, Bundle.Model::name);
+        reportDuplicates(adapters, adapter -> adapter.model() + "/" + adapter.name());
+        reportDuplicates(operations, operation -> operation.service() + "/" + operation.name());
         models.forEach(this::checkModel);
         adapters.forEach(this::checkAdapter);
         operations.forEach(this::checkOperation);
-        services.forEach(this::checkRoom);
+        services.forEach(this::checkCapacity);
     }
 
-    private void checkModel(Placed<Bundle.Model> placed) {
-        Bundle.Model model = placed.value();
+    private void checkModel(Located<Bundle.Model> located) {
+        Bundle.Model model = located.value();
         Bundle.Service service = servicesByName.get(model.service());
         if (service == null) {
-            placed.table().report("service", unknown("service", model.service(), servicesByName));
+            located.table().report("service", unknown("service", model.service(), servicesByName));
         } else if (service.kind() != Bundle.Kind.MODEL) {
-            placed.table().report("service", "'" + service.name() + "' is a plain service; name a model service");
+            located.table().report("service", "'" + service.name() + "' is a plain service; name a model service");
         } else if (model.sizeBytes() > service.memoryBytes()) {
-            placed.table()
+            located.table()
                     .report(
                             "size_bytes",
                             "is " + model.sizeBytes() + " bytes, above the " + service.memoryBytes()
@@ -61,53 +61,53 @@
         }
     }
 
-    private void checkAdapter(Placed<Bundle.Adapter> placed) {
-        String model = placed.value().model();
+    private void checkAdapter(Located<Bundle.Adapter> located) {
+        String model = located.value().model();
         if (!modelsByName.containsKey(model)) {
-            placed.table().report("model", unknown("model", model, modelsByName));
+            located.table().report("model", unknown("model", model, modelsByName));
         }
     }
 
-    private void checkOperation(Placed<Bundle.Operation> placed) {
-        String name = placed.value().service();
+    private void checkOperation(Located<Bundle.Operation> located) {
+        String name = located.value().service();
         Bundle.Service service = servicesByName.get(name);
         if (service == null) {
-            placed.table().report("service", unknown("service", name, servicesByName));
+            located.table().report("service", unknown("service", name, servicesByName));
         } else if (service.kind() != Bundle.Kind.PLAIN) {
-            placed.table().report("service", "'" + name + "' is a model service; name a plain service");
+            located.table().report("service", "'" + name + "' is a model service; name a plain service");
         }
     }
 
-    private void checkRoom(Placed<Bundle.Service> placed) {
-        Bundle.Service service = placed.value();
+    private void checkCapacity(Located<Bundle.Service> located) {
+        Bundle.Service service = located.value();
         long neededBytes = models.stream()
-                .map(Placed::value)
+                .map(Located::value)
                 .filter(model -> model.service().equals(service.name()))
                 .mapToLong(Bundle.Model::sizeBytes)
                 .sum();
-        long roomBytes = service.memoryBytes() * service.replicas();
-        if (service.kind() == Bundle.Kind.MODEL && neededBytes > roomBytes) {
-            placed.table()
+        long capacityBytes = service.memoryBytes() * service.replicas();
+        if (service.kind() == Bundle.Kind.MODEL && neededBytes > capacityBytes) {
+            located.table()
                     .report(
                             "replicas",
-                            "give " + roomBytes + " bytes in all, but the service's models take " + neededBytes
+                            "give " + capacityBytes + " bytes in all, but the service's models take " + neededBytes
                                     + "; add replicas or remove models");
         }
     }
 
-    private static <T> void refuseDuplicates(List<Placed<T>> placed, Function<T, String> name) {
+    private static <T> void reportDuplicates(List<Located<T>> located, Function<T, String> name) {
         Set<String> seen = new HashSet<>();
-        for (Placed<T> each : placed) {
-            String found = name.apply(each.value());
-            if (!seen.add(found)) {
-                each.table().report("name", "'" + found + "' stands twice; rename or remove one");
+        for (Located<T> each : located) {
+            String elementName = name.apply(each.value());
+            if (!seen.add(elementName)) {
+                each.table().report("name", "'" + elementName + "' stands twice; rename or remove one");
             }
         }
     }
 
-    private static <T> Map<String, T> byName(List<Placed<T>> placed, Function<T, String> name) {
-        return placed.stream()
-                .map(Placed::value)
+    private static <T> Map<String, T> byName(List<Located<T>> located, Function<T, String> name) {
+        return located.stream()
+                .map(Located::value)
                 .collect(Collectors.toMap(name, value -> value, (left, right) -> left));
     }
 
--- a/src/main/java/io/waxwingquay/bundle/KeyCodec.java
+++ b/src/main/java/io/waxwingquay/bundle/KeyCodec.java
@@ -18,7 +18,7 @@
 public final class KeyCodec {
 
     static final String ALGORITHM = "Ed25519";
-    private static final int ID_LENGTH = 16;
+    private static final int ID_HEX_DIGITS = 16;
 
     private KeyCodec() {}
 
@@ -85,6 +85,6 @@
      * @return the first 16 hex digits of the SHA-256 of its X.509 encoding.
      */
     public static String id(PublicKey key) {
-        return DigestUtils.sha256Hex(key.getEncoded()).substring(0, ID_LENGTH);
+        return DigestUtils.sha256Hex(key.getEncoded()).substring(0, ID_HEX_DIGITS);
     }
 }
--- a/src/main/java/io/waxwingquay/observe/AdminHandler.java
+++ b/src/main/java/io/waxwingquay/observe/AdminHandler.java
@@ -23,7 +23,7 @@
 
     private final PrometheusMeterRegistry registry;
     private final StateDump dump;
-    private final Supplier<Optional<String>> notReady;
+    private final Supplier<Optional<String>> notReadyReason;
     private final Runnable drain;
     private final AtomicBoolean draining = new AtomicBoolean();
 
@@ -31,44 +31,44 @@
             PrometheusMeterRegistry registry, StateDump dump, Supplier<Optional<String>> notReady, Runnable drain) {
         this.registry = registry;
         this.dump = dump;
-        this.notReady = notReady;
+        this.notReadyReason = notReady;
         this.drain = drain;
     }
 
     /** {@inheritDoc} */
     @Override
     public boolean handle(Request request, Response response, Callback callback) {
-        Answer answer = answer(Request.getPathInContext(request), request.getMethod());
-        response.setStatus(answer.status());
-        response.getHeaders().put(HttpHeader.CONTENT_TYPE, answer.contentType());
-        Callback whenSent = answer.startsDrain() ? Callback.from(callback, this::startDrain) : callback;
-        Content.Sink.write(response, true, answer.body(), whenSent);
+        Reply reply = reply(Request.getPathInContext(request), request.getMethod());
+        response.setStatus(reply.status());
+        response.getHeaders().put(HttpHeader.CONTENT_TYPE, reply.contentType());
+        Callback whenSent = reply.startsDrain() ? Callback.from(callback, this::startDrain) : callback;
+        Content.Sink.write(response, true, reply.body(), whenSent);
         return true;
     }
 
-    private Answer answer(String path, String method) {
-        String wanted = "/shutdown".equals(path) ? "POST" : "GET";
-        if (!wanted.equals(method)) {
-            return Answer.text(HttpStatus.METHOD_NOT_ALLOWED_405, path + " takes " + wanted);
+    private Reply reply(String path, String method) {
+        String allowedMethod = "/shutdown".equals(path) ? "POST" : "GET";
+        if (!allowedMethod.equals(method)) {
+            return Reply.text(HttpStatus.METHOD_NOT_ALLOWED_405, path + " takes " + allowedMethod);
         }
         return switch (path) {
-            case "/metrics" -> Answer.text(HttpStatus.OK_200, registry.scrape());
-            case "/dump" -> new Answer(HttpStatus.OK_200, JSON, dump.toJson(), false);
-            case "/healthz" -> Answer.text(HttpStatus.OK_200, "alive\n");
+            case "/metrics" -> Reply.text(HttpStatus.OK_200, registry.scrape());
+            case "/dump" -> new Reply(HttpStatus.OK_200, JSON, dump.toJson(), false);
+            case "/healthz" -> Reply.text(HttpStatus.OK_200, "alive\n");
             case "/readyz" -> readiness();
             case "/shutdown" -> shutdown();
-            default -> Answer.text(HttpStatus.NOT_FOUND_404, "no such page: " + path + "\n");
+            default -> Reply.text(HttpStatus.NOT_FOUND_404, "no such page: " + path + "\n");
         };
     }
 
-    private Answer readiness() {
-        return notReady.get()
-                .map(reason -> Answer.text(HttpStatus.SERVICE_UNAVAILABLE_503, "not ready: " + reason + "\n"))
-                .orElseGet(() -> Answer.text(HttpStatus.OK_200, "ready\n"));
+    private Reply readiness() {
+        return notReadyReason.get()
+                .map(reason -> Reply.text(HttpStatus.SERVICE_UNAVAILABLE_503, "not ready: " + reason + "\n"))
+                .orElseGet(() -> Reply.text(HttpStatus.OK_200, "ready\n"));
     }
 
-    private Answer shutdown() {
-        return Answer.text(HttpStatus.ACCEPTED_202, "draining\n").startingDrain();
+    private Reply shutdown() {
+        return Reply.text(HttpStatus.ACCEPTED_202, "draining\n").withDrain();
     }
 
     /**
@@ -82,14 +82,14 @@
         }
     }
 
-    private record Answer(int status, String contentType, String body, boolean startsDrain) {
+    private record Reply(int status, String contentType, String body, boolean startsDrain) {
 
-        static Answer text(int status, String body) {
-            return new Answer(status, TEXT, body, false);
+        static Reply text(int status, String body) {
+            return new Reply(status, TEXT, body, false);
         }
 
-        Answer startingDrain() {
-            return new Answer(status, contentType, body, true);
+        Reply withDrain() {
+            return new Reply(status, contentType, body, true);
         }
     }
 }
--- a/src/main/java/io/waxwingquay/observe/BoundedCopy.java
+++ b/src/main/java/io/waxwingquay/observe/BoundedJsonCopy.java
@@ -12,7 +12,7 @@
 /**
  * Copies a JSON tree without secrets and up to a size; what comes after that is left out.
  */
-final class BoundedCopy {
+final class BoundedJsonCopy {
 
     private static final Pattern SECRET =
             Pattern.compile("(?i).*(private_?key|secret|password|credential|authorization).*");
@@ -21,19 +21,19 @@
     private static final int VALUE_OVERHEAD_BYTES = 12;
     private static final int INDENT_BYTES = 2;
 
-    private int leftBytes;
-    private boolean cut;
+    private int remainingBytes;
+    private boolean truncated;
 
-    BoundedCopy(int maxBytes) {
-        this.leftBytes = maxBytes;
+    BoundedJsonCopy(int maxBytes) {
+        this.remainingBytes = maxBytes;
     }
 
     JsonNode of(JsonNode node) {
         return node == null ? NullNode.instance : copy(node, 1);
     }
 
-    boolean isCut() {
-        return cut;
+    boolean isTruncated() {
+        return truncated;
     }
 
     private JsonNode copy(JsonNode node, int depth) {
@@ -49,7 +49,7 @@
             if (SECRET.matcher(field.getKey()).matches()) {
                 continue;
             }
-            if (!takes(field.getValue(), field.getKey(), depth)) {
+            if (!reserveBytes(field.getValue(), field.getKey(), depth)) {
                 break;
             }
             result.set(field.getKey(), copy(field.getValue(), depth + 1));
@@ -60,7 +60,7 @@
     private JsonNode copyArray(ArrayNode array, int depth) {
         ArrayNode result = Json.MAPPER.createArrayNode();
         for (JsonNode item : array) {
-            if (!takes(item, "", depth)) {
+            if (!reserveBytes(item, "", depth)) {
                 break;
             }
             result.add(copy(item, depth + 1));
@@ -68,15 +68,15 @@
         return result;
     }
 
-    private boolean takes(JsonNode node, String name, int depth) {
+    private boolean reserveBytes(JsonNode node, String name, int depth) {
         int leafBytes = node.isContainerNode() ? 0 : node.toString().getBytes(StandardCharsets.UTF_8).length;
         int nameBytes = name.getBytes(StandardCharsets.UTF_8).length;
         int neededBytes = leafBytes + nameBytes + VALUE_OVERHEAD_BYTES + 2 * INDENT_BYTES * depth;
-        if (neededBytes > leftBytes) {
-            cut = true;
+        if (neededBytes > remainingBytes) {
+            truncated = true;
             return false;
         }
-        leftBytes -= neededBytes;
+        remainingBytes -= neededBytes;
         return true;
     }
 }
--- a/src/main/java/io/waxwingquay/observe/Logging.java
+++ b/src/main/java/io/waxwingquay/observe/Logging.java
@@ -23,12 +23,12 @@
 public final class Logging {
 
     private static final String PATTERN = "%d{yyyy-MM-dd'T'HH:mm:ss.SSSXXX, UTC} %-5level %msg%n";
-    private static final String OWN_LOGGERS = "waxwingquay";
+    private static final String PROJECT_LOGGER = "waxwingquay";
 
     /** Numbers without marks between thousands, so that a field such as {@code took_ms=1531} can be searched and sorted. */
-    private static final Locale PLAIN_NUMBERS = new Locale("en", "US", "POSIX");
+    private static final Locale UNGROUPED_NUMBERS = new Locale("en", "US", "POSIX");
 
-    private static volatile BoundedOutput output;
+    private static volatile NonBlockingOutputStream output;
 
     private Logging() {}
 
@@ -49,29 +49,29 @@
      * @param level the lowest level of our own parts that is written.
      */
     public static void configureStandardOutput(LogFormat format, LogLevel level) {
-        output = new BoundedOutput(System.out);
+        output = new NonBlockingOutputStream(System.out);
         configure((LoggerContext) LoggerFactory.getILoggerFactory(), format, level, output);
     }
 
     /** Writes out what {@link #configureStandardOutput} still holds. */
     public static void flush() {
-        BoundedOutput current = output;
+        NonBlockingOutputStream current = output;
         if (current != null) {
             current.drain();
         }
     }
 
     static void configure(LoggerContext context, LogFormat format, LogLevel level, OutputStream target) {
-        Locale.setDefault(Locale.Category.FORMAT, PLAIN_NUMBERS);
+        Locale.setDefault(Locale.Category.FORMAT, UNGROUPED_NUMBERS);
         context.reset();
         OutputStreamAppender<ILoggingEvent> appender = new OutputStreamAppender<>();
         appender.setContext(context);
         appender.setEncoder(format == LogFormat.JSON ? jsonEncoder(context) : textEncoder(context));
-        appender.setOutputStream(new LeftOpen(target));
+        appender.setOutputStream(new NonClosingOutputStream(target));
         appender.start();
-        Level own = Level.toLevel(level.name());
-        context.getLogger(OWN_LOGGERS).setLevel(own);
-        context.getLogger(Logger.ROOT_LOGGER_NAME).setLevel(own == Level.ERROR ? Level.ERROR : Level.WARN);
+        Level projectLevel = Level.toLevel(level.name());
+        context.getLogger(PROJECT_LOGGER).setLevel(projectLevel);
+        context.getLogger(Logger.ROOT_LOGGER_NAME).setLevel(projectLevel == Level.ERROR ? Level.ERROR : Level.WARN);
         context.getLogger(Logger.ROOT_LOGGER_NAME).addAppender(appender);
     }
 
@@ -103,9 +103,9 @@
      * Symptom: standard error is closed and the process logs nothing, for as long as it lives. The stream belongs to
      * the process and ends with it, so it needs no close.
      */
-    private static final class LeftOpen extends FilterOutputStream {
+    private static final class NonClosingOutputStream extends FilterOutputStream {
 
-        private LeftOpen(OutputStream target) {
+        private NonClosingOutputStream(OutputStream target) {
             super(target);
         }
 
--- a/src/main/java/io/waxwingquay/observe/BoundedOutput.java
+++ b/src/main/java/io/waxwingquay/observe/NonBlockingOutputStream.java
@@ -12,18 +12,18 @@
  * process stands still with all its requests. Here lines beyond the limit are dropped and counted, and the count is
  * written when there is room again.
  */
-final class BoundedOutput extends OutputStream {
+final class NonBlockingOutputStream extends OutputStream {
 
-    private static final int LIMIT_BYTES = 262_144;
-    private static final long PAUSE_MILLIS = 250L;
+    private static final int MAX_BUFFERED_BYTES = 262_144;
+    private static final long DRAIN_INTERVAL_MILLIS = 250L;
 
     private final PrintStream target;
-    private ByteArrayOutputStream held = new ByteArrayOutputStream();
+    private ByteArrayOutputStream buffer = new ByteArrayOutputStream();
     private long droppedLines;
 
-    BoundedOutput(PrintStream target) {
+    NonBlockingOutputStream(PrintStream target) {
         this.target = target;
-        Thread writer = new Thread(this::writeOut, "log");
+        Thread writer = new Thread(this::drainPeriodically, "log");
         writer.setDaemon(true);
         writer.start();
     }
@@ -37,36 +37,36 @@
     /** {@inheritDoc} */
     @Override
     public synchronized void write(byte[] bytes, int offset, int length) {
-        if (held.size() + length > LIMIT_BYTES) {
+        if (buffer.size() + length > MAX_BUFFERED_BYTES) {
             droppedLines++;
         } else {
-            held.write(bytes, offset, length);
+            buffer.write(bytes, offset, length);
         }
     }
 
     void drain() {
-        byte[] lines = take();
+        byte[] lines = takeBuffered();
         if (lines.length > 0) {
             target.write(lines, 0, lines.length);
             target.flush();
         }
     }
 
-    private synchronized byte[] take() {
+    private synchronized byte[] takeBuffered() {
         if (droppedLines > 0) {
-            held.writeBytes(("observe: lines dropped count=" + droppedLines + "\n").getBytes(StandardCharsets.UTF_8));
+            buffer.writeBytes(("observe: lines dropped count=" + droppedLines + "\n").getBytes(StandardCharsets.UTF_8));
             droppedLines = 0;
         }
-        byte[] lines = held.toByteArray();
-        held.reset();
+        byte[] lines = buffer.toByteArray();
+        buffer.reset();
         return lines;
     }
 
-    private void writeOut() {
+    private void drainPeriodically() {
         while (true) {
             drain();
             try {
-                Thread.sleep(PAUSE_MILLIS);
+                Thread.sleep(DRAIN_INTERVAL_MILLIS);
             } catch (InterruptedException failure) {
                 Thread.currentThread().interrupt();
                 return;
--- a/src/main/java/io/waxwingquay/observe/ProcessMeters.java
+++ b/src/main/java/io/waxwingquay/observe/ProcessMeters.java
@@ -15,8 +15,8 @@
  */
 public final class ProcessMeters {
 
-    private static final List<String> DATA = List.of("submit", "poll", "cancel", "resolve");
-    private static final List<String> CONTROL =
+    private static final List<String> DATA_METHODS = List.of("submit", "poll", "cancel", "resolve");
+    private static final List<String> CONTROL_METHODS =
             List.of("gossip", "fetchBundle", "noteSuspects", "borrowPermit", "returnPermit", "ping");
     private static final double MILLIS_PER_SECOND = 1_000.0;
 
@@ -32,8 +32,8 @@
     public ProcessMeters(MeterRegistry registry, Clock clock) {
         this.registry = registry;
         this.clock = clock;
-        CONTROL.forEach(method -> count(method, 0, 0, 0));
-        DATA.forEach(method -> count(method, 0, 0, 0));
+        CONTROL_METHODS.forEach(method -> count(method, 0, 0, 0));
+        DATA_METHODS.forEach(method -> count(method, 0, 0, 0));
         new ProcessorMetrics().bindTo(registry);
         new JvmMemoryMetrics().bindTo(registry);
     }
@@ -71,7 +71,7 @@
     }
 
     private void count(String method, int calls, long writtenBytes, long readBytes) {
-        String name = DATA.contains(method) ? "waxwingquay.data" : "waxwingquay.control";
+        String name = DATA_METHODS.contains(method) ? "waxwingquay.data" : "waxwingquay.control";
         count(name, method, "out", calls, writtenBytes);
         count(name, method, "in", readBytes > 0 ? calls : 0, readBytes);
     }
--- a/src/main/java/io/waxwingquay/observe/StateDump.java
+++ b/src/main/java/io/waxwingquay/observe/StateDump.java
@@ -42,23 +42,23 @@
      */
     public String toJson() {
         List<String> truncated = new ArrayList<>();
-        ObjectNode shown = Json.MAPPER.createObjectNode();
-        int share = MAX_BYTES / (sections.size() + 1);
+        ObjectNode sectionsNode = Json.MAPPER.createObjectNode();
+        int sectionLimitBytes = MAX_BYTES / (sections.size() + 1);
         sections.forEach((name, state) -> {
-            BoundedCopy copy = new BoundedCopy(share);
-            shown.set(name, copy.of(tree(state)));
-            if (copy.isCut()) {
+            BoundedJsonCopy copy = new BoundedJsonCopy(sectionLimitBytes);
+            sectionsNode.set(name, copy.of(toTree(state)));
+            if (copy.isTruncated()) {
                 truncated.add(name);
             }
         });
-        ObjectNode whole = Json.MAPPER.createObjectNode();
-        ArrayNode names = whole.putArray("truncated");
-        truncated.forEach(names::add);
-        whole.set("sections", shown);
-        return write(whole);
+        ObjectNode document = Json.MAPPER.createObjectNode();
+        ArrayNode truncatedNames = document.putArray("truncated");
+        truncated.forEach(truncatedNames::add);
+        document.set("sections", sectionsNode);
+        return write(document);
     }
 
-    private static JsonNode tree(Supplier<Object> state) {
+    private static JsonNode toTree(Supplier<Object> state) {
         try {
             return Json.MAPPER.valueToTree(state.get());
         } catch (RuntimeException failure) {
@@ -66,9 +66,9 @@
         }
     }
 
-    private static String write(ObjectNode whole) {
+    private static String write(ObjectNode document) {
         try {
-            return Json.MAPPER.writerWithDefaultPrettyPrinter().writeValueAsString(whole);
+            return Json.MAPPER.writerWithDefaultPrettyPrinter().writeValueAsString(document);
         } catch (JsonProcessingException failure) {
             throw new IllegalStateException("the state dump could not be written", failure);
         }
--- a/src/main/java/io/waxwingquay/settings/CloseWords.java
+++ b/src/main/java/io/waxwingquay/settings/EditDistance.java
@@ -3,11 +3,11 @@
 /**
  * The edit distance between two words, to suggest the key that was meant.
  */
-final class CloseWords {
+final class EditDistance {
 
-    private CloseWords() {}
+    private EditDistance() {}
 
-    static int distance(String left, String right) {
+    static int between(String left, String right) {
         int[] previous = new int[right.length() + 1];
         for (int column = 0; column <= right.length(); column++) {
             previous[column] = column;
@@ -22,8 +22,8 @@
         int[] current = new int[right.length() + 1];
         current[0] = row;
         for (int column = 1; column <= right.length(); column++) {
-            int change = previous[column - 1] + (letter == right.charAt(column - 1) ? 0 : 1);
-            current[column] = Math.min(change, Math.min(previous[column], current[column - 1]) + 1);
+            int substitutionCost = previous[column - 1] + (letter == right.charAt(column - 1) ? 0 : 1);
+            current[column] = Math.min(substitutionCost, Math.min(previous[column], current[column - 1]) + 1);
         }
         return current;
     }
--- a/src/main/java/io/waxwingquay/settings/LineIndex.java
+++ b/src/main/java/io/waxwingquay/settings/LineIndex.java
@@ -35,14 +35,14 @@
             }
             Matcher key = KEY.matcher(line);
             if (key.matches()) {
-                index.lines.putIfAbsent(table.key(key.group(1)), number);
+                index.lines.putIfAbsent(table.withKey(key.group(1)), number);
             }
         }
         return index;
     }
 
     OptionalInt lineOf(TomlPath path) {
-        Integer line = lines.getOrDefault(path, lines.get(path.key("")));
+        Integer line = lines.getOrDefault(path, lines.get(path.withKey("")));
         return line == null ? OptionalInt.empty() : OptionalInt.of(line);
     }
 }
--- a/src/main/java/io/waxwingquay/settings/ProcessSettings.java
+++ b/src/main/java/io/waxwingquay/settings/ProcessSettings.java
@@ -40,7 +40,7 @@
         long bundlePollMillis,
         long tableTimeoutMillis) {
 
-    private static final Pattern IP_NUMBER = Pattern.compile(
+    private static final Pattern IP_ADDRESS = Pattern.compile(
             "(25[0-5]|2[0-4]\\d|1?\\d?\\d)(\\.(25[0-5]|2[0-4]\\d|1?\\d?\\d)){3}|[0-9a-fA-F:]*:[0-9a-fA-F:]*");
     private static final Range GOSSIP_MILLIS = new Range(50, 60_000, "milliseconds");
     private static final Range POLL_MILLIS = new Range(100, 600_000, "milliseconds");
@@ -80,7 +80,7 @@
 
     private static String host(TomlTable table) {
         String host = table.text("host");
-        if (!host.isEmpty() && !IP_NUMBER.matcher(host).matches()) {
+        if (!host.isEmpty() && !IP_ADDRESS.matcher(host).matches()) {
             table.report("host", "is '" + host + "'; write an IP number, for example 10.0.0.7");
         }
         return host;
--- a/src/main/java/io/waxwingquay/settings/TomlDocument.java
+++ b/src/main/java/io/waxwingquay/settings/TomlDocument.java
@@ -34,16 +34,16 @@
      *
      * @param source the document's name, for messages.
      * @param bytes the document.
-     * @param reading turns the root table into a value; its faults are collected in the table.
+     * @param reader turns the root table into a value; its faults are collected in the table.
      * @param <T> the value's type.
      * @return the value.
      * @throws SettingsException if the document has any fault; it lists all of them.
      */
-    public static <T> T read(String source, byte[] bytes, Function<TomlTable, T> reading) {
+    public static <T> T read(String source, byte[] bytes, Function<TomlTable, T> reader) {
         TomlDocument document = parse(source, bytes);
         TomlTable table = new TomlTable(document, (ObjectNode) document.root, "", TomlPath.ROOT);
-        T value = reading.apply(table);
-        table.refuseUnknownKeys();
+        T value = reader.apply(table);
+        table.reportUnknownKeys();
         if (!document.problems.isEmpty()) {
             throw new SettingsException(source, document.problems);
         }
--- a/src/main/java/io/waxwingquay/settings/TomlPath.java
+++ b/src/main/java/io/waxwingquay/settings/TomlPath.java
@@ -5,13 +5,13 @@
  *
  * @param array the array's name, or empty for the root table.
  * @param index the table's number within the array, from 0.
- * @param key the key, or empty for the table itself.
+ * @param withKey the key, or empty for the table itself.
  */
-record TomlPath(String array, int index, String key) {
+record TomlPath(String array, int index, String withKey) {
 
     static final TomlPath ROOT = new TomlPath("", 0, "");
 
-    TomlPath key(String name) {
+    TomlPath withKey(String name) {
         return new TomlPath(array, index, name);
     }
 
--- a/src/main/java/io/waxwingquay/settings/TomlTable.java
+++ b/src/main/java/io/waxwingquay/settings/TomlTable.java
@@ -19,7 +19,7 @@
  */
 public final class TomlTable {
 
-    private static final int CLOSE_DISTANCE = 3;
+    private static final int MAX_SUGGESTION_DISTANCE = 3;
 
     private final TomlDocument document;
     private final ObjectNode node;
@@ -171,16 +171,16 @@
      * Reads an array of tables, such as {@code [[models]]}, that may be left out and is then empty.
      *
      * @param key the array's key.
-     * @param reading turns one table into a value.
+     * @param reader turns one table into a value.
      * @param <T> the value's type.
      * @return the values, in order.
      */
-    public <T> List<T> tables(String key, Function<TomlTable, T> reading) {
+    public <T> List<T> tables(String key, Function<TomlTable, T> reader) {
         List<T> values = new ArrayList<>();
         List<JsonNode> items = list(key, "tables [[" + key + "]]");
         for (int index = 0; index < items.size(); index++) {
             if (items.get(index) instanceof ObjectNode item) {
-                values.add(readTable(label(key, index, item), item, path.table(key, index), reading));
+                values.add(readTable(label(key, index, item), item, path.table(key, index), reader));
             } else {
                 report(key, "holds a value that is no table; write it under [[" + key + "]]");
             }
@@ -192,16 +192,16 @@
      * Reads a table that may be left out.
      *
      * @param key the table's key.
-     * @param reading turns the table into a value.
+     * @param reader turns the table into a value.
      * @param <T> the value's type.
      * @return the value, or empty if the table is left out.
      */
-    public <T> Optional<T> table(String key, Function<TomlTable, T> reading) {
+    public <T> Optional<T> table(String key, Function<TomlTable, T> reader) {
         Optional<JsonNode> value = optional(key, "table [" + key + "]");
         if (value.isPresent() && !(value.get() instanceof ObjectNode)) {
             return wrongType(key, "a table [" + key + "]", value.get(), Optional.empty());
         }
-        return value.map(item -> readTable(label(key), (ObjectNode) item, path.table(key, 0), reading));
+        return value.map(item -> readTable(label(key), (ObjectNode) item, path.table(key, 0), reader));
     }
 
     /**
@@ -211,7 +211,7 @@
      * @param message what is wrong and how to mend it.
      */
     public void report(String key, String message) {
-        document.report(key.isEmpty() ? element : label(key), path.key(key), message);
+        document.report(key.isEmpty() ? element : label(key), path.withKey(key), message);
     }
 
     /**
@@ -232,7 +232,7 @@
         return Map.copyOf(knownKeys);
     }
 
-    void refuseUnknownKeys() {
+    void reportUnknownKeys() {
         node.fieldNames().forEachRemaining(key -> {
             if (!knownKeys.containsKey(key)) {
                 report(key, "is no known key; " + suggestion(key));
@@ -241,19 +241,19 @@
     }
 
     private String suggestion(String key) {
-        String close = knownKeys.keySet().stream()
-                .filter(known -> CloseWords.distance(known, key) <= CLOSE_DISTANCE || known.contains(key))
+        String similarKeys = knownKeys.keySet().stream()
+                .filter(known -> EditDistance.between(known, key) <= MAX_SUGGESTION_DISTANCE || known.contains(key))
                 .sorted()
                 .collect(Collectors.joining(", "));
-        return close.isEmpty()
+        return similarKeys.isEmpty()
                 ? "remove it; known keys are " + String.join(", ", knownKeys.keySet())
-                : "did you mean " + close + "?";
+                : "did you mean " + similarKeys + "?";
     }
 
-    private <T> T readTable(String name, ObjectNode item, TomlPath place, Function<TomlTable, T> reading) {
-        TomlTable table = new TomlTable(document, item, name, place);
-        T value = reading.apply(table);
-        table.refuseUnknownKeys();
+    private <T> T readTable(String name, ObjectNode item, TomlPath tablePath, Function<TomlTable, T> reader) {
+        TomlTable table = new TomlTable(document, item, name, tablePath);
+        T value = reader.apply(table);
+        table.reportUnknownKeys();
         return value;
     }
 
@@ -300,14 +300,14 @@
         return value.longValue();
     }
 
-    private <T> T wrongType(String key, String wanted, JsonNode value, T stand) {
-        report(key, "is " + value.getNodeType().name().toLowerCase(Locale.ROOT) + "; write " + wanted);
-        return stand;
+    private <T> T wrongType(String key, String expected, JsonNode value, T fallback) {
+        report(key, "is " + value.getNodeType().name().toLowerCase(Locale.ROOT) + "; write " + expected);
+        return fallback;
     }
 
-    private <T> T outOfRange(String key, String found, String allowed, T stand) {
+    private <T> T outOfRange(String key, String found, String allowed, T fallback) {
         report(key, "is " + found + ", which is not allowed; write " + allowed);
-        return stand;
+        return fallback;
     }
 
     private String label(String key) {
@@ -316,8 +316,8 @@
 
     private String label(String key, int index, ObjectNode item) {
         JsonNode name = item.has("name") ? item.get("name") : item.get("id");
-        String shown = name == null ? "" : " '" + name.asText() + "'";
-        return label(key) + "[" + (index + 1) + "]" + shown;
+        String suffix = name == null ? "" : " '" + name.asText() + "'";
+        return label(key) + "[" + (index + 1) + "]" + suffix;
     }
 
     private static String word(Enum<?> constant) {
--- a/src/test/java/io/waxwingquay/bundle/BundleAcceptanceTest.java
+++ b/src/test/java/io/waxwingquay/bundle/BundleAcceptanceTest.java
@@ -103,7 +103,7 @@
     @Test
     void bundleThatAddsItsOwnSignerIsRefused() {
         Operator stranger = new Operator();
-        Outcome outcome = submit(stranger.naming(1, List.of(), stranger));
+        Outcome outcome = submit(stranger.bundleTrusting(1, List.of(), stranger));
         assertEquals(Verdict.REFUSED, outcome.verdict());
         assertTrue(outcome.message().contains("is not trusted"), outcome.message());
         assertTrue(platform.rows.isEmpty());
@@ -114,10 +114,10 @@
     @Test
     void revokedKeyIsRefusedAndItsSuccessorAccepted() {
         Operator successor = new Operator();
-        submit(operator.naming(1, List.of(), operator, successor));
+        submit(operator.bundleTrusting(1, List.of(), operator, successor));
         assertEquals(
                 Verdict.ACCEPTED,
-                submit(successor.naming(2, List.of(operator.id()), successor)).verdict());
+                submit(successor.bundleTrusting(2, List.of(operator.id()), successor)).verdict());
         Outcome outcome = submit(operator.bundle(3));
         assertTrue(outcome.message().contains("is revoked"), outcome.message());
         assertEquals(Verdict.ACCEPTED, submit(successor.bundle(3)).verdict());
--- a/src/test/java/io/waxwingquay/bundle/BundleFeedTest.java
+++ b/src/test/java/io/waxwingquay/bundle/BundleFeedTest.java
@@ -78,9 +78,9 @@
     void restartedWithOldRootsWalksTheKeyChanges() {
         Operator second = new Operator();
         Operator third = new Operator();
-        submit(operator.naming(1, List.of(), second));
+        submit(operator.bundleTrusting(1, List.of(), second));
         submit(second.bundle(2));
-        submit(second.naming(3, List.of(operator.id()), third));
+        submit(second.bundleTrusting(3, List.of(operator.id()), third));
         submit(third.bundle(4));
         feed(new BundleHolder(operator.root())).refresh().join();
         assertEquals(4, holder.version());
@@ -172,8 +172,8 @@
         return feedOf(holder, peer);
     }
 
-    private BundleFeed feedOf(BundleHolder mine, BundleHolder peer) {
-        return BundleFeed.builder(mine, platform.archive())
+    private BundleFeed feedOf(BundleHolder holder, BundleHolder peer) {
+        return BundleFeed.builder(holder, platform.archive())
                 .peers(version -> CompletableFuture.completedFuture(peer.nextAbove(version)))
                 .build();
     }
--- a/src/test/java/io/waxwingquay/bundle/Operator.java
+++ b/src/test/java/io/waxwingquay/bundle/Operator.java
@@ -30,13 +30,13 @@
         return sign(document(version, "records"));
     }
 
-    SignedBundle naming(long version, List<String> revoked, Operator... trusted) {
+    SignedBundle bundleTrusting(long version, List<String> revoked, Operator... trusted) {
         String keys = Arrays.stream(trusted)
                 .map(each ->
                         "[[keys.trusted]]\nid = \"" + each.id() + "\"\npublic_key = \"" + each.publicKey() + "\"\n")
                 .collect(Collectors.joining());
-        String list = revoked.stream().map(id -> "\"" + id + "\"").collect(Collectors.joining(", "));
-        return sign(document(version, "records") + "[keys]\nrevoked = [" + list + "]\n" + keys);
+        String revokedIds = revoked.stream().map(id -> "\"" + id + "\"").collect(Collectors.joining(", "));
+        return sign(document(version, "records") + "[keys]\nrevoked = [" + revokedIds + "]\n" + keys);
     }
 
     static String document(long version, String service) {
--- a/src/test/java/io/waxwingquay/observe/AdminServerTest.java
+++ b/src/test/java/io/waxwingquay/observe/AdminServerTest.java
@@ -26,7 +26,7 @@
 class AdminServerTest {
 
     /** The close and the answer are on two threads; in one of a few the close comes first. */
-    private static final int CLOSING_SERVERS = 40;
+    private static final int SHUTDOWN_ROUNDS = 40;
 
     private final PrometheusMeterRegistry registry = new PrometheusMeterRegistry(PrometheusConfig.DEFAULT);
     private final HttpClient client = new HttpClient();
@@ -60,7 +60,7 @@
     // was still being written: a connection that ends without an answer, of which nobody can tell whether it drains.
     @Test
     void operatorIsAnsweredThoughTheDrainIsOverAtOnce() throws Exception {
-        for (int number = 0; number < CLOSING_SERVERS; number++) {
+        for (int number = 0; number < SHUTDOWN_ROUNDS; number++) {
             CompletableFuture<AdminServer> started = new CompletableFuture<>();
             try (AdminServer closing = AdminServer.builder(registry, new StateDump())
                     .drain(() -> started.join().close())
--- a/src/test/java/io/waxwingquay/settings/ReferenceFilesTest.java
+++ b/src/test/java/io/waxwingquay/settings/ReferenceFilesTest.java
@@ -29,17 +29,17 @@
         assertComplete(SIDE, SideSettings::from);
     }
 
-    private static <T> void assertComplete(Path file, Function<TomlTable, T> reading) throws IOException {
+    private static <T> void assertComplete(Path file, Function<TomlTable, T> reader) throws IOException {
         String text = Files.readString(file);
         Map<String, String> known = new HashMap<>();
-        T whole = TomlDocument.read(file.toString(), text.getBytes(), table -> {
-            T settings = reading.apply(table);
+        T fromReference = TomlDocument.read(file.toString(), text.getBytes(), table -> {
+            T settings = reader.apply(table);
             known.putAll(table.knownKeys());
             return settings;
         });
         known.forEach((key, allowed) -> assertDocumented(text, key, allowed));
-        T required = TomlDocument.read("required keys", withoutDefaults(text).getBytes(), reading);
-        assertEquals(whole, required);
+        T fromRequiredKeys = TomlDocument.read("required keys", withoutDefaults(text).getBytes(), reader);
+        assertEquals(fromReference, fromRequiredKeys);
     }
 
     private static void assertDocumented(String text, String key, String allowed) {
