--- a/src/main/java/io/waxwingquay/bundle/BundleDocument.java
+++ b/src/main/java/io/waxwingquay/bundle/BundleDocument.java
@@ -14,11 +14,11 @@
 
     private static final Range VERSION = new Range(1, Long.MAX_VALUE, "bundle version");
     private static final Range REPLICAS = new Range(1, 100_000, "replicas");
-    private static final Range BYTES = new Range(1, 1L << 50, "bytes");
+    private static final Range SIZE_BYTES = new Range(1, 1L << 50, "bytes");
     private static final Range ACCELERATORS = new Range(1, 1_024, "accelerators");
-    private static final Range LOADS = new Range(1, 100_000, "loads at once");
-    private static final Range LOAD_RATE = new Range(0, 100_000, "loads a second");
-    private static final Range REQUESTS = new Range(1, 100_000, "requests at once");
+    private static final Range CONCURRENT_LOADS = new Range(1, 100_000, "loads at once");
+    private static final Range LOADS_PER_SECOND = new Range(0, 100_000, "loads a second");
+    private static final Range CONCURRENT_REQUESTS = new Range(1, 100_000, "requests at once");
     private static final Range PRIORITY = new Range(0, 1_000, "priority, a higher one goes first");
 
     private BundleDocument() {}
@@ -77,7 +77,7 @@
         String name = table.text("name");
         Bundle.Kind kind = table.requiredChoice("kind", Bundle.Kind.MODEL);
         int replicas = (int) table.number("replicas", REPLICAS);
-        int maxConcurrent = (int) table.number("max_concurrent", REQUESTS);
+        int maxConcurrent = (int) table.number("max_concurrent", CONCURRENT_REQUESTS);
         if (kind == Bundle.Kind.PLAIN) {
             return new Bundle.Service(name, kind, replicas, 0, 0, false, 0, 0, 0, maxConcurrent);
         }
@@ -85,12 +85,12 @@
                 name,
                 kind,
                 replicas,
-                table.number("memory_bytes", BYTES),
+                table.number("memory_bytes", SIZE_BYTES),
                 (int) table.number("accelerators", ACCELERATORS),
                 table.flag("orders_fenced", false),
-                (int) table.number("weight_loads_at_once", LOADS),
-                table.decimal("weight_loads_per_second", 1, LOAD_RATE),
-                (int) table.number("adapter_loads_at_once", LOADS),
+                (int) table.number("weight_loads_at_once", CONCURRENT_LOADS),
+                table.decimal("weight_loads_per_second", 1, LOADS_PER_SECOND),
+                (int) table.number("adapter_loads_at_once", CONCURRENT_LOADS),
                 maxConcurrent);
     }
 
@@ -99,13 +99,13 @@
                 table.text("name"),
                 table.text("service"),
                 table.text("version"),
-                table.number("size_bytes", BYTES),
+                table.number("size_bytes", SIZE_BYTES),
                 (int) table.number("priority", 0, PRIORITY));
     }
 
     private static Bundle.Adapter adapter(TomlTable table) {
         return new Bundle.Adapter(
-                table.text("name"), table.text("model"), table.text("version"), table.number("size_bytes", BYTES));
+                table.text("name"), table.text("model"), table.text("version"), table.number("size_bytes", SIZE_BYTES));
     }
 
     private static Bundle.Operation operation(TomlTable table) {
--- a/src/main/java/io/waxwingquay/bundle/BundleSigner.java
+++ b/src/main/java/io/waxwingquay/bundle/BundleSigner.java
@@ -30,7 +30,7 @@
     public static BundleSigner of(PrivateKey privateKey, PublicKey publicKey) {
         BundleSigner signer = new BundleSigner(privateKey, KeyCodec.id(publicKey));
         byte[] probe = {1};
-        if (!SignatureCheck.matches(publicKey, probe, signer.signature(probe))) {
+        if (!SignatureCheck.isValid(publicKey, probe, signer.signature(probe))) {
             throw new BundleException("the private key does not belong to public key " + signer.keyId, null);
         }
         return signer;
--- a/src/main/java/io/waxwingquay/bundle/SignatureCheck.java
+++ b/src/main/java/io/waxwingquay/bundle/SignatureCheck.java
@@ -23,14 +23,14 @@
      */
     public static Bundle verify(SignedBundle bundle, TrustedKeys keys) {
         PublicKey key = keys.require(bundle.keyId());
-        if (!matches(key, bundle.document(), bundle.signature())) {
+        if (!isValid(key, bundle.document(), bundle.signature())) {
             throw new BundleException.Untrusted("bundle " + bundle.version() + " does not carry the signature of key "
                     + bundle.keyId() + "; it was altered or forged");
         }
         return bundle.read();
     }
 
-    static boolean matches(PublicKey key, byte[] bytes, String signatureBase64) {
+    static boolean isValid(PublicKey key, byte[] bytes, String signatureBase64) {
         try {
             Signature signature = Signature.getInstance(KeyCodec.ALGORITHM);
             signature.initVerify(key);
--- a/src/main/java/io/waxwingquay/observe/BoundedJsonCopy.java
+++ b/src/main/java/io/waxwingquay/observe/BoundedJsonCopy.java
@@ -14,7 +14,7 @@
  */
 final class BoundedJsonCopy {
 
-    private static final Pattern SECRET =
+    private static final Pattern SECRET_FIELD =
             Pattern.compile("(?i).*(private_?key|secret|password|credential|authorization).*");
 
     // Punctuation, line break and first indentation of a pretty printed value.
@@ -28,7 +28,7 @@
         this.remainingBytes = maxBytes;
     }
 
-    JsonNode of(JsonNode node) {
+    JsonNode copyOf(JsonNode node) {
         return node == null ? NullNode.instance : copy(node, 1);
     }
 
@@ -46,7 +46,7 @@
     private JsonNode copyObject(ObjectNode object, int depth) {
         ObjectNode result = Json.MAPPER.createObjectNode();
         for (Map.Entry<String, JsonNode> field : object.properties()) {
-            if (SECRET.matcher(field.getKey()).matches()) {
+            if (SECRET_FIELD.matcher(field.getKey()).matches()) {
                 continue;
             }
             if (!reserveBytes(field.getValue(), field.getKey(), depth)) {
--- a/src/main/java/io/waxwingquay/observe/StateDump.java
+++ b/src/main/java/io/waxwingquay/observe/StateDump.java
@@ -46,7 +46,7 @@
         int sectionLimitBytes = MAX_BYTES / (sections.size() + 1);
         sections.forEach((name, state) -> {
             BoundedJsonCopy copy = new BoundedJsonCopy(sectionLimitBytes);
-            sectionsNode.set(name, copy.of(toTree(state)));
+            sectionsNode.set(name, copy.copyOf(toTree(state)));
             if (copy.isTruncated()) {
                 truncated.add(name);
             }
--- a/src/main/java/io/waxwingquay/settings/LineIndex.java
+++ b/src/main/java/io/waxwingquay/settings/LineIndex.java
@@ -12,37 +12,37 @@
  */
 final class LineIndex {
 
-    private static final Pattern HEADER = Pattern.compile("^\\s*\\[\\[?\\s*([\\w.-]+)\\s*]]?\\s*(#.*)?$");
+    private static final Pattern TABLE_HEADER = Pattern.compile("^\\s*\\[\\[?\\s*([\\w.-]+)\\s*]]?\\s*(#.*)?$");
     private static final Pattern KEY = Pattern.compile("^\\s*\"?([\\w.-]+)\"?\\s*=.*$");
 
-    private final Map<TomlPath, Integer> lines = new HashMap<>();
+    private final Map<TomlPath, Integer> lineNumbers = new HashMap<>();
 
     private LineIndex() {}
 
     static LineIndex of(String text) {
         LineIndex index = new LineIndex();
-        Map<String, Integer> counts = new HashMap<>();
+        Map<String, Integer> tableCounts = new HashMap<>();
         TomlPath table = TomlPath.ROOT;
-        int number = 0;
+        int lineNumber = 0;
         for (String line : text.split("\n", -1)) {
-            number++;
-            Matcher header = HEADER.matcher(line);
+            lineNumber++;
+            Matcher header = TABLE_HEADER.matcher(line);
             if (header.matches()) {
                 String name = header.group(1);
-                table = new TomlPath(name, counts.merge(name, 1, Integer::sum) - 1, "");
-                index.lines.putIfAbsent(table, number);
+                table = new TomlPath(name, tableCounts.merge(name, 1, Integer::sum) - 1, "");
+                index.lineNumbers.putIfAbsent(table, lineNumber);
                 continue;
             }
             Matcher key = KEY.matcher(line);
             if (key.matches()) {
-                index.lines.putIfAbsent(table.withKey(key.group(1)), number);
+                index.lineNumbers.putIfAbsent(table.withKey(key.group(1)), lineNumber);
             }
         }
         return index;
     }
 
     OptionalInt lineOf(TomlPath path) {
-        Integer line = lines.getOrDefault(path, lines.get(path.withKey("")));
+        Integer line = lineNumbers.getOrDefault(path, lineNumbers.get(path.withKey("")));
         return line == null ? OptionalInt.empty() : OptionalInt.of(line);
     }
 }
--- a/src/main/java/io/waxwingquay/settings/ProcessSettings.java
+++ b/src/main/java/io/waxwingquay/settings/ProcessSettings.java
@@ -42,9 +42,9 @@
 
     private static final Pattern IP_ADDRESS = Pattern.compile(
             "(25[0-5]|2[0-4]\\d|1?\\d?\\d)(\\.(25[0-5]|2[0-4]\\d|1?\\d?\\d)){3}|[0-9a-fA-F:]*:[0-9a-fA-F:]*");
-    private static final Range GOSSIP_MILLIS = new Range(50, 60_000, "milliseconds");
-    private static final Range POLL_MILLIS = new Range(100, 600_000, "milliseconds");
-    private static final Range TABLE_MILLIS = new Range(50, 60_000, "milliseconds");
+    private static final Range GOSSIP_INTERVAL_MILLIS = new Range(50, 60_000, "milliseconds");
+    private static final Range BUNDLE_POLL_MILLIS = new Range(100, 600_000, "milliseconds");
+    private static final Range TABLE_TIMEOUT_MILLIS = new Range(50, 60_000, "milliseconds");
 
     static ProcessSettings from(TomlTable table) {
         return new ProcessSettings(
@@ -59,9 +59,9 @@
                 seeds(table),
                 table.choice("log_format", LogFormat.TEXT),
                 table.choice("log_level", LogLevel.INFO),
-                table.number("gossip_interval_millis", 250, GOSSIP_MILLIS),
-                table.number("bundle_poll_millis", 1_000, POLL_MILLIS),
-                table.number("table_timeout_millis", 1_000, TABLE_MILLIS));
+                table.number("gossip_interval_millis", 250, GOSSIP_INTERVAL_MILLIS),
+                table.number("bundle_poll_millis", 1_000, BUNDLE_POLL_MILLIS),
+                table.number("table_timeout_millis", 1_000, TABLE_TIMEOUT_MILLIS));
     }
 
     static URI url(TomlTable table, String key) {
--- a/src/main/java/io/waxwingquay/settings/SideSettings.java
+++ b/src/main/java/io/waxwingquay/settings/SideSettings.java
@@ -37,13 +37,13 @@
         long streamSilenceMillis) {
 
     private static final Range REPLICA = new Range(0, 99_999, "replica number");
-    private static final Range QUEUE = new Range(0, 100_000, "requests");
+    private static final Range QUEUE_LIMIT = new Range(0, 100_000, "requests");
     private static final Range ORDER_QUARANTINE_MILLIS = new Range(0, 600_000, "milliseconds");
-    private static final Range LEASE_MILLIS = new Range(500, 600_000, "milliseconds");
-    private static final Range DRAIN_MILLIS = new Range(0, 3_600_000, "milliseconds");
-    private static final Range RETENTION_MILLIS = new Range(60_000, 86_400_000, "milliseconds");
-    private static final Range WAIT_MILLIS = new Range(10, 10_000, "milliseconds");
-    private static final Range SILENCE_MILLIS = new Range(100, 60_000, "milliseconds");
+    private static final Range PERMIT_LEASE_MILLIS = new Range(500, 600_000, "milliseconds");
+    private static final Range DRAIN_LIMIT_MILLIS = new Range(0, 3_600_000, "milliseconds");
+    private static final Range ATTEMPT_RETENTION_MILLIS = new Range(60_000, 86_400_000, "milliseconds");
+    private static final Range POLL_WAIT_MILLIS = new Range(10, 10_000, "milliseconds");
+    private static final Range STREAM_SILENCE_MILLIS = new Range(100, 60_000, "milliseconds");
 
     /**
      * Reads the settings from a file.
@@ -77,12 +77,12 @@
                 ProcessSettings.url(table, "target_url"),
                 table.requiredChoice("target_kind", TargetType.MODEL),
                 table.number("order_quarantine_millis", 30_000, ORDER_QUARANTINE_MILLIS),
-                table.number("permit_lease_millis", 10_000, LEASE_MILLIS),
-                (int) table.number("queue_limit", 256, QUEUE),
-                table.number("drain_limit_millis", 120_000, DRAIN_MILLIS),
-                table.number("attempt_retention_millis", 900_000, RETENTION_MILLIS),
-                table.number("poll_wait_millis", 250, WAIT_MILLIS),
-                table.number("stream_silence_millis", 1_000, SILENCE_MILLIS));
+                table.number("permit_lease_millis", 10_000, PERMIT_LEASE_MILLIS),
+                (int) table.number("queue_limit", 256, QUEUE_LIMIT),
+                table.number("drain_limit_millis", 120_000, DRAIN_LIMIT_MILLIS),
+                table.number("attempt_retention_millis", 900_000, ATTEMPT_RETENTION_MILLIS),
+                table.number("poll_wait_millis", 250, POLL_WAIT_MILLIS),
+                table.number("stream_silence_millis", 1_000, STREAM_SILENCE_MILLIS));
     }
 
     /** What a target is. */
--- a/src/test/java/io/waxwingquay/bundle/BundleAcceptanceTest.java
+++ b/src/test/java/io/waxwingquay/bundle/BundleAcceptanceTest.java
@@ -25,7 +25,7 @@
     // Two operators submit different bundles of the same version. Both read the same row; the second commits
     // while the first is about to. The row's version lets exactly one through, and the other is told who won.
     @Test
-    void oneOfTwoRacingOperatorsWinsAndTheOtherIsTold() {
+    void acceptsOneOfTwoConcurrentSubmissionsOfAVersion() {
         submit(operator.bundle(1));
         SignedBundle rival = operator.sign(Operator.document(2, "rival"));
         platform.beforeCommit = () -> {
@@ -42,7 +42,7 @@
     // The table commits and its answer is lost. Told "failed", the operator would submit again and be refused;
     // reading the row back finds the own hash.
     @Test
-    void answerLostAfterAcceptanceIsStillTellingAccepted() {
+    void reportsAcceptedWhenTheCommitAnswerIsLost() {
         platform.commitAnswersToDrop = 1;
         assertEquals(Verdict.ACCEPTED, submit(operator.bundle(1)).verdict());
         assertEquals(1, platform.rows.get(BundleRow.CURRENT_KEY).version());
@@ -51,7 +51,7 @@
     // A rival wins, and the answer to our own losing commit is lost. The row names the rival's hash, so ours
     // can't have taken effect: refused, not unknown.
     @Test
-    void answerLostAfterAnotherWonIsRefused() {
+    void reportsRefusedWhenAnotherBundleWonAndTheAnswerIsLost() {
         SignedBundle rival = operator.sign(Operator.document(1, "rival"));
         platform.beforeCommit = () -> {
             platform.beforeCommit = () -> platform.commitAnswersToDrop = 1;
@@ -65,7 +65,7 @@
     // The commit vanishes before the table sees it. The row has not moved, which proves nothing, so the same
     // compare-and-set goes out again; when every one is lost the operator is told that the outcome is unknown.
     @Test
-    void commitsLostAreTriedAgainAndThenToldAsUnknown() {
+    void retriesLostCommitsAndThenReportsUnknown() {
         platform.commitsToDrop = 1;
         assertEquals(Verdict.ACCEPTED, submit(operator.bundle(1)).verdict());
         platform.commitsToDrop = 10;
@@ -75,7 +75,7 @@
     // Our commit lands and its answer is lost; before we read back, the next version replaces ours. Ours was in
     // force for a moment, so "another won" would be false: the outcome is unknown to us.
     @Test
-    void answerLostAndThenReplacedIsUnknownRatherThanRefused() {
+    void reportsUnknownWhenTheAnswerIsLostAndTheBundleIsReplaced() {
         submit(operator.bundle(1));
         platform.commitAnswersToDrop = 1;
         platform.afterDroppedAnswer =
@@ -94,7 +94,7 @@
     }
 
     @Test
-    void platformOutBeforeTheCommitIsToldAsNothingAccepted() {
+    void reportsNotReachedDuringAnOutageBeforeTheCommit() {
         platform.outage = true;
         assertEquals(Verdict.NOT_REACHED, submit(operator.bundle(1)).verdict());
     }
--- a/src/test/java/io/waxwingquay/bundle/BundleDocumentTest.java
+++ b/src/test/java/io/waxwingquay/bundle/BundleDocumentTest.java
@@ -15,7 +15,7 @@
 
 class BundleDocumentTest {
 
-    private static final String GOOD =
+    private static final String VALID_BUNDLE =
             """
             version = 1
             [[services]]
@@ -48,8 +48,8 @@
             """;
 
     @Test
-    void readsAGoodBundle() {
-        Bundle bundle = BundleDocument.parse("good", GOOD.getBytes());
+    void readsAValidBundle() {
+        Bundle bundle = BundleDocument.parse("good", VALID_BUNDLE.getBytes());
         assertEquals(90, bundle.model("soak").orElseThrow().sizeBytes());
         // Left out, an operation counts as one that may not run twice: the safe reading.
         assertTrue(bundle.operation("records", "sign-release").orElseThrow().nonIdempotent());
@@ -71,14 +71,14 @@
                 "service = \"records\"@service = \"none\"@line 27: operations[1] 'sign-release'.service: names no",
                 "size_bytes = 90@size_bytes = 101@line 20: models[1] 'soak'.size_bytes: is 101 bytes, above the 100"
             })
-    void refusesOneFaultByElementAndLine(String good, String bad, String expected) {
-        List<Problem> problems = problems(GOOD.replace(lines(good), lines(bad)));
+    void reportsAFaultWithItsElementAndLine(String original, String replacement, String expected) {
+        List<Problem> problems = problems(VALID_BUNDLE.replace(lines(original), lines(replacement)));
         assertTrue(problems.stream().anyMatch(problem -> problem.toString().startsWith(expected)), problems.toString());
     }
 
     @Test
-    void refusesModelsThatDoNotFitIntoAllReplicas() {
-        String more = GOOD
+    void refusesModelsThatExceedTheMemoryOfAllReplicas() {
+        String oversized = VALID_BUNDLE
                 + """
                 [[models]]
                 name = "quench"
@@ -91,13 +91,13 @@
                 version = "1"
                 size_bytes = 100
                 """;
-        List<Problem> problems = problems(more);
+        List<Problem> problems = problems(oversized);
         assertEquals(2, problems.size(), "both faults are told at once");
         assertTrue(problems.get(1).message().startsWith("give 200 bytes in all, but the service's models take 290"));
     }
 
     @Test
-    void exampleBundlesHaveTheSizesOfTheBrief() throws IOException {
+    void exampleBundlesHaveTheExpectedElements() throws IOException {
         Bundle tamworth = example("tamworth");
         assertEquals(17, tamworth.models().size());
         assertEquals(55, tamworth.adapters().size());
--- a/src/test/java/io/waxwingquay/bundle/BundleFeedTest.java
+++ b/src/test/java/io/waxwingquay/bundle/BundleFeedTest.java
@@ -22,16 +22,16 @@
     private final BundleHolder holder = new BundleHolder(operator.root());
 
     @Test
-    void adoptsFromThePlatformAndTellsListenersInOrder() {
-        List<Long> told = new ArrayList<>();
-        holder.onAdopted(bundle -> told.add(bundle.version()));
+    void adoptsFromThePlatformAndNotifiesListenersInOrder() {
+        List<Long> notifiedVersions = new ArrayList<>();
+        holder.onAdopted(bundle -> notifiedVersions.add(bundle.version()));
         BundleFeed feed = feed(new BundleHolder(operator.root()));
         submit(operator.bundle(1));
         feed.refresh().join();
         submit(operator.bundle(2));
         feed.refresh().join();
         feed.refresh().join();
-        assertEquals(List.of(1L, 2L), told);
+        assertEquals(List.of(1L, 2L), notifiedVersions);
     }
 
     // A peer that was paused offers the version before the one in force, which a naive adopter would revert to.
@@ -60,12 +60,12 @@
     // A process restarts with the store out. With a peer it comes up on the peer's bundle; without one it has
     // no bundle and stays not ready, rather than serve an old one.
     @Test
-    void restartedWithTheStoreOutTakesThePeersBundleOrStaysWithout() {
+    void restartDuringAnOutageAdoptsThePeersBundleOrNone() {
         platform.outage = true;
-        BundleFeed alone = feed(new BundleHolder(operator.root()));
-        alone.refresh().join();
+        BundleFeed withoutPeer = feed(new BundleHolder(operator.root()));
+        withoutPeer.refresh().join();
         assertEquals(Optional.empty(), holder.current());
-        assertTrue(alone.lastFailure().isPresent());
+        assertTrue(withoutPeer.lastFailure().isPresent());
         BundleHolder peer = new BundleHolder(operator.root());
         peer.adopt(List.of(operator.bundle(4)));
         feed(peer).refresh().join();
@@ -75,7 +75,7 @@
     // The first key was rotated out long ago and the settings of a restarted process still name only it. The
     // bundles that changed keys lead from that root to the present signer, from the table as well as from a peer.
     @Test
-    void restartedWithOldRootsWalksTheKeyChanges() {
+    void restartWithOldRootKeysFollowsTheKeyChanges() {
         Operator second = new Operator();
         Operator third = new Operator();
         submit(operator.bundleTrusting(1, List.of(), second));
@@ -128,7 +128,7 @@
     // A process that others read for looks while it has no bundle, and then once in so many intervals: were that
     // look left out, a process that gossip does not reach would stay on the old bundle for good.
     @Test
-    void aProcessThatOthersReadForLooksRarelyButDoesLook() {
+    void processThatSkipsIntervalsStillPollsPeriodically() {
         BundleFeed feed = BundleFeed.builder(holder, platform.archive())
                 .pollEveryInterval(() -> false, 30, 2)
                 .build();
@@ -148,14 +148,14 @@
     // A client throws instead of failing its future. Were the look not closed, the feed would count as busy for
     // good and the process would stay on an old bundle.
     @Test
-    void throwingClientDoesNotStopLaterLooks() {
-        AtomicInteger asked = new AtomicInteger();
+    void throwingPeerClientDoesNotBlockLaterRefreshes() {
+        AtomicInteger fetches = new AtomicInteger();
         BundleHolder peer = new BundleHolder(operator.root());
         peer.adopt(List.of(operator.bundle(1)));
         platform.outage = true;
         BundleFeed feed = BundleFeed.builder(holder, platform.archive())
                 .peers(version -> {
-                    if (asked.getAndIncrement() == 0) {
+                    if (fetches.getAndIncrement() == 0) {
                         throw new IllegalStateException("faulty client");
                     }
                     return CompletableFuture.completedFuture(peer.nextAbove(version));
--- a/src/test/java/io/waxwingquay/observe/AdminServerTest.java
+++ b/src/test/java/io/waxwingquay/observe/AdminServerTest.java
@@ -59,7 +59,7 @@
     // answer
     // was still being written: a connection that ends without an answer, of which nobody can tell whether it drains.
     @Test
-    void operatorIsAnsweredThoughTheDrainIsOverAtOnce() throws Exception {
+    void answersShutdownBeforeTheServerCloses() throws Exception {
         for (int number = 0; number < SHUTDOWN_ROUNDS; number++) {
             CompletableFuture<AdminServer> started = new CompletableFuture<>();
             try (AdminServer closing = AdminServer.builder(registry, new StateDump())
@@ -76,10 +76,10 @@
     }
 
     @Test
-    void showsMetersInThePrometheusFormat() throws Exception {
+    void exposesMetersInThePrometheusFormat() throws Exception {
         AtomicLong nowMillis = new AtomicLong(1_000);
         ProcessMeters meters = new ProcessMeters(registry, new FixedClock(nowMillis));
-        Bundles bundles = new Bundles();
+        SettableBundleSource bundles = new SettableBundleSource();
         meters.registerBundle(bundles);
         bundles.adopt(7);
         nowMillis.addAndGet(2_500);
@@ -105,7 +105,7 @@
     }
 
     @Test
-    void tellsReadinessApartFromHealth() throws Exception {
+    void reportsReadinessSeparatelyFromHealth() throws Exception {
         assertEquals(200, get("/healthz").getStatus());
         assertEquals(503, get("/readyz").getStatus());
         assertEquals("not ready: no bundle yet\n", get("/readyz").getContentAsString());
@@ -152,7 +152,7 @@
         }
     }
 
-    private static final class Bundles implements BundleSource {
+    private static final class SettableBundleSource implements BundleSource {
 
         private final List<Consumer<Bundle>> listeners = new ArrayList<>();
         private Optional<Bundle> current = Optional.empty();
--- a/src/test/java/io/waxwingquay/observe/LoggingTest.java
+++ b/src/test/java/io/waxwingquay/observe/LoggingTest.java
@@ -41,13 +41,13 @@
 
     // Whoever is on call sorts requests by the time that they took. With "took_ms=1,531" they would find none of them.
     @Test
-    void numbersBearNoMarksBetweenThousands() {
+    void formatsNumbersWithoutGroupingSeparators() {
         Logging.configure(context, LogFormat.TEXT, LogLevel.INFO, written);
         assertEquals("took_ms=1531204", MessageFormat.format("took_ms={0}", 1_531_204L));
     }
 
     @Test
-    void writesOnAfterItIsConfiguredAgain() {
+    void keepsWritingAfterReconfiguration() {
         // An operator starts a side with log_level = "info" and sees nothing at all: the command line configures
         // logging, the settings configure it again, and the reset in between closed the standard error stream.
         PrintStream console = new PrintStream(written, true, StandardCharsets.UTF_8);
@@ -70,7 +70,7 @@
     // A role sets logging up a second time, by its settings. The first set-up's end must not take the stream along:
     // the process would run on without a line, and the operator would see nothing of any fault.
     @Test
-    void secondSetUpLeavesTheStreamOpen() {
+    void reconfigurationDoesNotCloseTheStream() {
         AtomicBoolean closed = new AtomicBoolean();
         OutputStream target = new FilterOutputStream(written) {
             @Override
--- a/src/test/java/io/waxwingquay/observe/StateDumpTest.java
+++ b/src/test/java/io/waxwingquay/observe/StateDumpTest.java
@@ -15,7 +15,7 @@
     // A process with a hundred thousand entries is asked for its state. An unbounded dump would take its memory;
     // the big section is cut and named, and the small one beside it is whole.
     @Test
-    void cutsABigSectionAndSaysSo() throws Exception {
+    void truncatesAnOversizedSectionAndListsIt() throws Exception {
         List<Row> rows = IntStream.range(0, 100_000)
                 .mapToObj(i -> new Row("item \"" + i + "\" é", i))
                 .toList();
@@ -31,7 +31,7 @@
     }
 
     @Test
-    void failingSectionLeavesTheOthers() throws Exception {
+    void replacesAFailingSectionByItsError() throws Exception {
         String text = new StateDump()
                 .section("broken", () -> {
                     throw new IllegalStateException("gone");
--- a/src/test/java/io/waxwingquay/settings/ReferenceFilesTest.java
+++ b/src/test/java/io/waxwingquay/settings/ReferenceFilesTest.java
@@ -16,17 +16,17 @@
 
 class ReferenceFilesTest {
 
-    private static final Path ENTRY = Path.of("docs/settings/entry.toml");
-    private static final Path SIDE = Path.of("docs/settings/side.toml");
+    private static final Path ENTRY_REFERENCE = Path.of("docs/settings/entry.toml");
+    private static final Path SIDE_REFERENCE = Path.of("docs/settings/side.toml");
 
     @Test
     void entryReferenceNamesEveryKeyWithItsDefaultAndRange() throws IOException {
-        assertComplete(ENTRY, EntrySettings::from);
+        assertComplete(ENTRY_REFERENCE, EntrySettings::from);
     }
 
     @Test
     void sideReferenceNamesEveryKeyWithItsDefaultAndRange() throws IOException {
-        assertComplete(SIDE, SideSettings::from);
+        assertComplete(SIDE_REFERENCE, SideSettings::from);
     }
 
     private static <T> void assertComplete(Path file, Function<TomlTable, T> reader) throws IOException {
--- a/src/test/java/io/waxwingquay/settings/SettingsTest.java
+++ b/src/test/java/io/waxwingquay/settings/SettingsTest.java
@@ -36,14 +36,14 @@
                         + "write for example 10.0.0.7:9000",
                 "trusted_keys = [@trusted_key = [@line 27: trusted_key: is no known key; did you mean trusted_keys?"
             })
-    void refusesOneBadKeyByName(String good, String bad, String expected) throws IOException {
-        String text = Files.readString(REFERENCE).replace("\n" + good, "\n" + (bad == null ? "" : bad));
+    void reportsAnInvalidKeyWithItsLine(String original, String replacement, String expected) throws IOException {
+        String text = Files.readString(REFERENCE).replace("\n" + original, "\n" + (replacement == null ? "" : replacement));
         List<String> problems = problems(text);
         assertEquals(expected, problems.get(problems.size() - 1));
     }
 
     @Test
-    void tellsAllProblemsAtOnce() throws IOException {
+    void reportsAllProblemsTogether() throws IOException {
         String text = Files.readString(REFERENCE)
                 .replace("queue_limit = 256", "queue_limit = -1")
                 .replace("thrift_port = 7200", "thrift_port = 70000");
@@ -51,7 +51,7 @@
     }
 
     @Test
-    void refusesBrokenTomlWithItsLine() {
+    void reportsInvalidTomlWithItsLine() {
         List<String> problems = problems("name = \"side-1\"\nregion = \n");
         assertEquals(1, problems.size());
         assertEquals("line 2: document", problems.get(0).substring(0, 16));
