--- a/src/main/java/io/waxwingquay/bundle/Bundle.java
+++ b/src/main/java/io/waxwingquay/bundle/Bundle.java
@@ -4,14 +4,15 @@
 import java.util.Optional;
 
 /**
- * What operators want served, as one immutable document. Acceptance and signature are kept apart from it.
+ * The desired configuration of the system, as one immutable document. Its signature and acceptance are kept
+ * separately.
  *
- * @param version the bundle's version; a higher one replaces a lower one.
+ * @param version the bundle's version; a higher version replaces a lower one.
  * @param keys the operator keys that may sign the next bundle.
  * @param services the services and their targets' properties.
- * @param models the model versions offered.
- * @param adapters the adapter versions offered.
- * @param operations the plain services' operations.
+ * @param models the model versions that callers can use.
+ * @param adapters the adapter versions that callers can use.
+ * @param operations the operations of plain services.
  */
 public record Bundle(
         long version,
@@ -22,20 +23,20 @@
         List<Operation> operations) {
 
     /**
-     * Finds a service.
+     * Finds a service by its name.
      *
      * @param name the service's name.
-     * @return the service, or empty if this bundle names none such.
+     * @return the service, or empty if this bundle has no service of that name.
      */
     public Optional<Service> service(String name) {
         return services.stream().filter(service -> service.name().equals(name)).findFirst();
     }
 
     /**
-     * Finds a model.
+     * Finds a model by its name.
      *
      * @param name the model's name.
-     * @return the model, or empty if this bundle names none such.
+     * @return the model, or empty if this bundle has no model of that name.
      */
     public Optional<Model> model(String name) {
         return models.stream().filter(model -> model.name().equals(name)).findFirst();
@@ -46,7 +47,7 @@
      *
      * @param model the model's name.
      * @param name the adapter's name.
-     * @return the adapter, or empty if this bundle names none such.
+     * @return the adapter, or empty if this bundle has no such adapter.
      */
     public Optional<Adapter> adapter(String model, String name) {
         return adapters.stream()
@@ -56,11 +57,11 @@
     }
 
     /**
-     * Finds an operation.
+     * Finds an operation of a service.
      *
      * @param service the service's name.
      * @param name the operation's name.
-     * @return the operation, or empty if this bundle names none such.
+     * @return the operation, or empty if this bundle has no such operation.
      */
     public Optional<Operation> operation(String service, String name) {
         return operations.stream()
@@ -69,24 +70,24 @@
                 .findFirst();
     }
 
-    /** What stands behind a service. */
+    /** The kind of the targets of a service. */
     public enum Kind {
-        /** Replicas are model engines. */
+        /** The targets are model engines. */
         MODEL,
-        /** Replicas are plain services. */
+        /** The targets are plain services. */
         PLAIN
     }
 
     /**
-     * Operator keys. The bundle that adds a key must be signed by one already trusted.
+     * The operator keys that a bundle names. A bundle that adds a key must be signed by a key that is already trusted.
      *
-     * @param trusted keys that may sign from this version on.
+     * @param trusted keys that may sign the bundles after this one.
      * @param revoked identifiers of keys that may never sign again.
      */
     public record Keys(List<Key> trusted, List<String> revoked) {}
 
     /**
-     * One operator key.
+     * A public key of an operator.
      *
      * @param id the key's identifier.
      * @param publicKey the X.509 encoding of the Ed25519 public key, in base64.
@@ -94,18 +95,18 @@
     public record Key(String id, String publicKey) {}
 
     /**
-     * A service: a set of interchangeable targets.
+     * A service, which is a set of interchangeable targets.
      *
      * @param name the service's name.
-     * @param kind what its targets are.
-     * @param replicas how many targets it has; a side process is numbered from 0 to replicas - 1.
-     * @param memoryBytes accelerator memory of each target; 0 for a plain service.
-     * @param accelerators accelerators of each target; 0 for a plain service.
-     * @param ordersFenced whether its engines refuse an order with an old fencing number.
-     * @param weightLoadsAtOnce how many loads from the weight store may run at once over all replicas.
-     * @param weightLoadsPerSecond how many loads from the weight store may start a second over all replicas.
-     * @param adapterLoadsAtOnce how many adapter loads may be in flight over all replicas.
-     * @param maxConcurrent requests one target runs at once before its side process queues them.
+     * @param kind the kind of its targets.
+     * @param replicas the number of its targets; its side processes are numbered from 0 to replicas - 1.
+     * @param memoryBytes the accelerator memory of each target; 0 for a plain service.
+     * @param accelerators the number of accelerators of each target; 0 for a plain service.
+     * @param ordersFenced whether its engines refuse an order with an outdated fencing number.
+     * @param weightLoadsAtOnce how many loads from the weight store may run concurrently across all replicas.
+     * @param weightLoadsPerSecond how many loads from the weight store may start per second across all replicas.
+     * @param adapterLoadsAtOnce how many adapter loads may run concurrently across all replicas.
+     * @param maxConcurrent how many requests one target runs concurrently; its side process queues the others.
      */
     public record Service(
             String name,
@@ -120,18 +121,18 @@
             int maxConcurrent) {}
 
     /**
-     * A model version.
+     * A version of a model.
      *
      * @param name the name callers use.
-     * @param service the service whose targets run it.
+     * @param service the name of the service whose targets run it.
      * @param version the version served.
-     * @param sizeBytes accelerator memory it takes.
-     * @param priority a higher one goes first.
+     * @param sizeBytes the accelerator memory that it takes.
+     * @param priority the model's priority; a higher value goes first.
      */
     public record Model(String name, String service, String version, long sizeBytes, int priority) {
 
         /**
-         * The name of this version in ledgers, orders and residency.
+         * Returns the name of this version in memory ledgers, engine orders and residency reports.
          *
          * @return the item's name.
          */
@@ -141,17 +142,17 @@
     }
 
     /**
-     * An adapter version of a model.
+     * A version of an adapter of a model.
      *
      * @param name the name callers use.
-     * @param model the model's name.
+     * @param model the name of the model that it adapts.
      * @param version the version served.
-     * @param sizeBytes accelerator memory it takes.
+     * @param sizeBytes the accelerator memory that it takes.
      */
     public record Adapter(String name, String model, String version, long sizeBytes) {
 
         /**
-         * The name of this version in ledgers, orders and residency.
+         * Returns the name of this version in memory ledgers, engine orders and residency reports.
          *
          * @return the item's name.
          */
@@ -165,7 +166,7 @@
      *
      * @param service the service's name.
      * @param name the operation's name.
-     * @param nonIdempotent whether a second run does harm, so that it runs at most once.
+     * @param nonIdempotent whether running it twice does harm, so that it must run at most once.
      */
     public record Operation(String service, String name, boolean nonIdempotent) {}
 }
--- a/src/main/java/io/waxwingquay/bundle/BundleAcceptance.java
+++ b/src/main/java/io/waxwingquay/bundle/BundleAcceptance.java
@@ -8,7 +8,8 @@
 import java.util.stream.Stream;
 
 /**
- * Takes a signed bundle into force: verified, stored, then accepted by one compare-and-set on the table row.
+ * Puts a signed bundle in force: verifies it, stores its document and then accepts it by one compare-and-set on the
+ * table row.
  */
 public final class BundleAcceptance {
 
@@ -18,10 +19,10 @@
     private final TrustedKeys rootKeys;
 
     /**
-     * An acceptance.
+     * Creates an acceptance.
      *
-     * @param archive where accepted bundles are kept.
-     * @param roots the operator's root keys.
+     * @param archive the archive of accepted bundles.
+     * @param roots the operators' root keys.
      */
     public BundleAcceptance(BundleArchive archive, TrustedKeys roots) {
         this.archive = archive;
@@ -29,10 +30,10 @@
     }
 
     /**
-     * Submits a bundle.
+     * Submits a bundle for acceptance.
      *
      * @param bundle the signed bundle.
-     * @return what became of it; never fails.
+     * @return the outcome; the future never fails.
      */
     public CompletableFuture<Outcome> submit(SignedBundle bundle) {
         return archive.current()
@@ -40,7 +41,8 @@
                 .exceptionally(BundleAcceptance::failedBeforeCommit);
     }
 
-    private CompletableFuture<Outcome> verifyAndCommit(SignedBundle bundle, Optional<BundleArchive.CurrentRow> current) {
+    private CompletableFuture<Outcome> verifyAndCommit(
+            SignedBundle bundle, Optional<BundleArchive.CurrentRow> current) {
         if (isInForce(bundle, current)) {
             return alreadyInForce(bundle);
         }
@@ -64,7 +66,7 @@
         BundleRow row = current.get().row();
         return archive.fetchKeyChanges(row, 0)
                 .thenCombine(
-                        archive.fetch(row), (keyBundles, last) -> Stream.concat(keyBundles.stream(), Stream.of(last))
+                        archive.fetch(row), (keyChanges, last) -> Stream.concat(keyChanges.stream(), Stream.of(last))
                                 .toList())
                 .thenApply(chain -> BundleChain.verify(rootKeys, chain).keysAfter());
     }
@@ -85,17 +87,18 @@
         return readBack(attempt.withAnswerLost());
     }
 
-    // The answer to a commit can be lost after the write, so an operator told "failed" would submit again and be
-    // refused, or believe that the old bundle is in force. Reading the row back tells who won. A row that has not
-    // moved proves nothing, for the write may still land; committing again with the same expected row version is
-    // harmless, since at most one of the two can match.
+    // The answer to a commit can be lost after the write took effect. If that were reported as a failure, the operator
+    // would submit again and be refused, or believe that the old bundle is in force. Reading the row back shows which
+    // bundle was accepted. An unchanged row proves nothing, since the write may still take effect; retrying the commit
+    // with the same expected row version is safe, since at most one of the two can match.
     private CompletableFuture<Outcome> readBack(CommitAttempt attempt) {
         return archive.current()
                 .thenCompose(current -> outcomeFromRow(attempt, current))
                 .exceptionally(failure -> unknown(attempt, "the table did not answer"));
     }
 
-    private CompletableFuture<Outcome> outcomeFromRow(CommitAttempt attempt, Optional<BundleArchive.CurrentRow> current) {
+    private CompletableFuture<Outcome> outcomeFromRow(
+            CommitAttempt attempt, Optional<BundleArchive.CurrentRow> current) {
         long versionInForce = versionOf(current);
         long version = attempt.row().version();
         if (versionInForce == version) {
@@ -105,7 +108,7 @@
         if (versionInForce > version && !attempt.mayHaveCommitted()) {
             return refusedForOther(attempt, current);
         }
-        // A higher version may have replaced ours after an unanswered commit put ours in force.
+        // A commit without an answer may have put this bundle in force before a higher version replaced it.
         if (versionInForce > version || attempt.number() >= COMMIT_ATTEMPTS) {
             return CompletableFuture.completedFuture(unknown(attempt, "version " + versionInForce + " is in force"));
         }
@@ -119,10 +122,12 @@
                 new Outcome(Verdict.ACCEPTED, state, version, "bundle " + version + " is accepted"));
     }
 
-    private static CompletableFuture<Outcome> refusedForOther(CommitAttempt attempt, Optional<BundleArchive.CurrentRow> current) {
+    private static CompletableFuture<Outcome> refusedForOther(
+            CommitAttempt attempt, Optional<BundleArchive.CurrentRow> current) {
         BundleRow row = current.orElseThrow().row();
-        String message = "another bundle won over " + attempt.row().version() + ": version " + row.version()
-                + " signed by key " + row.keyId() + " is in force; rebase on it and submit the next version";
+        String message =
+                "another bundle was accepted instead of " + attempt.row().version() + ": version " + row.version()
+                        + " signed by key " + row.keyId() + " is in force; rebase on it and submit the next version";
         BundleChart.State state = nextState(BundleChart.State.STORED, BundleChart.Event.REFUSE);
         return CompletableFuture.completedFuture(new Outcome(Verdict.REFUSED, state, row.version(), message));
     }
@@ -138,7 +143,8 @@
         String message = "nothing was accepted: " + cause.getMessage();
         return cause instanceof BundleException.Unreachable
                 ? new Outcome(Verdict.NOT_REACHED, BundleChart.State.SIGNED, 0, message)
-                : new Outcome(Verdict.REFUSED, nextState(BundleChart.State.SIGNED, BundleChart.Event.REFUSE), 0, message);
+                : new Outcome(
+                        Verdict.REFUSED, nextState(BundleChart.State.SIGNED, BundleChart.Event.REFUSE), 0, message);
     }
 
     private static CompletableFuture<Outcome> refusedVersion(SignedBundle bundle, long versionInForce) {
@@ -168,28 +174,29 @@
         return current.map(found -> found.row().version()).orElse(0L);
     }
 
-    /** What became of a submission. */
+    /** The result of a submission. */
     public enum Verdict {
-        /** It is in force. */
+        /** The bundle is in force. */
         ACCEPTED,
-        /** It was refused and never takes effect. */
+        /** The bundle was refused and never takes effect. */
         REFUSED,
-        /** The platform was not reached before the commit, so nothing changed. */
+        /** The platform could not be reached before the commit, so nothing changed. */
         NOT_REACHED,
         /** The commit may or may not have taken effect. */
         UNKNOWN
     }
 
     /**
-     * The answer to the operator.
+     * The outcome that is reported to the operator.
      *
-     * @param verdict what became of the submission.
-     * @param state where the bundle then stands in its life, as far as is known.
-     * @param versionInForce the version last seen in force, or 0 if none was.
-     * @param message one sentence for the operator.
+     * @param verdict the result of the submission.
+     * @param state the state of the bundle after the submission, as far as it is known.
+     * @param versionInForce the version last read as in force, or 0 if none was.
+     * @param message a sentence for the operator.
      */
     public record Outcome(Verdict verdict, BundleChart.State state, long versionInForce, String message) {}
 
+    /** An attempt to commit a row. After one whose answer was lost, the bundle may have been accepted already. */
     private record CommitAttempt(
             BundleRow row, long expectedRowVersion, boolean changesKeys, int number, boolean mayHaveCommitted) {
 
@@ -198,7 +205,8 @@
             Stream<Long> ownVersion =
                     verified.changesKeys() ? Stream.of(verified.bundle().version()) : Stream.empty();
             List<Long> keyVersions = Stream.concat(earlierVersions, ownVersion).toList();
-            long expectedRowVersion = current.map(BundleArchive.CurrentRow::rowVersion).orElse(TableService.ABSENT);
+            long expectedRowVersion =
+                    current.map(BundleArchive.CurrentRow::rowVersion).orElse(TableService.ABSENT);
             return new CommitAttempt(
                     BundleRow.of(verified.signed(), keyVersions), expectedRowVersion, verified.changesKeys(), 1, false);
         }
--- a/src/main/java/io/waxwingquay/bundle/BundleArchive.java
+++ b/src/main/java/io/waxwingquay/bundle/BundleArchive.java
@@ -11,8 +11,8 @@
 import java.util.concurrent.CompletionException;
 
 /**
- * Accepted bundles as the platform keeps them: a row in the table service, the document in the object store.
- * Futures fail with {@link BundleException}.
+ * The archive of accepted bundles on the platform: the table service holds a row for a bundle, the object store its
+ * document. All futures fail with {@link BundleException}.
  */
 public final class BundleArchive {
 
@@ -20,7 +20,7 @@
     private final ObjectStore objects;
 
     /**
-     * An archive.
+     * Creates an archive.
      *
      * @param table the platform's table service.
      * @param objects the platform's object store.
@@ -31,9 +31,9 @@
     }
 
     /**
-     * Reads which bundle is in force.
+     * Reads the row of the bundle in force.
      *
-     * @return the row, or empty if none was ever accepted.
+     * @return the row, or empty if no bundle was ever accepted.
      */
     public CompletableFuture<Optional<CurrentRow>> current() {
         return withBundleException(table.read(List.of(BundleRow.CURRENT_KEY))
@@ -45,8 +45,8 @@
      * Fetches the bundles that changed the operator keys, in order of version.
      *
      * @param row the row of the bundle in force.
-     * @param aboveVersion versions up to this one are left out.
-     * @return the bundles, without the one in force itself.
+     * @param aboveVersion versions up to and including this one are left out.
+     * @return the bundles, without the bundle in force.
      */
     CompletableFuture<List<SignedBundle>> fetchKeyChanges(BundleRow row, long aboveVersion) {
         List<String> rowKeys = row.keyVersions().stream()
@@ -62,18 +62,18 @@
     /**
      * Fetches the document of an accepted bundle.
      *
-     * @param row the row that names it.
-     * @return the signed bundle, whose bytes have the row's hash.
+     * @param row the row that names the bundle.
+     * @return the signed bundle, whose document has the row's hash.
      */
     CompletableFuture<SignedBundle> fetch(BundleRow row) {
         return withBundleException(objects.get(row.hash()).thenApply(found -> toSignedBundle(row, found)));
     }
 
     /**
-     * Stores a document, which has no effect until a row names it.
+     * Stores a bundle's document, which has no effect until a row names it.
      *
      * @param bundle the bundle.
-     * @return completes when stored.
+     * @return a future that completes when the document is stored.
      */
     CompletableFuture<Void> store(SignedBundle bundle) {
         return withBundleException(objects.put(bundle.hash(), bundle.document()));
@@ -83,9 +83,10 @@
      * Puts a bundle in force if the row still has the version that was read.
      *
      * @param row the new row.
-     * @param expectedRowVersion the row version read, or {@link TableService#ABSENT}.
-     * @param changesKeys whether the bundle changes the operator keys, so that it is kept for later walks.
-     * @return whether this commit took effect; fails with {@link BundleException.Unreachable} when that is unknown.
+     * @param expectedRowVersion the row version that was read, or {@link TableService#ABSENT}.
+     * @param changesKeys whether the bundle changes the operator keys and is kept in a row of its own, from which later
+     *     bundles are verified.
+     * @return whether this commit took effect; fails with {@link BundleException.Unreachable} if that is unknown.
      */
     CompletableFuture<Boolean> accept(BundleRow row, long expectedRowVersion, boolean changesKeys) {
         List<TableService.Write> writes = new ArrayList<>();
@@ -135,10 +136,10 @@
     }
 
     /**
-     * The row of the bundle in force.
+     * The row of the bundle in force with its version in the table.
      *
      * @param row the row.
-     * @param rowVersion the row's version in the table service, for the next compare-and-set.
+     * @param rowVersion the row's version in the table service, which the next compare-and-set expects.
      */
     public record CurrentRow(BundleRow row, long rowVersion) {}
 }
--- a/src/main/java/io/waxwingquay/bundle/BundleChart.java
+++ b/src/main/java/io/waxwingquay/bundle/BundleChart.java
@@ -3,49 +3,49 @@
 import io.waxwingquay.chart.StateChart;
 
 /**
- * The life of a bundle from draft to replacement.
+ * The state chart of a bundle, from draft to replacement.
  */
 public final class BundleChart {
 
-    /** The name of the chart. */
+    /** The name of the state chart. */
     public static final String CHART_NAME = "bundle";
 
-    /** The chart. */
+    /** The state chart. */
     public static final StateChart<State, Event> CHART = StateChart.load(CHART_NAME, State.class, Event.class);
 
     private BundleChart() {}
 
-    /** The states. */
+    /** The states of a bundle. */
     public enum State {
-        /** Its author still edits it. */
+        /** The author still edits the bundle. */
         DRAFTED,
-        /** An operator has signed its exact bytes. */
+        /** An operator has signed the exact bytes of the document. */
         SIGNED,
-        /** Its bytes are in the object store, which has no effect yet. */
+        /** The document is in the object store, which has no effect yet. */
         STORED,
-        /** It has won the compare-and-set on the table row. */
+        /** The compare-and-set on the table row succeeded. */
         ACCEPTED,
-        /** Processes have adopted it. */
+        /** Processes have adopted the bundle. */
         IN_FORCE,
-        /** A higher version has replaced it. */
+        /** A higher version has replaced the bundle. */
         SUPERSEDED,
-        /** It was refused and never takes effect. */
+        /** The bundle was refused and never takes effect. */
         REFUSED
     }
 
-    /** The events. */
+    /** The events that change the state of a bundle. */
     public enum Event {
-        /** An operator signs it. */
+        /** An operator signs the bundle. */
         SIGN,
-        /** The object store has taken it. */
+        /** The object store has stored the document. */
         STORE,
-        /** The table row names it. */
+        /** The table row names the bundle. */
         ACCEPT,
-        /** A process takes it. */
+        /** A process adopts the bundle. */
         ADOPT,
         /** A higher version is accepted. */
         SUPERSEDE,
-        /** A check failed or another bundle won. */
+        /** A check failed, or another bundle was accepted instead. */
         REFUSE
     }
 }
--- a/src/main/java/io/waxwingquay/bundle/BundleDocument.java
+++ b/src/main/java/io/waxwingquay/bundle/BundleDocument.java
@@ -7,8 +7,8 @@
 import java.util.List;
 
 /**
- * Reads a bundle from its TOML document, strictly: every fault is told at once, each with its element, its line
- * where known, and how to mend it.
+ * Parses a bundle from its TOML document. Parsing is strict and reports all problems together, each with its element,
+ * its line if it is known, and how to correct it.
  */
 public final class BundleDocument {
 
@@ -24,12 +24,12 @@
     private BundleDocument() {}
 
     /**
-     * Reads a bundle.
+     * Parses a bundle.
      *
-     * @param source the document's name, for messages.
+     * @param source the document's name, used in messages.
      * @param bytes the TOML document.
      * @return the bundle.
-     * @throws BundleException.Invalid if the document has any fault.
+     * @throws BundleException.Invalid if the document has any problem; the exception lists all of them.
      */
     public static Bundle parse(String source, byte[] bytes) {
         try {
@@ -45,7 +45,8 @@
         List<Located<Bundle.Service>> services = root.tables("services", table -> located(table, service(table)));
         List<Located<Bundle.Model>> models = root.tables("models", table -> located(table, model(table)));
         List<Located<Bundle.Adapter>> adapters = root.tables("adapters", table -> located(table, adapter(table)));
-        List<Located<Bundle.Operation>> operations = root.tables("operations", table -> located(table, operation(table)));
+        List<Located<Bundle.Operation>> operations =
+                root.tables("operations", table -> located(table, operation(table)));
         BundleRules rules = new BundleRules(services, models, adapters, operations);
         rules.check();
         return new Bundle(version, keys, values(services), values(models), values(adapters), values(operations));
@@ -120,6 +121,6 @@
         return located.stream().map(Located::value).toList();
     }
 
-    /** A value with the table it was read from, to which its faults are reported. */
+    /** A value with the table from which it was read and in which its problems are reported. */
     record Located<T>(TomlTable table, T value) {}
 }
--- a/src/main/java/io/waxwingquay/bundle/BundleException.java
+++ b/src/main/java/io/waxwingquay/bundle/BundleException.java
@@ -5,23 +5,23 @@
 import java.util.List;
 
 /**
- * A failure to read, verify or fetch a bundle.
+ * Thrown when a bundle can't be read, verified or fetched.
  */
 public class BundleException extends RuntimeException {
 
     private static final long serialVersionUID = 1L;
 
     /**
-     * A failure with its cause.
+     * Creates an exception with a cause.
      *
-     * @param message what failed, naming the element.
-     * @param cause the failure below, or {@code null}.
+     * @param message what failed, with the name of the element.
+     * @param cause the underlying failure, or {@code null}.
      */
     public BundleException(String message, Throwable cause) {
         super(message, cause);
     }
 
-    /** The document is no valid bundle. */
+    /** Thrown when a document is not a valid bundle. */
     public static final class Invalid extends BundleException {
 
         private static final long serialVersionUID = 1L;
@@ -29,9 +29,9 @@
         private final transient List<Problem> problems;
 
         /**
-         * An invalid document.
+         * Creates an exception for an invalid document.
          *
-         * @param cause the refusal of the reader, which lists all problems.
+         * @param cause the exception of the parser, which lists all problems.
          */
         public Invalid(SettingsException cause) {
             super(cause.getMessage(), cause);
@@ -39,40 +39,40 @@
         }
 
         /**
-         * Lists what is wrong.
+         * Lists the problems of the document.
          *
-         * @return every problem.
+         * @return all problems.
          */
         public List<Problem> problems() {
             return problems;
         }
     }
 
-    /** The signature is not that of a trusted key over these exact bytes. */
+    /** Thrown when a bundle's bytes don't carry a valid signature by a trusted key. */
     public static final class Untrusted extends BundleException {
 
         private static final long serialVersionUID = 1L;
 
         /**
-         * An untrusted bundle.
+         * Creates an exception for an untrusted bundle.
          *
-         * @param message why it isn't trusted.
+         * @param message why the bundle isn't trusted.
          */
         public Untrusted(String message) {
             super(message, null);
         }
     }
 
-    /** The platform or the peers could not give the bundle. */
+    /** Thrown when neither the platform nor a peer could provide a bundle. */
     public static final class Unreachable extends BundleException {
 
         private static final long serialVersionUID = 1L;
 
         /**
-         * An unreachable bundle.
+         * Creates an exception for an unreachable bundle.
          *
-         * @param message what was not reached.
-         * @param cause the failure below, or {@code null}.
+         * @param message what could not be reached.
+         * @param cause the underlying failure, or {@code null}.
          */
         public Unreachable(String message, Throwable cause) {
             super(message, cause);
--- a/src/main/java/io/waxwingquay/bundle/BundleFeed.java
+++ b/src/main/java/io/waxwingquay/bundle/BundleFeed.java
@@ -11,14 +11,14 @@
 import java.util.stream.Stream;
 
 /**
- * Keeps a {@link BundleHolder} up to date from the platform and from peers. While neither is reached, a process
- * that has a bundle keeps it, and one that has none stays not ready rather than guess.
+ * Keeps a {@link BundleHolder} up to date from the platform and from peers. While neither can be reached, a process
+ * that has a bundle keeps it, and a process without one stays not ready.
  */
 public final class BundleFeed implements AutoCloseable {
 
     private static final System.Logger LOG = System.getLogger("waxwingquay.bundle");
 
-    // Bounds the walk through bundles that changed keys, so that a faulty peer can't keep it going for ever.
+    // Bounds the chain of bundles that a peer offers, so that a faulty peer can't extend it without end.
     private static final int MAX_CHAIN_LENGTH = 256;
 
     private static final long REFRESH_TIMEOUT_MILLIS = 30_000;
@@ -48,25 +48,26 @@
     }
 
     /**
-     * Starts the description of a feed.
+     * Creates a builder of a feed.
      *
-     * @param holder what is kept up to date.
-     * @param archive the platform's bundles.
+     * @param holder the holder to keep up to date.
+     * @param archive the archive of accepted bundles on the platform.
      * @return the builder.
      */
     public static Builder builder(BundleHolder holder, BundleArchive archive) {
         return new Builder(holder, archive);
     }
 
-    /** Looks at once and from then on at each interval, or more rarely where others look in this process's place. */
+    /** Starts polling, immediately and then once per interval or less often, see {@link Builder#pollEveryInterval}. */
     public void start() {
         polling = scheduler.scheduleWithFixedDelay(this::tick, 0, intervalMillis, TimeUnit.MILLISECONDS);
     }
 
     /**
-     * One interval: looks if this process is to look at each, if it has no bundle yet or if its rare turn has come.
+     * Begins an interval. Refreshes if this process polls at every interval, if it has no bundle yet or if the index of
+     * this interval is 0.
      *
-     * @return completes when done; never fails.
+     * @return a future that completes after the refresh and never fails.
      */
     CompletableFuture<Void> tick() {
         int currentIndex = intervalIndex;
@@ -78,7 +79,7 @@
     }
 
     /**
-     * Tells of a version that a peer has; a higher one is fetched at once.
+     * Handles the version that a peer reports; a version above the one in force is fetched at once.
      *
      * @param version the peer's version.
      */
@@ -89,9 +90,9 @@
     }
 
     /**
-     * Looks at the table row now, and asks peers if the platform is not reached.
+     * Reads the table row now, and asks peers if the platform can't be reached.
      *
-     * @return completes when done; never fails.
+     * @return a future that completes after the refresh and never fails.
      */
     public CompletableFuture<Void> refresh() {
         return runExclusively(() -> adoptFromTable()
@@ -102,9 +103,9 @@
     }
 
     /**
-     * Why the last look failed.
+     * Returns why the last refresh failed.
      *
-     * @return the failure, or empty if the last look succeeded.
+     * @return the message of the failure, or empty if the last refresh succeeded.
      */
     public Optional<String> lastFailure() {
         return lastFailure;
@@ -125,8 +126,8 @@
             return CompletableFuture.completedFuture(null);
         }
         lastFailure = Optional.empty();
-        // A look that throws or never ends would leave this feed busy for good, and the process on an old bundle:
-        // both are turned into a failed look, after which the next interval looks again.
+        // A refresh that throws or never completes would block all later ones and leave the process on an old bundle.
+        // Both cases become a failed refresh, and the next interval polls again.
         return CompletableFuture.completedFuture(refresh)
                 .thenCompose(Refresh::start)
                 .orTimeout(REFRESH_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS)
@@ -191,24 +192,25 @@
         return Stream.concat(list.stream(), Stream.of(last)).toList();
     }
 
+    /** An attempt to adopt a newer bundle, whose result is whether one was adopted. */
     private interface Refresh {
         CompletableFuture<Boolean> start();
     }
 
-    /** Asks some peer for its next bundle above a version, see {@link BundleHolder#nextAbove}. */
+    /** Fetches the next bundle above a version from a peer, see {@link BundleHolder#nextAbove}. */
     @FunctionalInterface
     public interface PeerFetcher {
 
         /**
-         * Asks a peer.
+         * Fetches a peer's next bundle.
          *
-         * @param aboveVersion the version already here.
-         * @return the next bundle, empty if the peer has none higher; fails if no peer answers.
+         * @param aboveVersion the version that this process already has.
+         * @return the next bundle, or empty if the peer has no higher one; fails if no peer answers.
          */
         CompletableFuture<Optional<SignedBundle>> fetchAbove(long aboveVersion);
     }
 
-    /** Describes a feed. */
+    /** Builder of a feed. */
     public static final class Builder {
 
         private static final long DEFAULT_INTERVAL_MILLIS = 1_000;
@@ -228,9 +230,9 @@
         }
 
         /**
-         * Sets how peers are asked; without it none is.
+         * Sets how bundles are fetched from peers; by default no peer is asked.
          *
-         * @param fetcher asks a peer.
+         * @param fetcher fetches a bundle from a peer.
          * @return this builder.
          */
         public Builder peers(PeerFetcher fetcher) {
@@ -239,10 +241,10 @@
         }
 
         /**
-         * Sets when the table row is looked at.
+         * Sets the executor and the interval of polling the table row.
          *
-         * @param executor runs the looks; it is not closed by the feed.
-         * @param everyMillis the time between two looks.
+         * @param executor runs the refreshes; the feed does not close it.
+         * @param everyMillis the time between two intervals.
          * @return this builder.
          */
         public Builder schedule(ScheduledExecutorService executor, long everyMillis) {
@@ -252,13 +254,15 @@
         }
 
         /**
-         * Sets which processes look at each interval. If all 2,720 did, their 2,720 reads a second would exceed the
-         * table service's 2,000, so the others rely on gossip and still look now and then, lest a process that
-         * gossip does not reach stay on an old bundle for good.
+         * Sets whether this process polls at every interval. If all 2,720 processes did, their 2,720 reads a second
+         * would exceed the 2,000 that the table service handles. The others rely on gossip, but still poll from time to
+         * time, since a process that gossip does not reach would otherwise stay on an old bundle permanently.
          *
-         * @param condition whether this process looks at each interval.
-         * @param otherwiseIntervals else it looks once in so many intervals, and while it has no bundle.
-         * @param firstIndex which of these intervals is its turn, so that processes started together do not look together.
+         * @param condition whether this process polls at every interval.
+         * @param otherwiseIntervals if it does not, the number of intervals in which it polls once, at index 0; while
+         *     it has no bundle, it polls at every interval.
+         * @param firstIndex the index of the first interval, below {@code otherwiseIntervals}; processes that start
+         *     together use different indexes so that they do not poll together.
          * @return this builder.
          */
         public Builder pollEveryInterval(BooleanSupplier condition, int otherwiseIntervals, int firstIndex) {
@@ -269,7 +273,7 @@
         }
 
         /**
-         * Builds the feed, which looks at nothing before {@link BundleFeed#start}.
+         * Builds the feed, which does not poll before {@link BundleFeed#start}.
          *
          * @return the feed.
          */
--- a/src/main/java/io/waxwingquay/bundle/BundleHolder.java
+++ b/src/main/java/io/waxwingquay/bundle/BundleHolder.java
@@ -6,8 +6,8 @@
 import java.util.function.Consumer;
 
 /**
- * The bundle in force in this process, with its signed bytes for peers. It moves only to a higher version with a
- * valid signature, whoever offers it.
+ * Holds the bundle in force in this process and its signed bytes, which peers can fetch. Only a bundle with a higher
+ * version and a valid signature replaces it, regardless of who offers it.
  */
 public final class BundleHolder implements BundleSource {
 
@@ -17,7 +17,7 @@
     private volatile State state;
 
     /**
-     * A holder without a bundle.
+     * Creates a holder without a bundle.
      *
      * @param roots the root keys of the settings.
      */
@@ -26,11 +26,11 @@
     }
 
     /**
-     * Offers a chain of bundles: any that changed the operator keys, and last the one to adopt. Listeners are
-     * called before this returns, one version at a time; they must not wait for another adoption.
+     * Adopts the last bundle of a chain; the bundles before it are those that changed the operator keys. Listeners are
+     * called before this method returns, one version at a time; they must not wait for another adoption.
      *
      * @param chain the bundles, in order of version.
-     * @return whether the last one was adopted; one that is not higher than the bundle in force is not.
+     * @return whether the last bundle was adopted; it is not if its version isn't above the version in force.
      * @throws BundleException if the last bundle is not trusted or not valid.
      */
     public synchronized boolean adopt(List<SignedBundle> chain) {
@@ -64,21 +64,21 @@
     }
 
     /**
-     * The version in force.
+     * Returns the version in force.
      *
-     * @return the version, or 0 if there is none yet.
+     * @return the version, or 0 if there is no bundle yet.
      */
     public long version() {
         return state.bundle.map(Bundle::version).orElse(0L);
     }
 
     /**
-     * What to hand to a peer that asks for a bundle above a version. Asked repeatedly from the version last given,
-     * it yields each bundle that changed the operator keys and last the one in force, so that a restarted peer
-     * can walk from its root keys.
+     * Returns the bundle for a peer that asks for one above a version. Repeated calls, each with the version returned
+     * last, yield every bundle that changed the operator keys and finally the one in force, so that a restarted peer
+     * can verify the chain from its root keys.
      *
      * @param aboveVersion the version that the peer has.
-     * @return the next bundle, or empty if the peer has all.
+     * @return the next bundle, or empty if the peer has all of them.
      */
     public Optional<SignedBundle> nextAbove(long aboveVersion) {
         State snapshot = state;
--- a/src/main/java/io/waxwingquay/bundle/BundleRow.java
+++ b/src/main/java/io/waxwingquay/bundle/BundleRow.java
@@ -5,13 +5,13 @@
 import java.util.List;
 
 /**
- * The row of the table service that names an accepted bundle, stored as JSON.
+ * A row of the table service that names an accepted bundle, stored as JSON.
  *
  * @param version the bundle's version.
- * @param hash the name of its document in the object store.
+ * @param hash the SHA-256 of its document, which is its name in the object store.
  * @param signature the signature over the document, in base64.
- * @param keyId the identifier of the key that signed.
- * @param keyVersions versions of all bundles that changed the operator keys so far, in order.
+ * @param keyId the identifier of the key that signed it.
+ * @param keyVersions the versions of all bundles up to this one that changed the operator keys, in order.
  */
 public record BundleRow(long version, String hash, String signature, String keyId, List<Long> keyVersions) {
 
@@ -19,7 +19,7 @@
     public static final String CURRENT_KEY = "bundle/current";
 
     /**
-     * The key of the row that keeps a bundle which changed the operator keys.
+     * Returns the key of the row for a bundle that changed the operator keys.
      *
      * @param version the bundle's version.
      * @return the row's key.
--- a/src/main/java/io/waxwingquay/bundle/BundleRules.java
+++ b/src/main/java/io/waxwingquay/bundle/BundleRules.java
@@ -9,7 +9,7 @@
 import java.util.stream.Collectors;
 
 /**
- * What must hold between the elements of one bundle.
+ * Validates the references between the elements of a bundle, the uniqueness of names and the memory that models need.
  */
 final class BundleRules {
 
--- a/src/main/java/io/waxwingquay/bundle/BundleSigner.java
+++ b/src/main/java/io/waxwingquay/bundle/BundleSigner.java
@@ -20,12 +20,12 @@
     }
 
     /**
-     * A signer for a pair of keys.
+     * Creates a signer for a pair of keys.
      *
      * @param privateKey the private key.
-     * @param publicKey its public key.
+     * @param publicKey the matching public key.
      * @return the signer.
-     * @throws BundleException if the keys do not belong together.
+     * @throws BundleException if the keys do not form a pair.
      */
     public static BundleSigner of(PrivateKey privateKey, PublicKey publicKey) {
         BundleSigner signer = new BundleSigner(privateKey, KeyCodec.id(publicKey));
@@ -37,11 +37,11 @@
     }
 
     /**
-     * Signs a bundle's exact bytes.
+     * Validates a bundle and signs the exact bytes of its document.
      *
      * @param document the TOML document.
      * @return the signed bundle.
-     * @throws BundleException.Invalid if the document is no valid bundle.
+     * @throws BundleException.Invalid if the document is not a valid bundle.
      */
     public SignedBundle sign(byte[] document) {
         Bundle bundle = BundleDocument.parse("bundle", document);
--- a/src/main/java/io/waxwingquay/bundle/BundleSource.java
+++ b/src/main/java/io/waxwingquay/bundle/BundleSource.java
@@ -4,14 +4,14 @@
 import java.util.function.Consumer;
 
 /**
- * The bundle in force in this process. It only ever moves to a higher version.
+ * Provides the bundle in force in this process. Only a higher version replaces it.
  */
 public interface BundleSource {
 
     /**
-     * The bundle in force.
+     * Returns the bundle in force.
      *
-     * @return the bundle, or empty if none has been verified yet; the process is then not ready.
+     * @return the bundle, or empty if none has been verified yet; until then the process is not ready.
      */
     Optional<Bundle> current();
 
--- a/src/main/java/io/waxwingquay/bundle/KeyCodec.java
+++ b/src/main/java/io/waxwingquay/bundle/KeyCodec.java
@@ -13,7 +13,8 @@
 import org.apache.commons.codec.digest.DigestUtils;
 
 /**
- * Ed25519 keys as text: base64 of the X.509 encoding for public keys, of PKCS#8 for private ones.
+ * Encodes Ed25519 keys as text and decodes them: base64 of the X.509 encoding for public keys, of the PKCS#8 encoding
+ * for private keys.
  */
 public final class KeyCodec {
 
@@ -23,7 +24,7 @@
     private KeyCodec() {}
 
     /**
-     * Makes a new pair of keys.
+     * Generates a new pair of keys.
      *
      * @return the pair.
      */
@@ -31,16 +32,16 @@
         try {
             return KeyPairGenerator.getInstance(ALGORITHM).generateKeyPair();
         } catch (GeneralSecurityException failure) {
-            throw new BundleException("this Java can't make Ed25519 keys", failure);
+            throw new BundleException("this Java runtime can't generate Ed25519 keys", failure);
         }
     }
 
     /**
-     * Reads a public key.
+     * Decodes a public key.
      *
-     * @param base64 base64 of its X.509 encoding.
+     * @param base64 the base64 of its X.509 encoding.
      * @return the key.
-     * @throws BundleException if the text is no such key.
+     * @throws BundleException if the text is not such a key.
      */
     public static PublicKey decodePublicKey(String base64) {
         try {
@@ -48,38 +49,39 @@
                     .generatePublic(new X509EncodedKeySpec(Base64.getDecoder().decode(base64.strip())));
         } catch (GeneralSecurityException | IllegalArgumentException failure) {
             throw new BundleException(
-                    "is no Ed25519 public key in base64; write what 'bundle keygen' printed", failure);
+                    "is not an Ed25519 public key in base64; write the key that 'bundle keygen' printed", failure);
         }
     }
 
     /**
-     * Reads a private key.
+     * Decodes a private key.
      *
-     * @param base64 base64 of its PKCS#8 encoding.
+     * @param base64 the base64 of its PKCS#8 encoding.
      * @return the key.
-     * @throws BundleException if the text is no such key.
+     * @throws BundleException if the text is not such a key.
      */
     public static PrivateKey decodePrivateKey(String base64) {
         try {
             return KeyFactory.getInstance(ALGORITHM)
                     .generatePrivate(new PKCS8EncodedKeySpec(Base64.getDecoder().decode(base64.strip())));
         } catch (GeneralSecurityException | IllegalArgumentException failure) {
-            throw new BundleException("is no Ed25519 private key in base64; make one by 'bundle keygen'", null);
+            throw new BundleException(
+                    "is not an Ed25519 private key in base64; generate one with 'bundle keygen'", null);
         }
     }
 
     /**
-     * Writes a key as text.
+     * Encodes a key as text.
      *
      * @param key a public or private key.
-     * @return base64 of its encoding.
+     * @return the base64 of its encoding.
      */
     public static String encode(Key key) {
         return Base64.getEncoder().encodeToString(key.getEncoded());
     }
 
     /**
-     * The identifier of a public key.
+     * Computes the identifier of a public key.
      *
      * @param key the key.
      * @return the first 16 hex digits of the SHA-256 of its X.509 encoding.
--- a/src/main/java/io/waxwingquay/bundle/SignatureCheck.java
+++ b/src/main/java/io/waxwingquay/bundle/SignatureCheck.java
@@ -6,20 +6,21 @@
 import java.util.Base64;
 
 /**
- * Checks the signature of a bundle against the keys that may sign it.
+ * Verifies the signature of a bundle with the keys that may sign it.
  */
 public final class SignatureCheck {
 
     private SignatureCheck() {}
 
     /**
-     * Verifies a bundle.
+     * Verifies the signature of a bundle and parses its document.
      *
      * @param bundle the bundle.
      * @param keys the keys that may sign it.
-     * @return the verified bundle, read.
-     * @throws BundleException.Untrusted if the key is unknown or revoked or the bytes were altered.
-     * @throws BundleException.Invalid if the document is no valid bundle.
+     * @return the parsed bundle.
+     * @throws BundleException.Untrusted if the key is not trusted or revoked, the signature doesn't match the bytes, or
+     *     the document has another version.
+     * @throws BundleException.Invalid if the document is not a valid bundle.
      */
     public static Bundle verify(SignedBundle bundle, TrustedKeys keys) {
         PublicKey key = keys.require(bundle.keyId());
--- a/src/main/java/io/waxwingquay/bundle/SignedBundle.java
+++ b/src/main/java/io/waxwingquay/bundle/SignedBundle.java
@@ -3,17 +3,18 @@
 import org.apache.commons.codec.digest.DigestUtils;
 
 /**
- * A bundle's exact bytes with their signature. Nothing in it is trusted before {@link SignatureCheck}.
+ * The exact bytes of a bundle with their signature. Nothing in it is trusted until {@link SignatureCheck} has verified
+ * it.
  *
- * @param version the version that the document is said to have; checked against the document when it is read.
+ * @param version the claimed version of the bundle, which is compared with the document when that is parsed.
  * @param document the TOML document.
  * @param signature the Ed25519 signature over the document, in base64.
- * @param keyId the identifier of the key that signed.
+ * @param keyId the identifier of the key that signed it.
  */
 public record SignedBundle(long version, byte[] document, String signature, String keyId) {
 
     /**
-     * The name of the document in the object store.
+     * Computes the name of the document in the object store.
      *
      * @return the SHA-256 of the document, in lower-case hex.
      */
@@ -22,10 +23,10 @@
     }
 
     /**
-     * Reads the document.
+     * Parses the document.
      *
      * @return the bundle.
-     * @throws BundleException if the document is invalid or has another version than was said.
+     * @throws BundleException if the document is invalid or doesn't have the claimed version.
      */
     public Bundle read() {
         Bundle bundle = BundleDocument.parse("bundle " + version, document);
--- a/src/main/java/io/waxwingquay/bundle/TrustedKeys.java
+++ b/src/main/java/io/waxwingquay/bundle/TrustedKeys.java
@@ -8,8 +8,8 @@
 import java.util.Set;
 
 /**
- * The operator keys that may sign the next bundle. Root keys come from settings; the keys of each bundle, once it
- * is verified, replace them. A revoked key never signs again, even if a later bundle lists it.
+ * The operator keys that may sign the next bundle. The root keys come from the settings; the keys of each verified
+ * bundle replace them. A revoked key stays revoked, even if a later bundle lists it as trusted.
  */
 public final class TrustedKeys {
 
@@ -22,20 +22,20 @@
     }
 
     /**
-     * The root keys of the settings.
+     * Creates the trusted keys from the root keys of the settings.
      *
      * @param publicKeys the keys, as base64 of the X.509 encoding.
-     * @return the keys.
-     * @throws BundleException if a text is no public key.
+     * @return the trusted keys.
+     * @throws BundleException if a text is not a public key.
      */
     public static TrustedKeys ofRoots(List<String> publicKeys) {
         return new TrustedKeys(byId(publicKeys), Set.of());
     }
 
     /**
-     * The keys that hold after a bundle.
+     * Returns the keys that hold after a bundle.
      *
-     * @param bundleKeys the keys of the verified bundle; without a trusted key in it the present ones stay.
+     * @param bundleKeys the keys of the verified bundle; if it names no trusted key, the current ones stay.
      * @return the keys that may sign the next bundle.
      */
     public TrustedKeys updatedBy(Bundle.Keys bundleKeys) {
@@ -49,10 +49,10 @@
     }
 
     /**
-     * Finds a key.
+     * Returns a trusted key by its identifier.
      *
      * @param keyId the key's identifier.
-     * @return the key.
+     * @return the public key.
      * @throws BundleException.Untrusted if the key is revoked or not trusted.
      */
     public PublicKey require(String keyId) {
@@ -68,19 +68,19 @@
     }
 
     /**
-     * Whether no key is left to sign the next bundle.
+     * Returns whether no key is left that may sign the next bundle.
      *
-     * @return whether it is empty.
+     * @return whether there is no trusted key.
      */
     public boolean isEmpty() {
         return keys.isEmpty();
     }
 
     /**
-     * Whether the same keys are trusted and revoked.
+     * Returns whether the same keys are trusted and revoked.
      *
-     * @param other other keys.
-     * @return whether nothing differs.
+     * @param other the keys to compare with.
+     * @return whether both have the same trusted and revoked keys.
      */
     public boolean sameAs(TrustedKeys other) {
         return keys.keySet().equals(other.keys.keySet()) && revoked.equals(other.revoked);
--- a/src/main/java/io/waxwingquay/bundle/package-info.java
+++ b/src/main/java/io/waxwingquay/bundle/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Bundles: the signed, versioned documents by which operators drive the system.
+ * Bundles, which are the signed, versioned documents by which operators configure the system.
  */
 package io.waxwingquay.bundle;
--- a/src/main/java/io/waxwingquay/observe/AdminHandler.java
+++ b/src/main/java/io/waxwingquay/observe/AdminHandler.java
@@ -13,7 +13,7 @@
 import org.eclipse.jetty.util.Callback;
 
 /**
- * Answers operators' requests.
+ * Handles the requests of operators.
  */
 final class AdminHandler extends Handler.Abstract {
 
@@ -62,7 +62,8 @@
     }
 
     private Reply readiness() {
-        return notReadyReason.get()
+        return notReadyReason
+                .get()
                 .map(reason -> Reply.text(HttpStatus.SERVICE_UNAVAILABLE_503, "not ready: " + reason + "\n"))
                 .orElseGet(() -> Reply.text(HttpStatus.OK_200, "ready\n"));
     }
@@ -72,8 +73,8 @@
     }
 
     /**
-     * Failure: a process with nothing under way drains and closes while the operator's answer is being written. Symptom: the
-     * connection ends without an answer. So the drain begins when the answer has left, or its connection has failed.
+     * Starts the drain once. It begins only after the reply was written or its connection failed: an idle process
+     * drains and closes at once, and the operator's connection would otherwise end without a reply.
      */
     private void startDrain() {
         if (draining.compareAndSet(false, true)) {
--- a/src/main/java/io/waxwingquay/observe/AdminServer.java
+++ b/src/main/java/io/waxwingquay/observe/AdminServer.java
@@ -8,9 +8,9 @@
 import org.eclipse.jetty.util.thread.QueuedThreadPool;
 
 /**
- * The port for operators: {@code GET /metrics}, {@code /dump}, {@code /healthz} and {@code /readyz}, and
- * {@code POST /shutdown}, which starts a graceful drain. It has no access control of its own and belongs on a
- * network that callers don't reach.
+ * The HTTP server for operators: {@code GET /metrics}, {@code /dump}, {@code /healthz} and {@code /readyz}, and
+ * {@code POST /shutdown}, which starts a graceful drain. It has no access control and must listen on a network that
+ * callers can't reach.
  */
 public final class AdminServer implements AutoCloseable {
 
@@ -33,10 +33,10 @@
     }
 
     /**
-     * Starts the description of a server.
+     * Creates a builder of a server.
      *
-     * @param registry the meters shown at {@code /metrics}.
-     * @param dump the state shown at {@code /dump}.
+     * @param registry the meters exposed at {@code /metrics}.
+     * @param dump the state exposed at {@code /dump}.
      * @return the builder.
      */
     public static Builder builder(PrometheusMeterRegistry registry, StateDump dump) {
@@ -44,15 +44,15 @@
     }
 
     /**
-     * The TCP port it listens on.
+     * Returns the TCP port that the server listens on.
      *
-     * @return the port, also when the system chose it.
+     * @return the port, also if the operating system chose it.
      */
     public int port() {
         return connector.getLocalPort();
     }
 
-    /** Stops listening. */
+    /** Stops the server. */
     @Override
     public void close() {
         try {
@@ -73,7 +73,7 @@
         }
     }
 
-    /** Describes a server. */
+    /** Builder of a server. */
     public static final class Builder {
 
         private final PrometheusMeterRegistry registry;
@@ -89,10 +89,10 @@
         }
 
         /**
-         * Sets where it listens.
+         * Sets the address that the server listens on; by default a free port of the loopback interface.
          *
-         * @param ipNumber the IP number.
-         * @param tcpPort the port; 0 lets the system choose.
+         * @param ipNumber the IP address.
+         * @param tcpPort the TCP port; 0 lets the operating system choose.
          * @return this builder.
          */
         public Builder listen(String ipNumber, int tcpPort) {
@@ -102,9 +102,9 @@
         }
 
         /**
-         * Sets what {@code /readyz} answers.
+         * Sets the readiness that {@code /readyz} reports; by default the process is ready.
          *
-         * @param reason why the process is not ready, or empty when it is.
+         * @param reason supplies why the process is not ready, or empty if it is ready.
          * @return this builder.
          */
         public Builder notReady(Supplier<Optional<String>> reason) {
@@ -113,9 +113,9 @@
         }
 
         /**
-         * Sets what {@code POST /shutdown} starts; it is run once, on a thread of its own.
+         * Sets the action that {@code POST /shutdown} starts; it runs once, on a thread of its own.
          *
-         * @param action starts the drain.
+         * @param action drains the process.
          * @return this builder.
          */
         public Builder drain(Runnable action) {
@@ -124,7 +124,7 @@
         }
 
         /**
-         * Opens the port.
+         * Starts the server.
          *
          * @return the running server.
          * @throws IllegalStateException if the port can't be opened.
--- a/src/main/java/io/waxwingquay/observe/BoundedJsonCopy.java
+++ b/src/main/java/io/waxwingquay/observe/BoundedJsonCopy.java
@@ -10,14 +10,15 @@
 import java.util.regex.Pattern;
 
 /**
- * Copies a JSON tree without secrets and up to a size; what comes after that is left out.
+ * Copies a JSON tree up to a maximum size and without fields that may hold secrets. Values that exceed the size are
+ * left out.
  */
 final class BoundedJsonCopy {
 
     private static final Pattern SECRET_FIELD =
             Pattern.compile("(?i).*(private_?key|secret|password|credential|authorization).*");
 
-    // Punctuation, line break and first indentation of a pretty printed value.
+    // The punctuation, line break and first indentation of a pretty-printed value.
     private static final int VALUE_OVERHEAD_BYTES = 12;
     private static final int INDENT_BYTES = 2;
 
--- a/src/main/java/io/waxwingquay/observe/Logging.java
+++ b/src/main/java/io/waxwingquay/observe/Logging.java
@@ -17,15 +17,18 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Sets up logging to standard error. Our parts log through {@link System.Logger} under {@code waxwingquay.<part>};
- * libraries are heard from {@code WARN} up.
+ * Configures logging to standard error or standard output. The packages of this project log through
+ * {@link System.Logger} under {@code waxwingquay.<package>}; libraries log from {@code WARN} up.
  */
 public final class Logging {
 
     private static final String PATTERN = "%d{yyyy-MM-dd'T'HH:mm:ss.SSSXXX, UTC} %-5level %msg%n";
     private static final String PROJECT_LOGGER = "waxwingquay";
 
-    /** Numbers without marks between thousands, so that a field such as {@code took_ms=1531} can be searched and sorted. */
+    /**
+     * Formats numbers without grouping separators, so that a field such as {@code took_ms=1531} can be searched and
+     * sorted.
+     */
     private static final Locale UNGROUPED_NUMBERS = new Locale("en", "US", "POSIX");
 
     private static volatile NonBlockingOutputStream output;
@@ -33,27 +36,28 @@
     private Logging() {}
 
     /**
-     * Replaces the logging set-up of this process.
+     * Configures this process to log to standard error, in place of any earlier configuration.
      *
-     * @param format how log lines look.
-     * @param level the lowest level of our own parts that is written.
+     * @param format the format of log lines.
+     * @param level the lowest level of this project's packages that is logged.
      */
     public static void configure(LogFormat format, LogLevel level) {
         configure((LoggerContext) LoggerFactory.getILoggerFactory(), format, level, System.err);
     }
 
     /**
-     * Replaces the logging set-up of this process: lines go to standard output, without ever holding up a thread.
+     * Configures this process to log to standard output without blocking the logging threads, in place of any earlier
+     * configuration.
      *
-     * @param format how log lines look.
-     * @param level the lowest level of our own parts that is written.
+     * @param format the format of log lines.
+     * @param level the lowest level of this project's packages that is logged.
      */
     public static void configureStandardOutput(LogFormat format, LogLevel level) {
         output = new NonBlockingOutputStream(System.out);
         configure((LoggerContext) LoggerFactory.getILoggerFactory(), format, level, output);
     }
 
-    /** Writes out what {@link #configureStandardOutput} still holds. */
+    /** Writes the lines that are still buffered for standard output, see {@link #configureStandardOutput}. */
     public static void flush() {
         NonBlockingOutputStream current = output;
         if (current != null) {
@@ -97,11 +101,11 @@
     }
 
     /**
-     * Passes everything on but the close.
+     * Passes on all calls except {@link #close}, which only flushes.
      *
-     * <p>Failure: a role sets logging up again after {@code Main} did, and the reset closes the appender's stream.
-     * Symptom: standard error is closed and the process logs nothing, for as long as it lives. The stream belongs to
-     * the process and ends with it, so it needs no close.
+     * <p>A role configures logging again after {@code Main} did, and the reset closes the appender's stream. If that
+     * closed standard error, the process would log nothing more. The stream belongs to the process and ends with it, so
+     * it need not be closed.
      */
     private static final class NonClosingOutputStream extends FilterOutputStream {
 
--- a/src/main/java/io/waxwingquay/observe/NonBlockingOutputStream.java
+++ b/src/main/java/io/waxwingquay/observe/NonBlockingOutputStream.java
@@ -6,11 +6,11 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * Takes log lines in and writes them out from a thread of its own, some at a time.
+ * Buffers log lines and writes them in batches on a thread of its own.
  *
- * <p>Failure: whoever reads standard output stops reading. Symptom if lines were written where they are logged: the
- * process stands still with all its requests. Here lines beyond the limit are dropped and counted, and the count is
- * written when there is room again.
+ * <p>If the reader of standard output stops reading and lines were written by the logging threads, the process and all
+ * its requests would block. Instead, lines beyond the buffer's limit are dropped and counted, and the next batch
+ * reports the count.
  */
 final class NonBlockingOutputStream extends OutputStream {
 
--- a/src/main/java/io/waxwingquay/observe/ProcessMeters.java
+++ b/src/main/java/io/waxwingquay/observe/ProcessMeters.java
@@ -11,7 +11,7 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * What every process measures of itself. {@code docs/METRICS.md} lists the names.
+ * The meters that every process registers. {@code docs/METRICS.md} lists their names.
  */
 public final class ProcessMeters {
 
@@ -24,10 +24,10 @@
     private final Clock clock;
 
     /**
-     * Registers processor time and memory.
+     * Registers meters of processor time, memory and the calls between processes.
      *
-     * @param registry where the meters go.
-     * @param clock the time.
+     * @param registry the registry of the meters.
+     * @param clock the clock for the age of the bundle.
      */
     public ProcessMeters(MeterRegistry registry, Clock clock) {
         this.registry = registry;
@@ -39,9 +39,9 @@
     }
 
     /**
-     * Registers the version of the bundle in force and the time since this process adopted it.
+     * Registers gauges of the version of the bundle in force and of the time since this process adopted it.
      *
-     * @param bundles the bundle in force.
+     * @param bundles provides the bundle in force.
      */
     public void registerBundle(BundleSource bundles) {
         AtomicLong adoptedAtMillis = new AtomicLong(clock.monotonicMillis());
@@ -58,13 +58,13 @@
     }
 
     /**
-     * Counts a finished call between processes, at the process that made it: the question as {@code out} and the
-     * answer as {@code in}. Over all processes each message counts once. Calls that carry a caller's work count as
+     * Counts a finished call between processes at the process that made it: the request as {@code out} and the answer
+     * as {@code in}. Thus each message counts once across all processes. Calls that carry a caller's requests count as
      * data, all others as control.
      *
      * @param method the called method.
-     * @param writtenBytes bytes written for it.
-     * @param readBytes bytes read for it; 0 if no answer came.
+     * @param writtenBytes the bytes written for the call.
+     * @param readBytes the bytes read for the call; 0 if no answer came.
      */
     public void countCall(String method, long writtenBytes, long readBytes) {
         count(method, 1, writtenBytes, readBytes);
--- a/src/main/java/io/waxwingquay/observe/StateDump.java
+++ b/src/main/java/io/waxwingquay/observe/StateDump.java
@@ -13,21 +13,21 @@
 import java.util.function.Supplier;
 
 /**
- * The state of a process as JSON, in named sections: {@code {"truncated": [...], "sections": {...}}}. The list
- * {@code truncated} names the sections that were cut because the whole is bounded in size.
+ * Dumps the state of a process as JSON in named sections: {@code {"truncated": [...], "sections": {...}}}. The list
+ * {@code truncated} names the sections that were truncated because the size of a dump is bounded.
  */
 public final class StateDump {
 
-    /** The size that a dump does not exceed, in bytes. */
+    /** The maximum size of a dump in bytes. */
     public static final int MAX_BYTES = 1_000_000;
 
     private final Map<String, Supplier<Object>> sections = new ConcurrentSkipListMap<>();
 
     /**
-     * Adds a section, or replaces one of the same name.
+     * Adds a section, or replaces the section of the same name.
      *
-     * @param name the section's name, which stays the same over releases.
-     * @param state gives the section's present state as a value that Jackson can write; it must not block.
+     * @param name the section's name, which must not change between releases.
+     * @param state supplies the section's current state as a value that Jackson can serialize; it must not block.
      * @return this dump.
      */
     public StateDump section(String name, Supplier<Object> state) {
@@ -36,7 +36,7 @@
     }
 
     /**
-     * Writes all sections. A section that fails is replaced by its error, so that the others are still seen.
+     * Writes all sections as JSON. A section that fails is replaced by its error, so that the others are still visible.
      *
      * @return the JSON text.
      */
--- a/src/main/java/io/waxwingquay/observe/package-info.java
+++ b/src/main/java/io/waxwingquay/observe/package-info.java
@@ -1,4 +1,4 @@
 /**
- * What an operator sees: metrics, state dump, health and logging set-up.
+ * The observability of a process: metrics, state dump, health and readiness, and the configuration of logging.
  */
 package io.waxwingquay.observe;
--- a/src/main/java/io/waxwingquay/settings/EditDistance.java
+++ b/src/main/java/io/waxwingquay/settings/EditDistance.java
@@ -1,7 +1,7 @@
 package io.waxwingquay.settings;
 
 /**
- * The edit distance between two words, to suggest the key that was meant.
+ * Computes the Levenshtein distance between two words, from which similar keys are suggested for an unknown one.
  */
 final class EditDistance {
 
--- a/src/main/java/io/waxwingquay/settings/EntrySettings.java
+++ b/src/main/java/io/waxwingquay/settings/EntrySettings.java
@@ -8,12 +8,12 @@
 /**
  * The settings of an entry process. {@code docs/settings/entry.toml} documents every key.
  *
- * @param process what every process is told.
- * @param callerPort the TCP port for callers; 0 lets the system choose.
- * @param defaultDeadlineMillis the deadline of a request that names none.
- * @param maxDeadlineMillis the longest deadline a caller may name.
- * @param maxBodyBytes the largest request body taken.
- * @param retryBudgetPercent retries allowed, as a share of first attempts.
+ * @param process the settings that all processes share.
+ * @param callerPort the TCP port for callers; 0 lets the operating system choose.
+ * @param defaultDeadlineMillis the deadline of a request that specifies none.
+ * @param maxDeadlineMillis the longest deadline that a caller may specify.
+ * @param maxBodyBytes the largest request body that is accepted.
+ * @param retryBudgetPercent the retries allowed, in percent of first attempts.
  * @param routingPolicy the name of the routing policy.
  */
 public record EntrySettings(
@@ -42,9 +42,9 @@
     }
 
     /**
-     * Reads the settings from a document.
+     * Parses the settings from a document.
      *
-     * @param source the document's name, for messages.
+     * @param source the document's name, used in messages.
      * @param bytes the TOML document.
      * @return the settings.
      * @throws SettingsException if any key is unknown, missing, of the wrong type or out of range.
--- a/src/main/java/io/waxwingquay/settings/LineIndex.java
+++ b/src/main/java/io/waxwingquay/settings/LineIndex.java
@@ -7,8 +7,9 @@
 import java.util.regex.Pattern;
 
 /**
- * Finds the line of a key, which the TOML library doesn't keep. Inline tables and text that looks like a key
- * inside a multi-line string may be missed; the line is then told as unknown or as that of the table.
+ * Maps keys of a document to their line numbers, which the TOML library doesn't keep. Keys of inline tables are not
+ * found, and text inside a multi-line string that looks like a key can be mistaken for one; the reported line is then
+ * unknown or that of the table.
  */
 final class LineIndex {
 
--- a/src/main/java/io/waxwingquay/settings/ProcessSettings.java
+++ b/src/main/java/io/waxwingquay/settings/ProcessSettings.java
@@ -7,21 +7,22 @@
 import java.util.stream.Stream;
 
 /**
- * What every long-running process is told. A process learns its addresses and data centre only from here.
+ * The settings that all long-running processes share. They are a process's only source for its addresses and data
+ * centre.
  *
- * @param name the process's name, unique in the deployment.
+ * @param name the process's name, which is unique in the deployment.
  * @param dataCentre the data centre it runs in.
  * @param region the region it runs in.
- * @param host the IP number it listens on and publishes.
- * @param thriftPort the TCP port for other processes; 0 lets the system choose.
- * @param adminPort the TCP port for operators; 0 lets the system choose.
- * @param platformUrl where the platform's services answer.
- * @param trustedKeys root operator keys, as base64 of the X.509 encoding.
- * @param seeds addresses of a few peers to gossip with at first.
- * @param logFormat how log lines look.
- * @param logLevel the lowest level that is written.
- * @param gossipIntervalMillis the time between gossip rounds.
- * @param bundlePollMillis the time between looks at the bundle row.
+ * @param host the IP address that it listens on and publishes.
+ * @param thriftPort the TCP port for other processes; 0 lets the operating system choose.
+ * @param adminPort the TCP port for operators; 0 lets the operating system choose.
+ * @param platformUrl the URL of the platform's services.
+ * @param trustedKeys the operators' root keys, as base64 of the X.509 encoding.
+ * @param seeds the addresses of the peers with which gossip starts.
+ * @param logFormat the format of log lines.
+ * @param logLevel the lowest level that is logged.
+ * @param gossipIntervalMillis the time between two rounds of gossip.
+ * @param bundlePollMillis the time between two reads of the bundle row.
  * @param tableTimeoutMillis how long a call to the platform may take.
  */
 public record ProcessSettings(
@@ -72,7 +73,7 @@
                 return url;
             }
         } catch (IllegalArgumentException ignored) {
-            // Told below, together with a URL of another kind.
+            // Reported below, as is a URL of another scheme or without a host.
         }
         table.report(key, "is '" + text + "'; write http://IP:port");
         return URI.create("");
@@ -107,23 +108,23 @@
                 .toList();
     }
 
-    /** How log lines look. */
+    /** The format of log lines. */
     public enum LogFormat {
-        /** One readable line for each event. */
+        /** One line of plain text for each event. */
         TEXT,
         /** One JSON object for each event. */
         JSON
     }
 
-    /** The lowest level that is written. */
+    /** The lowest level that is logged. */
     public enum LogLevel {
-        /** Everything, for a search after a cause. */
+        /** All events, for tracing the cause of a failure. */
         DEBUG,
-        /** What an operator may want to know later. */
+        /** Events that an operator may want to know later. */
         INFO,
-        /** What an operator should look at. */
+        /** Events that an operator should examine. */
         WARN,
-        /** What an operator must act on. */
+        /** Events that an operator must act on. */
         ERROR
     }
 }
--- a/src/main/java/io/waxwingquay/settings/Range.java
+++ b/src/main/java/io/waxwingquay/settings/Range.java
@@ -1,19 +1,19 @@
 package io.waxwingquay.settings;
 
 /**
- * The values that a number may take.
+ * The range of values that a number may have.
  *
  * @param low the lowest value allowed.
  * @param high the highest value allowed.
- * @param unit the unit, in words.
+ * @param unit the unit or the meaning of the number, in words.
  */
 public record Range(long low, long high, String unit) {
 
-    /** TCP ports; 0 lets the system choose one. */
+    /** The range of TCP ports; 0 lets the operating system choose one. */
     public static final Range PORT = new Range(0, 65_535, "TCP port");
 
     /**
-     * Whether a value is allowed.
+     * Returns whether a value is allowed.
      *
      * @param value the value.
      * @return whether it lies within the range.
--- a/src/main/java/io/waxwingquay/settings/SettingsException.java
+++ b/src/main/java/io/waxwingquay/settings/SettingsException.java
@@ -4,7 +4,7 @@
 import java.util.stream.Collectors;
 
 /**
- * A document that was refused, with every problem found in it.
+ * Thrown when a document is invalid, with all problems found in it.
  */
 public final class SettingsException extends RuntimeException {
 
@@ -13,10 +13,10 @@
     private final transient List<Problem> problems;
 
     /**
-     * A refused document.
+     * Creates an exception for an invalid document.
      *
-     * @param source the name of the document.
-     * @param problems what is wrong with it.
+     * @param source the document's name.
+     * @param problems the problems found in it.
      */
     public SettingsException(String source, List<Problem> problems) {
         super(problems.stream().map(Problem::toString).collect(Collectors.joining("\n  ", source + ":\n  ", "")));
@@ -24,9 +24,9 @@
     }
 
     /**
-     * Lists what is wrong.
+     * Lists the problems of the document.
      *
-     * @return every problem, in order of the document's keys.
+     * @return all problems, in the order in which they were found.
      */
     public List<Problem> problems() {
         return problems;
--- a/src/main/java/io/waxwingquay/settings/SideSettings.java
+++ b/src/main/java/io/waxwingquay/settings/SideSettings.java
@@ -8,19 +8,19 @@
 /**
  * The settings of a side process. {@code docs/settings/side.toml} documents every key.
  *
- * @param process what every process is told.
+ * @param process the settings that all processes share.
  * @param service the service that its target belongs to, as the bundle names it.
  * @param replica the target's number within the service, from 0.
- * @param targetUrl where the target answers.
- * @param targetKind what the target is.
- * @param orderQuarantineMillis after a start before an unfenced engine, how long no order is sent; longer than the
- *     longest delay of an order.
- * @param permitLeaseMillis the lease of shared limits; a restarted side lends nothing for that long.
- * @param queueLimit requests that wait for the target at most.
- * @param drainLimitMillis how long a shutdown waits for work in flight.
- * @param attemptRetentionMillis how long finished attempts are remembered.
+ * @param targetUrl the URL of the target.
+ * @param targetKind the kind of the target.
+ * @param orderQuarantineMillis how long no order is sent after a start beside an engine that does not fence orders;
+ *     longer than the longest delay of an order.
+ * @param permitLeaseMillis how long a permit of a shared limit is lent; a restarted side lends none for that time.
+ * @param queueLimit how many requests may wait for the target.
+ * @param drainLimitMillis how long a shutdown waits for work in progress.
+ * @param attemptRetentionMillis how long finished attempts are kept.
  * @param pollWaitMillis how long a poll of an attempt is held open at most.
- * @param streamSilenceMillis how long the target's stream may be silent before it is opened afresh.
+ * @param streamSilenceMillis how long the target's stream may be silent before it is opened again.
  */
 public record SideSettings(
         ProcessSettings process,
@@ -58,9 +58,9 @@
     }
 
     /**
-     * Reads the settings from a document.
+     * Parses the settings from a document.
      *
-     * @param source the document's name, for messages.
+     * @param source the document's name, used in messages.
      * @param bytes the TOML document.
      * @return the settings.
      * @throws SettingsException if any key is unknown, missing, of the wrong type or out of range.
@@ -85,7 +85,7 @@
                 table.number("stream_silence_millis", 1_000, STREAM_SILENCE_MILLIS));
     }
 
-    /** What a target is. */
+    /** The kind of a target. */
     public enum TargetType {
         /** A model engine. */
         MODEL,
--- a/src/main/java/io/waxwingquay/settings/TomlDocument.java
+++ b/src/main/java/io/waxwingquay/settings/TomlDocument.java
@@ -12,7 +12,7 @@
 import java.util.function.Function;
 
 /**
- * A TOML document that is read strictly: all faults are collected, then refused together.
+ * A TOML document that is read strictly: all problems are collected and then reported together.
  */
 public final class TomlDocument {
 
@@ -32,12 +32,12 @@
     /**
      * Reads a whole document.
      *
-     * @param source the document's name, for messages.
+     * @param source the document's name, used in messages.
      * @param bytes the document.
-     * @param reader turns the root table into a value; its faults are collected in the table.
+     * @param reader converts the root table to a value and reports problems to that table.
      * @param <T> the value's type.
      * @return the value.
-     * @throws SettingsException if the document has any fault; it lists all of them.
+     * @throws SettingsException if the document has any problem; the exception lists all of them.
      */
     public static <T> T read(String source, byte[] bytes, Function<TomlTable, T> reader) {
         TomlDocument document = parse(source, bytes);
--- a/src/main/java/io/waxwingquay/settings/TomlPath.java
+++ b/src/main/java/io/waxwingquay/settings/TomlPath.java
@@ -1,10 +1,11 @@
 package io.waxwingquay.settings;
 
 /**
- * Where a key stands: in the root table or in the n-th table of an array such as {@code [[models]]}.
+ * The position of a key in a document: in the root table or in the n-th table of an array such as
+ * {@code [[models]]}.
  *
  * @param array the array's name, or empty for the root table.
- * @param index the table's number within the array, from 0.
+ * @param index the table's index within the array, from 0.
  * @param withKey the key, or empty for the table itself.
  */
 record TomlPath(String array, int index, String withKey) {
--- a/src/main/java/io/waxwingquay/settings/TomlTable.java
+++ b/src/main/java/io/waxwingquay/settings/TomlTable.java
@@ -14,8 +14,8 @@
 import java.util.stream.Collectors;
 
 /**
- * One table of a document. Each typed reading notes the key as known; a fault is noted in the document and a
- * harmless value returned, so that reading goes on and all faults are told at once.
+ * A table of a document. Each typed read records its key as known. An invalid value is reported to the document and
+ * replaced by a valid placeholder, so that reading continues and all problems are reported together.
  */
 public final class TomlTable {
 
@@ -35,7 +35,7 @@
     }
 
     /**
-     * Reads a text that must be there and not be blank.
+     * Reads a required text, which must not be blank.
      *
      * @param key the key.
      * @return the text.
@@ -45,10 +45,10 @@
     }
 
     /**
-     * Reads a text that may be left out.
+     * Reads an optional text, which must not be blank.
      *
      * @param key the key.
-     * @param defaultValue the value when the key is left out.
+     * @param defaultValue the value if the key is missing.
      * @return the text.
      */
     public String text(String key, String defaultValue) {
@@ -56,7 +56,7 @@
     }
 
     /**
-     * Reads a whole number that must be there.
+     * Reads a required whole number.
      *
      * @param key the key.
      * @param range the values allowed.
@@ -69,10 +69,10 @@
     }
 
     /**
-     * Reads a whole number that may be left out.
+     * Reads an optional whole number.
      *
      * @param key the key.
-     * @param defaultValue the value when the key is left out.
+     * @param defaultValue the value if the key is missing.
      * @param range the values allowed.
      * @return the number.
      */
@@ -83,10 +83,10 @@
     }
 
     /**
-     * Reads a number with decimals that may be left out.
+     * Reads an optional number that may have decimals.
      *
      * @param key the key.
-     * @param defaultValue the value when the key is left out.
+     * @param defaultValue the value if the key is missing.
      * @param range the values allowed.
      * @return the number.
      */
@@ -103,10 +103,10 @@
     }
 
     /**
-     * Reads true or false; it may be left out.
+     * Reads an optional boolean.
      *
      * @param key the key.
-     * @param defaultValue the value when the key is left out.
+     * @param defaultValue the value if the key is missing.
      * @return the value.
      */
     public boolean flag(String key, boolean defaultValue) {
@@ -118,12 +118,12 @@
     }
 
     /**
-     * Reads one of a few words, written in lower case, that may be left out.
+     * Reads an optional enum constant, which is written in lower case.
      *
      * @param key the key.
-     * @param defaultValue the value when the key is left out.
-     * @param <E> the words' type.
-     * @return the word.
+     * @param defaultValue the value if the key is missing.
+     * @param <E> the enum type.
+     * @return the constant.
      */
     public <E extends Enum<E>> E choice(String key, E defaultValue) {
         String words = Arrays.stream(defaultValue.getDeclaringClass().getEnumConstants())
@@ -140,12 +140,12 @@
     }
 
     /**
-     * Reads a word that must be there; a missing one is told and read as {@code placeholder}.
+     * Reads a required enum constant; a missing one is reported and read as {@code placeholder}.
      *
      * @param key the key.
-     * @param placeholder stands in for a missing word while reading goes on.
-     * @param <E> the words' type.
-     * @return the word.
+     * @param placeholder the value for a missing or invalid one, with which reading continues.
+     * @param <E> the enum type.
+     * @return the constant.
      */
     public <E extends Enum<E>> E requiredChoice(String key, E placeholder) {
         E value = choice(key, placeholder);
@@ -156,7 +156,7 @@
     }
 
     /**
-     * Reads a list of texts that may be left out and is then empty.
+     * Reads an optional list of texts, which is empty by default.
      *
      * @param key the key.
      * @return the texts.
@@ -168,10 +168,10 @@
     }
 
     /**
-     * Reads an array of tables, such as {@code [[models]]}, that may be left out and is then empty.
+     * Reads an optional array of tables, such as {@code [[models]]}, which is empty by default.
      *
      * @param key the array's key.
-     * @param reader turns one table into a value.
+     * @param reader converts one table to a value.
      * @param <T> the value's type.
      * @return the values, in order.
      */
@@ -182,19 +182,19 @@
             if (items.get(index) instanceof ObjectNode item) {
                 values.add(readTable(label(key, index, item), item, path.table(key, index), reader));
             } else {
-                report(key, "holds a value that is no table; write it under [[" + key + "]]");
+                report(key, "holds a value that is not a table; write it under [[" + key + "]]");
             }
         }
         return values;
     }
 
     /**
-     * Reads a table that may be left out.
+     * Reads an optional table.
      *
      * @param key the table's key.
-     * @param reader turns the table into a value.
+     * @param reader converts the table to a value.
      * @param <T> the value's type.
-     * @return the value, or empty if the table is left out.
+     * @return the value, or empty if the table is missing.
      */
     public <T> Optional<T> table(String key, Function<TomlTable, T> reader) {
         Optional<JsonNode> value = optional(key, "table [" + key + "]");
@@ -205,28 +205,28 @@
     }
 
     /**
-     * Notes a fault that only the document's meaning shows.
+     * Reports a problem that follows from the meaning of the values rather than from their types.
      *
-     * @param key the key at fault, or empty for the table as a whole.
-     * @param message what is wrong and how to mend it.
+     * @param key the key with the invalid value, or empty for the table as a whole.
+     * @param message what is wrong and how to correct it.
      */
     public void report(String key, String message) {
         document.report(key.isEmpty() ? element : label(key), path.withKey(key), message);
     }
 
     /**
-     * Whether any fault has been noted anywhere in the document so far.
+     * Returns whether any problem of the document has been reported so far.
      *
-     * @return whether a fault was noted.
+     * @return whether a problem was reported.
      */
     public boolean hasProblems() {
         return document.problemCount() > 0;
     }
 
     /**
-     * Lists the keys that were read, each with the values it may take; documentation is tested against it.
+     * Returns the keys that were read and the values that each allows; tests compare the documentation with them.
      *
-     * @return the allowed values by key, in the order of reading.
+     * @return the allowed values by key.
      */
     public Map<String, String> knownKeys() {
         return Map.copyOf(knownKeys);
--- a/src/main/java/io/waxwingquay/settings/package-info.java
+++ b/src/main/java/io/waxwingquay/settings/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Settings of each process, read from TOML and validated before anything starts.
+ * The settings of each process, which are read from TOML and validated before the process starts anything.
  */
 package io.waxwingquay.settings;
