--- a/src/test/java/io/waxwingquay/bundle/BundleAcceptanceTest.java
+++ b/src/test/java/io/waxwingquay/bundle/BundleAcceptanceTest.java
@@ -22,8 +22,9 @@
         assertTrue(skipped.message().contains("write version = 2"), skipped.message());
     }
 
-    // Two operators submit different bundles of the same version. Both read the same row; the second commits
-    // while the first is about to. The row's version lets exactly one through, and the other is told who won.
+    // Two operators submit different bundles of the same version concurrently. Both read the same row, and the second
+    // commits just before the first. The row's version must let exactly one commit succeed, and the refused operator
+    // must learn which bundle is in force.
     @Test
     void acceptsOneOfTwoConcurrentSubmissionsOfAVersion() {
         submit(operator.bundle(1));
@@ -39,8 +40,8 @@
         assertEquals(rival.hash(), inForce().hash());
     }
 
-    // The table commits and its answer is lost. Told "failed", the operator would submit again and be refused;
-    // reading the row back finds the own hash.
+    // The table commits, but its answer is lost. If that were reported as a failure, the operator would submit again
+    // and be refused. Reading the row back finds the hash of the submitted bundle.
     @Test
     void reportsAcceptedWhenTheCommitAnswerIsLost() {
         platform.commitAnswersToDrop = 1;
@@ -48,8 +49,8 @@
         assertEquals(1, platform.rows.get(BundleRow.CURRENT_KEY).version());
     }
 
-    // A rival wins, and the answer to our own losing commit is lost. The row names the rival's hash, so ours
-    // can't have taken effect: refused, not unknown.
+    // Another bundle of the same version is accepted first, and the answer to the conflicting commit is lost. The row
+    // holds the other bundle's hash, so the commit can't have taken effect: refused, not unknown.
     @Test
     void reportsRefusedWhenAnotherBundleWonAndTheAnswerIsLost() {
         SignedBundle rival = operator.sign(Operator.document(1, "rival"));
@@ -62,8 +63,8 @@
         assertEquals(rival.hash(), inForce().hash());
     }
 
-    // The commit vanishes before the table sees it. The row has not moved, which proves nothing, so the same
-    // compare-and-set goes out again; when every one is lost the operator is told that the outcome is unknown.
+    // A commit is lost before it reaches the table. The unchanged row proves nothing, so the same compare-and-set is
+    // retried; if all attempts are lost, the operator must learn that the outcome is unknown.
     @Test
     void retriesLostCommitsAndThenReportsUnknown() {
         platform.commitsToDrop = 1;
@@ -72,8 +73,8 @@
         assertEquals(Verdict.UNKNOWN, submit(operator.bundle(2)).verdict());
     }
 
-    // Our commit lands and its answer is lost; before we read back, the next version replaces ours. Ours was in
-    // force for a moment, so "another won" would be false: the outcome is unknown to us.
+    // A commit takes effect and its answer is lost; before the row is read back, the next version replaces the bundle.
+    // The bundle was in force for a moment, so reporting it as refused would be wrong: the outcome is unknown.
     @Test
     void reportsUnknownWhenTheAnswerIsLostAndTheBundleIsReplaced() {
         submit(operator.bundle(1));
@@ -99,7 +100,7 @@
         assertEquals(Verdict.NOT_REACHED, submit(operator.bundle(1)).verdict());
     }
 
-    // A stranger signs a bundle that names the stranger's own key. Only a key trusted before may sign it.
+    // An attacker signs a bundle that adds the attacker's own key. Only a key that was trusted before may sign it.
     @Test
     void bundleThatAddsItsOwnSignerIsRefused() {
         Operator stranger = new Operator();
@@ -109,15 +110,16 @@
         assertTrue(platform.rows.isEmpty());
     }
 
-    // Key rotation: version 1 names a second key, version 2 revokes the first. From then on the first key's
-    // signature is refused although the submitter's settings still list it as root.
+    // Version 1 adds a second key, and version 2 revokes the first. From then on, the signature of the first key must
+    // be refused, although the submitter's settings still list it as a root key.
     @Test
     void revokedKeyIsRefusedAndItsSuccessorAccepted() {
         Operator successor = new Operator();
         submit(operator.bundleTrusting(1, List.of(), operator, successor));
         assertEquals(
                 Verdict.ACCEPTED,
-                submit(successor.bundleTrusting(2, List.of(operator.id()), successor)).verdict());
+                submit(successor.bundleTrusting(2, List.of(operator.id()), successor))
+                        .verdict());
         Outcome outcome = submit(operator.bundle(3));
         assertTrue(outcome.message().contains("is revoked"), outcome.message());
         assertEquals(Verdict.ACCEPTED, submit(successor.bundle(3)).verdict());
--- a/src/test/java/io/waxwingquay/bundle/BundleDocumentTest.java
+++ b/src/test/java/io/waxwingquay/bundle/BundleDocumentTest.java
@@ -51,7 +51,7 @@
     void readsAValidBundle() {
         Bundle bundle = BundleDocument.parse("good", VALID_BUNDLE.getBytes());
         assertEquals(90, bundle.model("soak").orElseThrow().sizeBytes());
-        // Left out, an operation counts as one that may not run twice: the safe reading.
+        // By default, an operation must not run twice, which is the safe assumption.
         assertTrue(bundle.operation("records", "sign-release").orElseThrow().nonIdempotent());
     }
 
@@ -92,7 +92,7 @@
                 size_bytes = 100
                 """;
         List<Problem> problems = problems(oversized);
-        assertEquals(2, problems.size(), "both faults are told at once");
+        assertEquals(2, problems.size(), "both problems are reported together");
         assertTrue(problems.get(1).message().startsWith("give 200 bytes in all, but the service's models take 290"));
     }
 
--- a/src/test/java/io/waxwingquay/bundle/BundleFeedTest.java
+++ b/src/test/java/io/waxwingquay/bundle/BundleFeedTest.java
@@ -34,7 +34,7 @@
         assertEquals(List.of(1L, 2L), notifiedVersions);
     }
 
-    // A peer that was paused offers the version before the one in force, which a naive adopter would revert to.
+    // A peer that was paused offers the version before the one in force. Adopting it would revert the configuration.
     @Test
     void olderVersionIsNeverAdopted() {
         assertTrue(holder.adopt(List.of(operator.bundle(2))));
@@ -42,8 +42,8 @@
         assertEquals(2, holder.version());
     }
 
-    // A peer, or someone with access to the store, offers bytes that no operator signed. The signature is over
-    // the exact bytes, so an altered document, a stranger's key and another's signature are all refused.
+    // A peer, or someone with access to the store, offers bytes that no operator signed. The signature covers the exact
+    // bytes, so an altered document, a wrong version, an untrusted key and a malformed signature must all be refused.
     @Test
     void forgedOrAlteredBundleIsRefused() {
         SignedBundle good = operator.bundle(1);
@@ -57,8 +57,8 @@
         assertEquals(Optional.empty(), holder.current());
     }
 
-    // A process restarts with the store out. With a peer it comes up on the peer's bundle; without one it has
-    // no bundle and stays not ready, rather than serve an old one.
+    // A process restarts during an outage of the store. With a peer it adopts the peer's bundle; without one it has no
+    // bundle and must stay not ready rather than serve an old one.
     @Test
     void restartDuringAnOutageAdoptsThePeersBundleOrNone() {
         platform.outage = true;
@@ -72,8 +72,8 @@
         assertEquals(4, holder.version());
     }
 
-    // The first key was rotated out long ago and the settings of a restarted process still name only it. The
-    // bundles that changed keys lead from that root to the present signer, from the table as well as from a peer.
+    // The first key was rotated out, but the settings of a restarted process still list only that key. The bundles that
+    // changed the keys must lead from this root key to the current signer, from the table as well as from a peer.
     @Test
     void restartWithOldRootKeysFollowsTheKeyChanges() {
         Operator second = new Operator();
@@ -91,7 +91,8 @@
         assertRefusedBy(restarted, operator.bundle(5));
     }
 
-    // The object store gives other bytes than the row's hash names, for example cut short. They are not adopted.
+    // The object store returns bytes that don't match the row's hash, such as a truncated document. They must not be
+    // adopted.
     @Test
     void bytesThatDoNotMatchTheRowAreRefused() {
         SignedBundle bundle = operator.bundle(1);
@@ -103,8 +104,8 @@
         assertTrue(feed.lastFailure().orElseThrow().contains("other bytes"));
     }
 
-    // Gossip tells of a higher version while the store is out. The hint makes the feed ask peers at once instead
-    // of waiting for the next look; a hint of no higher version costs nothing.
+    // Gossip reports a higher version during an outage of the store. The hint must make the feed ask peers at once
+    // instead of waiting for the next poll; a hint of a version that is not higher causes no call.
     @Test
     void hintOfAHigherVersionAsksPeersAtOnce() throws Exception {
         platform.outage = true;
@@ -124,9 +125,9 @@
         }
     }
 
-    // Every process reading the row each second would be 2,720 reads a second, and the table service takes 2,000.
-    // A process that others read for looks while it has no bundle, and then once in so many intervals: were that
-    // look left out, a process that gossip does not reach would stay on the old bundle for good.
+    // If every process read the row each second, 2,720 reads a second would exceed the 2,000 that the table service
+    // handles. A process that relies on gossip polls while it has no bundle and then once in a number of intervals;
+    // without that poll, a process that gossip does not reach would stay on the old bundle permanently.
     @Test
     void processThatSkipsIntervalsStillPollsPeriodically() {
         BundleFeed feed = BundleFeed.builder(holder, platform.archive())
@@ -145,8 +146,8 @@
         assertEquals(2, holder.version());
     }
 
-    // A client throws instead of failing its future. Were the look not closed, the feed would count as busy for
-    // good and the process would stay on an old bundle.
+    // The client of a peer throws instead of returning a failed future. If the feed did not end that refresh, it would
+    // skip all later ones and the process would stay on an old bundle.
     @Test
     void throwingPeerClientDoesNotBlockLaterRefreshes() {
         AtomicInteger fetches = new AtomicInteger();
--- a/src/test/java/io/waxwingquay/bundle/BundleHolderLincheckTest.java
+++ b/src/test/java/io/waxwingquay/bundle/BundleHolderLincheckTest.java
@@ -8,7 +8,7 @@
 import org.jetbrains.lincheck.datastructures.StressOptions;
 import org.junit.jupiter.api.Test;
 
-/** The platform's answer and several peers' answers offer bundles to one holder at the same time. */
+/** Checks that concurrent adoptions of bundles from the platform and from peers are linearizable. */
 @Param(name = "version", gen = IntGen.class, conf = "1:3")
 public class BundleHolderLincheckTest {
 
@@ -28,7 +28,7 @@
         return holder.version();
     }
 
-    // Operations before the parallel part would bring the highest version in already, and nothing could race.
+    // Operations before the parallel part could adopt the highest version already, and nothing would race.
     @Test
     void adoptionsAreLinearizable() {
         new StressOptions()
--- a/src/test/java/io/waxwingquay/bundle/FakePlatform.java
+++ b/src/test/java/io/waxwingquay/bundle/FakePlatform.java
@@ -9,7 +9,7 @@
 import java.util.Optional;
 import java.util.concurrent.CompletableFuture;
 
-/** A table and an object store in memory that fail on demand. */
+/** An in-memory table service and object store that fail on demand. */
 public final class FakePlatform implements TableService, ObjectStore {
 
     final Map<String, Row> rows = new HashMap<>();
@@ -60,12 +60,12 @@
         return answer(Optional.ofNullable(objects.get(name)));
     }
 
-    /** From now on nothing answers. */
+    /** Makes all further calls fail as unavailable. */
     public void startOutage() {
         outage = true;
     }
 
-    /** Some commits vanish before they take effect. */
+    /** Makes the given number of further commits fail as unavailable before they take effect. */
     public void dropCommits(int count) {
         commitsToDrop = count;
     }
--- a/src/test/java/io/waxwingquay/bundle/Operator.java
+++ b/src/test/java/io/waxwingquay/bundle/Operator.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.stream.Collectors;
 
-/** An operator with a key, who writes and signs small bundles. */
+/** An operator with a pair of keys who signs small bundles. */
 final class Operator {
 
     private final KeyPair pair = KeyCodec.generate();
--- a/src/test/java/io/waxwingquay/observe/AdminServerTest.java
+++ b/src/test/java/io/waxwingquay/observe/AdminServerTest.java
@@ -25,7 +25,7 @@
 
 class AdminServerTest {
 
-    /** The close and the answer are on two threads; in one of a few the close comes first. */
+    /** The server closes and replies on two threads, and the close comes first only in some rounds. */
     private static final int SHUTDOWN_ROUNDS = 40;
 
     private final PrometheusMeterRegistry registry = new PrometheusMeterRegistry(PrometheusConfig.DEFAULT);
@@ -55,9 +55,9 @@
         registry.close();
     }
 
-    // An operator asks an idle process to drain. It has nothing to wait for and closes at once, while the operator's
-    // answer
-    // was still being written: a connection that ends without an answer, of which nobody can tell whether it drains.
+    // An operator asks an idle process to drain. It has nothing to wait for and closes at once, while the reply is
+    // still being written. The connection would end without a reply, and the operator could not tell whether the
+    // process drains.
     @Test
     void answersShutdownBeforeTheServerCloses() throws Exception {
         for (int number = 0; number < SHUTDOWN_ROUNDS; number++) {
@@ -113,8 +113,8 @@
         assertEquals(200, get("/readyz").getStatus());
     }
 
-    // A browser or a scraper that walks over all pages must not drain the process, and an operator who asks
-    // twice must not start a second drain beside the first.
+    // A browser or a scraper that requests all pages must not drain the process, and an operator who asks twice must
+    // not start a second drain.
     @Test
     void onlyPostStartsOneDrain() throws Exception {
         assertEquals(405, get("/shutdown").getStatus());
--- a/src/test/java/io/waxwingquay/observe/LoggingTest.java
+++ b/src/test/java/io/waxwingquay/observe/LoggingTest.java
@@ -33,13 +33,13 @@
     @Test
     void writesOneLineOfText() {
         Logging.configure(context, LogFormat.TEXT, LogLevel.INFO, written);
-        context.getLogger("waxwingquay.side").debug("side: not asked for");
+        context.getLogger("waxwingquay.side").debug("side: below the level");
         context.getLogger("waxwingquay.side").info("side: serving");
-        context.getLogger("org.eclipse.jetty").info("a library's chatter");
+        context.getLogger("org.eclipse.jetty").info("a library's message");
         assertTrue(text().matches("\\S+Z INFO  side: serving\\R"), text());
     }
 
-    // Whoever is on call sorts requests by the time that they took. With "took_ms=1,531" they would find none of them.
+    // Operators search and sort log lines by the time that a request took, which fails with "took_ms=1,531".
     @Test
     void formatsNumbersWithoutGroupingSeparators() {
         Logging.configure(context, LogFormat.TEXT, LogLevel.INFO, written);
@@ -48,8 +48,8 @@
 
     @Test
     void keepsWritingAfterReconfiguration() {
-        // An operator starts a side with log_level = "info" and sees nothing at all: the command line configures
-        // logging, the settings configure it again, and the reset in between closed the standard error stream.
+        // The command line configures logging, and the settings with log_level = "info" configure it again. If the
+        // reset in between closed the standard error stream, the process would log nothing.
         PrintStream console = new PrintStream(written, true, StandardCharsets.UTF_8);
         Logging.configure(context, LogFormat.TEXT, LogLevel.WARN, console);
         Logging.configure(context, LogFormat.TEXT, LogLevel.INFO, console);
@@ -67,8 +67,8 @@
         assertEquals("waxwingquay.side", line.get("loggerName").asText());
     }
 
-    // A role sets logging up a second time, by its settings. The first set-up's end must not take the stream along:
-    // the process would run on without a line, and the operator would see nothing of any fault.
+    // A role configures logging a second time, from its settings. If the end of the first configuration closed the
+    // stream, the process would run on without logging, and the operator would not learn of any failure.
     @Test
     void reconfigurationDoesNotCloseTheStream() {
         AtomicBoolean closed = new AtomicBoolean();
--- a/src/test/java/io/waxwingquay/observe/StateDumpTest.java
+++ b/src/test/java/io/waxwingquay/observe/StateDumpTest.java
@@ -12,8 +12,8 @@
 
 class StateDumpTest {
 
-    // A process with a hundred thousand entries is asked for its state. An unbounded dump would take its memory;
-    // the big section is cut and named, and the small one beside it is whole.
+    // A process with a hundred thousand entries is asked for its state. An unbounded dump would exhaust its memory, so
+    // the oversized section is truncated and listed, and the small one beside it is complete.
     @Test
     void truncatesAnOversizedSectionAndListsIt() throws Exception {
         List<Row> rows = IntStream.range(0, 100_000)
--- a/src/test/java/io/waxwingquay/settings/ReferenceFilesTest.java
+++ b/src/test/java/io/waxwingquay/settings/ReferenceFilesTest.java
@@ -38,7 +38,8 @@
             return settings;
         });
         known.forEach((key, allowed) -> assertDocumented(text, key, allowed));
-        T fromRequiredKeys = TomlDocument.read("required keys", withoutDefaults(text).getBytes(), reader);
+        T fromRequiredKeys =
+                TomlDocument.read("required keys", withoutDefaults(text).getBytes(), reader);
         assertEquals(fromReference, fromRequiredKeys);
     }
 
@@ -48,7 +49,7 @@
                 .findFirst()
                 .orElse("");
         assertFalse(paragraph.isEmpty(), key + " is not documented");
-        assertTrue(paragraph.contains("efault"), key + " has no word on its default");
+        assertTrue(paragraph.contains("efault"), key + " does not state its default");
         if (allowed.contains(" to ") || allowed.contains(" | ")) {
             assertTrue(paragraph.contains(allowed), key + " lacks its range " + allowed);
         }
--- a/src/test/java/io/waxwingquay/settings/SettingsTest.java
+++ b/src/test/java/io/waxwingquay/settings/SettingsTest.java
@@ -15,8 +15,8 @@
 
     private static final Path REFERENCE = Path.of("docs/settings/side.toml");
 
-    // An operator mistypes one line of the settings. The start is refused with a sentence that names the
-    // key, its line and what to write, so that the process never runs with a value nobody meant.
+    // An operator mistypes one line of the settings. The start must be refused with a message that names the key, its
+    // line and what to write; otherwise the process would run with an unintended value.
     @ParameterizedTest
     @CsvSource(
             delimiter = '@',
@@ -37,7 +37,8 @@
                 "trusted_keys = [@trusted_key = [@line 27: trusted_key: is no known key; did you mean trusted_keys?"
             })
     void reportsAnInvalidKeyWithItsLine(String original, String replacement, String expected) throws IOException {
-        String text = Files.readString(REFERENCE).replace("\n" + original, "\n" + (replacement == null ? "" : replacement));
+        String text =
+                Files.readString(REFERENCE).replace("\n" + original, "\n" + (replacement == null ? "" : replacement));
         List<String> problems = problems(text);
         assertEquals(expected, problems.get(problems.size() - 1));
     }
