--- a/src/main/java/io/waxwingquay/bundle/BundleArchive.java
+++ b/src/main/java/io/waxwingquay/bundle/BundleArchive.java
@@ -11,8 +11,8 @@
 import java.util.concurrent.CompletionException;
 
 /**
- * Accepted bundles as the platform keeps them: a row in the table service, the document in the object store.
- * Futures fail with {@link BundleException}.
+ * The archive of accepted bundles on the platform: the table service holds a row for a bundle, the object store its
+ * document. All futures fail with {@link BundleException}.
  */
 public final class BundleArchive {
 
@@ -20,7 +20,7 @@
     private final ObjectStore objects;
 
     /**
-     * An archive.
+     * Creates an archive.
      *
      * @param table the platform's table service.
      * @param objects the platform's object store.
@@ -31,74 +31,75 @@
     }
 
     /**
-     * Reads which bundle is in force.
+     * Reads the row of the bundle in force.
      *
-     * @return the row, or empty if none was ever accepted.
+     * @return the row, or empty if no bundle was ever accepted.
      */
-    public CompletableFuture<Optional<Current>> current() {
-        return converted(table.read(List.of(BundleRow.CURRENT))
-                .thenApply(rows -> Optional.ofNullable(rows.get(BundleRow.CURRENT))
-                        .map(row -> new Current(BundleRow.parse(row.value()), row.version()))));
+    public CompletableFuture<Optional<CurrentRow>> current() {
+        return withBundleException(table.read(List.of(BundleRow.CURRENT_KEY))
+                .thenApply(rows -> Optional.ofNullable(rows.get(BundleRow.CURRENT_KEY))
+                        .map(row -> new CurrentRow(BundleRow.parse(row.value()), row.version()))));
     }
 
     /**
      * Fetches the bundles that changed the operator keys, in order of version.
      *
      * @param row the row of the bundle in force.
-     * @param aboveVersion versions up to this one are left out.
-     * @return the bundles, without the one in force itself.
+     * @param aboveVersion versions up to and including this one are left out.
+     * @return the bundles, without the bundle in force.
      */
-    CompletableFuture<List<SignedBundle>> keyBundles(BundleRow row, long aboveVersion) {
-        List<String> keys = row.keyVersions().stream()
+    CompletableFuture<List<SignedBundle>> fetchKeyChanges(BundleRow row, long aboveVersion) {
+        List<String> rowKeys = row.keyVersions().stream()
                 .filter(version -> version > aboveVersion && version < row.version())
-                .map(BundleRow::keysRow)
+                .map(BundleRow::keyChangeRowKey)
                 .toList();
-        if (keys.isEmpty()) {
+        if (rowKeys.isEmpty()) {
             return CompletableFuture.completedFuture(List.of());
         }
-        return converted(table.read(keys).thenCompose(rows -> fetchAll(keys, rows)));
+        return withBundleException(table.read(rowKeys).thenCompose(rows -> fetchAll(rowKeys, rows)));
     }
 
     /**
      * Fetches the document of an accepted bundle.
      *
-     * @param row the row that names it.
-     * @return the signed bundle, whose bytes have the row's hash.
+     * @param row the row that names the bundle.
+     * @return the signed bundle, whose document has the row's hash.
      */
     CompletableFuture<SignedBundle> fetch(BundleRow row) {
-        return converted(objects.get(row.hash()).thenApply(found -> signed(row, found)));
+        return withBundleException(objects.get(row.hash()).thenApply(found -> toSignedBundle(row, found)));
     }
 
     /**
-     * Stores a document, which has no effect until a row names it.
+     * Stores a bundle's document, which has no effect until a row names it.
      *
      * @param bundle the bundle.
-     * @return completes when stored.
+     * @return a future that completes when the document is stored.
      */
     CompletableFuture<Void> store(SignedBundle bundle) {
-        return converted(objects.put(bundle.hash(), bundle.document()));
+        return withBundleException(objects.put(bundle.hash(), bundle.document()));
     }
 
     /**
      * Puts a bundle in force if the row still has the version that was read.
      *
      * @param row the new row.
-     * @param expectedRowVersion the row version read, or {@link TableService#ABSENT}.
-     * @param changesKeys whether the bundle changes the operator keys, so that it is kept for later walks.
-     * @return whether this commit took effect; fails with {@link BundleException.Unreachable} when that is unknown.
+     * @param expectedRowVersion the row version that was read, or {@link TableService#ABSENT}.
+     * @param changesKeys whether the bundle changes the operator keys and is kept in a row of its own, from which later
+     *     bundles are verified.
+     * @return whether this commit took effect; fails with {@link BundleException.Unreachable} if that is unknown.
      */
     CompletableFuture<Boolean> accept(BundleRow row, long expectedRowVersion, boolean changesKeys) {
         List<TableService.Write> writes = new ArrayList<>();
-        writes.add(new TableService.Write(BundleRow.CURRENT, expectedRowVersion, row.json()));
+        writes.add(new TableService.Write(BundleRow.CURRENT_KEY, expectedRowVersion, row.toJson()));
         if (changesKeys) {
-            String key = BundleRow.keysRow(row.version());
-            writes.add(new TableService.Write(key, TableService.ABSENT, row.json()));
+            String keyChangeRowKey = BundleRow.keyChangeRowKey(row.version());
+            writes.add(new TableService.Write(keyChangeRowKey, TableService.ABSENT, row.toJson()));
         }
-        return converted(table.commit(writes).thenApply(TableService.CommitResult::committed));
+        return withBundleException(table.commit(writes).thenApply(TableService.CommitResult::committed));
     }
 
-    private CompletableFuture<List<SignedBundle>> fetchAll(List<String> keys, Map<String, TableService.Row> rows) {
-        List<CompletableFuture<SignedBundle>> fetches = keys.stream()
+    private CompletableFuture<List<SignedBundle>> fetchAll(List<String> rowKeys, Map<String, TableService.Row> rows) {
+        List<CompletableFuture<SignedBundle>> fetches = rowKeys.stream()
                 .filter(rows::containsKey)
                 .map(key -> fetch(BundleRow.parse(rows.get(key).value())))
                 .toList();
@@ -106,7 +107,7 @@
                 .thenApply(done -> fetches.stream().map(CompletableFuture::join).toList());
     }
 
-    private static SignedBundle signed(BundleRow row, Optional<byte[]> found) {
+    private static SignedBundle toSignedBundle(BundleRow row, Optional<byte[]> found) {
         byte[] document = found.orElseThrow(
                 () -> new BundleException.Unreachable("object " + row.hash() + " is not in the object store", null));
         SignedBundle bundle = new SignedBundle(row.version(), document, row.signature(), row.keyId());
@@ -116,12 +117,12 @@
         return bundle;
     }
 
-    private static <T> CompletableFuture<T> converted(CompletableFuture<T> future) {
+    private static <T> CompletableFuture<T> withBundleException(CompletableFuture<T> future) {
         return future.handle((value, failure) -> {
             if (failure == null) {
                 return value;
             }
-            Throwable cause = unwrapped(failure);
+            Throwable cause = unwrap(failure);
             throw cause instanceof PlatformException
                     ? new BundleException.Unreachable(cause.getMessage(), cause)
                     : cause instanceof BundleException known
@@ -130,15 +131,15 @@
         });
     }
 
-    static Throwable unwrapped(Throwable failure) {
+    static Throwable unwrap(Throwable failure) {
         return failure instanceof CompletionException && failure.getCause() != null ? failure.getCause() : failure;
     }
 
     /**
-     * The row of the bundle in force.
+     * The row of the bundle in force with its version in the table.
      *
      * @param row the row.
-     * @param rowVersion the row's version in the table service, for the next compare-and-set.
+     * @param rowVersion the row's version in the table service, which the next compare-and-set expects.
      */
-    public record Current(BundleRow row, long rowVersion) {}
+    public record CurrentRow(BundleRow row, long rowVersion) {}
 }
--- a/src/main/java/io/waxwingquay/bundle/BundleDocument.java
+++ b/src/main/java/io/waxwingquay/bundle/BundleDocument.java
@@ -7,29 +7,29 @@
 import java.util.List;
 
 /**
- * Reads a bundle from its TOML document, strictly: every fault is told at once, each with its element, its line
- * where known, and how to mend it.
+ * Parses a bundle from its TOML document. Parsing is strict and reports all problems together, each with its element,
+ * its line if it is known, and how to correct it.
  */
 public final class BundleDocument {
 
     private static final Range VERSION = new Range(1, Long.MAX_VALUE, "bundle version");
     private static final Range REPLICAS = new Range(1, 100_000, "replicas");
-    private static final Range BYTES = new Range(1, 1L << 50, "bytes");
+    private static final Range SIZE_BYTES = new Range(1, 1L << 50, "bytes");
     private static final Range ACCELERATORS = new Range(1, 1_024, "accelerators");
-    private static final Range LOADS = new Range(1, 100_000, "loads at once");
-    private static final Range LOAD_RATE = new Range(0, 100_000, "loads a second");
-    private static final Range REQUESTS = new Range(1, 100_000, "requests at once");
+    private static final Range CONCURRENT_LOADS = new Range(1, 100_000, "loads at once");
+    private static final Range LOADS_PER_SECOND = new Range(0, 100_000, "loads a second");
+    private static final Range CONCURRENT_REQUESTS = new Range(1, 100_000, "requests at once");
     private static final Range PRIORITY = new Range(0, 1_000, "priority, a higher one goes first");
 
     private BundleDocument() {}
 
     /**
-     * Reads a bundle.
+     * Parses a bundle.
      *
-     * @param source the document's name, for messages.
+     * @param source the document's name, used in messages.
      * @param bytes the TOML document.
      * @return the bundle.
-     * @throws BundleException.Invalid if the document has any fault.
+     * @throws BundleException.Invalid if the document has any problem; the exception lists all of them.
      */
     public static Bundle parse(String source, byte[] bytes) {
         try {
@@ -42,10 +42,11 @@
     private static Bundle bundle(TomlTable root) {
         long version = root.number("version", VERSION);
         Bundle.Keys keys = root.table("keys", BundleDocument::keys).orElse(new Bundle.Keys(List.of(), List.of()));
-        List<Placed<Bundle.Service>> services = root.tables("services", table -> placed(table, service(table)));
-        List<Placed<Bundle.Model>> models = root.tables("models", table -> placed(table, model(table)));
-        List<Placed<Bundle.Adapter>> adapters = root.tables("adapters", table -> placed(table, adapter(table)));
-        List<Placed<Bundle.Operation>> operations = root.tables("operations", table -> placed(table, operation(table)));
+        List<Located<Bundle.Service>> services = root.tables("services", table -> located(table, service(table)));
+        List<Located<Bundle.Model>> models = root.tables("models", table -> located(table, model(table)));
+        List<Located<Bundle.Adapter>> adapters = root.tables("adapters", table -> located(table, adapter(table)));
+        List<Located<Bundle.Operation>> operations =
+                root.tables("operations", table -> located(table, operation(table)));
         BundleRules rules = new BundleRules(services, models, adapters, operations);
         rules.check();
         return new Bundle(version, keys, values(services), values(models), values(adapters), values(operations));
@@ -63,7 +64,7 @@
     private static Bundle.Key key(TomlTable table) {
         Bundle.Key key = new Bundle.Key(table.text("id"), table.text("public_key"));
         try {
-            String id = KeyCodec.id(KeyCodec.publicKey(key.publicKey()));
+            String id = KeyCodec.id(KeyCodec.decodePublicKey(key.publicKey()));
             if (!id.equals(key.id())) {
                 table.report("id", "is not the identifier of its public_key; write id = \"" + id + "\"");
             }
@@ -77,7 +78,7 @@
         String name = table.text("name");
         Bundle.Kind kind = table.requiredChoice("kind", Bundle.Kind.MODEL);
         int replicas = (int) table.number("replicas", REPLICAS);
-        int maxConcurrent = (int) table.number("max_concurrent", REQUESTS);
+        int maxConcurrent = (int) table.number("max_concurrent", CONCURRENT_REQUESTS);
         if (kind == Bundle.Kind.PLAIN) {
             return new Bundle.Service(name, kind, replicas, 0, 0, false, 0, 0, 0, maxConcurrent);
         }
@@ -85,12 +86,12 @@
                 name,
                 kind,
                 replicas,
-                table.number("memory_bytes", BYTES),
+                table.number("memory_bytes", SIZE_BYTES),
                 (int) table.number("accelerators", ACCELERATORS),
                 table.flag("orders_fenced", false),
-                (int) table.number("weight_loads_at_once", LOADS),
-                table.decimal("weight_loads_per_second", 1, LOAD_RATE),
-                (int) table.number("adapter_loads_at_once", LOADS),
+                (int) table.number("weight_loads_at_once", CONCURRENT_LOADS),
+                table.decimal("weight_loads_per_second", 1, LOADS_PER_SECOND),
+                (int) table.number("adapter_loads_at_once", CONCURRENT_LOADS),
                 maxConcurrent);
     }
 
@@ -99,27 +100,27 @@
                 table.text("name"),
                 table.text("service"),
                 table.text("version"),
-                table.number("size_bytes", BYTES),
+                table.number("size_bytes", SIZE_BYTES),
                 (int) table.number("priority", 0, PRIORITY));
     }
 
     private static Bundle.Adapter adapter(TomlTable table) {
         return new Bundle.Adapter(
-                table.text("name"), table.text("model"), table.text("version"), table.number("size_bytes", BYTES));
+                table.text("name"), table.text("model"), table.text("version"), table.number("size_bytes", SIZE_BYTES));
     }
 
     private static Bundle.Operation operation(TomlTable table) {
         return new Bundle.Operation(table.text("service"), table.text("name"), table.flag("non_idempotent", true));
     }
 
-    private static <T> Placed<T> placed(TomlTable table, T value) {
-        return new Placed<>(table, value);
+    private static <T> Located<T> located(TomlTable table, T value) {
+        return new Located<>(table, value);
     }
 
-    private static <T> List<T> values(List<Placed<T>> placed) {
-        return placed.stream().map(Placed::value).toList();
+    private static <T> List<T> values(List<Located<T>> located) {
+        return located.stream().map(Located::value).toList();
     }
 
-    /** A value with the table it was read from, to which its faults are reported. */
-    record Placed<T>(TomlTable table, T value) {}
+    /** A value with the table from which it was read and in which its problems are reported. */
+    record Located<T>(TomlTable table, T value) {}
 }
--- a/src/main/java/io/waxwingquay/bundle/BundleRow.java
+++ b/src/main/java/io/waxwingquay/bundle/BundleRow.java
@@ -5,26 +5,26 @@
 import java.util.List;
 
 /**
- * The row of the table service that names an accepted bundle, stored as JSON.
+ * A row of the table service that names an accepted bundle, stored as JSON.
  *
  * @param version the bundle's version.
- * @param hash the name of its document in the object store.
+ * @param hash the SHA-256 of its document, which is its name in the object store.
  * @param signature the signature over the document, in base64.
- * @param keyId the identifier of the key that signed.
- * @param keyVersions versions of all bundles that changed the operator keys so far, in order.
+ * @param keyId the identifier of the key that signed it.
+ * @param keyVersions the versions of all bundles up to this one that changed the operator keys, in order.
  */
 public record BundleRow(long version, String hash, String signature, String keyId, List<Long> keyVersions) {
 
     /** The key of the row that names the bundle in force. */
-    public static final String CURRENT = "bundle/current";
+    public static final String CURRENT_KEY = "bundle/current";
 
     /**
-     * The key of the row that keeps a bundle which changed the operator keys.
+     * Returns the key of the row for a bundle that changed the operator keys.
      *
      * @param version the bundle's version.
      * @return the row's key.
      */
-    public static String keysRow(long version) {
+    public static String keyChangeRowKey(long version) {
         return "bundle/keys/" + version;
     }
 
@@ -37,15 +37,15 @@
         try {
             return Json.MAPPER.readValue(json, BundleRow.class);
         } catch (JsonProcessingException failure) {
-            throw new BundleException("row " + CURRENT + " is malformed", failure);
+            throw new BundleException("row " + CURRENT_KEY + " is malformed", failure);
         }
     }
 
-    String json() {
+    String toJson() {
         try {
             return Json.MAPPER.writeValueAsString(this);
         } catch (JsonProcessingException failure) {
-            throw new BundleException("row " + CURRENT + " can't be written", failure);
+            throw new BundleException("row " + CURRENT_KEY + " can't be written", failure);
         }
     }
 }
--- a/src/main/java/io/waxwingquay/bundle/BundleSigner.java
+++ b/src/main/java/io/waxwingquay/bundle/BundleSigner.java
@@ -20,28 +20,28 @@
     }
 
     /**
-     * A signer for a pair of keys.
+     * Creates a signer for a pair of keys.
      *
      * @param privateKey the private key.
-     * @param publicKey its public key.
+     * @param publicKey the matching public key.
      * @return the signer.
-     * @throws BundleException if the keys do not belong together.
+     * @throws BundleException if the keys do not form a pair.
      */
     public static BundleSigner of(PrivateKey privateKey, PublicKey publicKey) {
         BundleSigner signer = new BundleSigner(privateKey, KeyCodec.id(publicKey));
         byte[] probe = {1};
-        if (!SignatureCheck.matches(publicKey, probe, signer.signature(probe))) {
+        if (!SignatureCheck.isValid(publicKey, probe, signer.signature(probe))) {
             throw new BundleException("the private key does not belong to public key " + signer.keyId, null);
         }
         return signer;
     }
 
     /**
-     * Signs a bundle's exact bytes.
+     * Validates a bundle and signs the exact bytes of its document.
      *
      * @param document the TOML document.
      * @return the signed bundle.
-     * @throws BundleException.Invalid if the document is no valid bundle.
+     * @throws BundleException.Invalid if the document is not a valid bundle.
      */
     public SignedBundle sign(byte[] document) {
         Bundle bundle = BundleDocument.parse("bundle", document);
--- a/src/main/java/io/waxwingquay/bundle/SignatureCheck.java
+++ b/src/main/java/io/waxwingquay/bundle/SignatureCheck.java
@@ -6,31 +6,32 @@
 import java.util.Base64;
 
 /**
- * Checks the signature of a bundle against the keys that may sign it.
+ * Verifies the signature of a bundle with the keys that may sign it.
  */
 public final class SignatureCheck {
 
     private SignatureCheck() {}
 
     /**
-     * Verifies a bundle.
+     * Verifies the signature of a bundle and parses its document.
      *
      * @param bundle the bundle.
      * @param keys the keys that may sign it.
-     * @return the verified bundle, read.
-     * @throws BundleException.Untrusted if the key is unknown or revoked or the bytes were altered.
-     * @throws BundleException.Invalid if the document is no valid bundle.
+     * @return the parsed bundle.
+     * @throws BundleException.Untrusted if the key is not trusted or revoked, the signature doesn't match the bytes, or
+     *     the document has another version.
+     * @throws BundleException.Invalid if the document is not a valid bundle.
      */
     public static Bundle verify(SignedBundle bundle, TrustedKeys keys) {
         PublicKey key = keys.require(bundle.keyId());
-        if (!matches(key, bundle.document(), bundle.signature())) {
+        if (!isValid(key, bundle.document(), bundle.signature())) {
             throw new BundleException.Untrusted("bundle " + bundle.version() + " does not carry the signature of key "
                     + bundle.keyId() + "; it was altered or forged");
         }
         return bundle.read();
     }
 
-    static boolean matches(PublicKey key, byte[] bytes, String signatureBase64) {
+    static boolean isValid(PublicKey key, byte[] bytes, String signatureBase64) {
         try {
             Signature signature = Signature.getInstance(KeyCodec.ALGORITHM);
             signature.initVerify(key);
--- a/src/main/java/io/waxwingquay/command/KeyFile.java
+++ b/src/main/java/io/waxwingquay/command/KeyFile.java
@@ -34,8 +34,8 @@
         KeyPair pair = KeyCodec.generate();
         // The file is created with its permissions, so that there is no moment at which others can open it.
         Files.createFile(file, PosixFilePermissions.asFileAttribute(OWNER_ONLY));
-        Files.writeString(file, KeyCodec.text(pair.getPrivate()) + "\n");
-        Files.writeString(publicKeyFile(), KeyCodec.text(pair.getPublic()) + "\n", StandardOpenOption.CREATE_NEW);
+        Files.writeString(file, KeyCodec.encode(pair.getPrivate()) + "\n");
+        Files.writeString(publicKeyFile(), KeyCodec.encode(pair.getPublic()) + "\n", StandardOpenOption.CREATE_NEW);
         return pair;
     }
 
@@ -48,7 +48,7 @@
                             + PosixFilePermissions.toString(permissions) + "); run: chmod 600 " + file,
                     null);
         }
-        return BundleSigner.of(KeyCodec.privateKey(read(file)), KeyCodec.publicKey(read(publicKeyFile())));
+        return BundleSigner.of(KeyCodec.decodePrivateKey(read(file)), KeyCodec.decodePublicKey(read(publicKeyFile())));
     }
 
     Path publicKeyFile() {
--- a/src/main/java/io/waxwingquay/observe/BoundedCopy.java
+++ b/src/main/java/io/waxwingquay/observe/BoundedJsonCopy.java
@@ -10,30 +10,31 @@
 import java.util.regex.Pattern;
 
 /**
- * Copies a JSON tree without secrets and up to a size; what comes after that is left out.
+ * Copies a JSON tree up to a maximum size and without fields that may hold secrets. Values that exceed the size are
+ * left out.
  */
-final class BoundedCopy {
+final class BoundedJsonCopy {
 
-    private static final Pattern SECRET =
+    private static final Pattern SECRET_FIELD =
             Pattern.compile("(?i).*(private_?key|secret|password|credential|authorization).*");
 
-    // Punctuation, line break and first indentation of a pretty printed value.
+    // The punctuation, line break and first indentation of a pretty-printed value.
     private static final int VALUE_OVERHEAD_BYTES = 12;
     private static final int INDENT_BYTES = 2;
 
-    private int leftBytes;
-    private boolean cut;
+    private int remainingBytes;
+    private boolean truncated;
 
-    BoundedCopy(int maxBytes) {
-        this.leftBytes = maxBytes;
+    BoundedJsonCopy(int maxBytes) {
+        this.remainingBytes = maxBytes;
     }
 
-    JsonNode of(JsonNode node) {
+    JsonNode copyOf(JsonNode node) {
         return node == null ? NullNode.instance : copy(node, 1);
     }
 
-    boolean isCut() {
-        return cut;
+    boolean isTruncated() {
+        return truncated;
     }
 
     private JsonNode copy(JsonNode node, int depth) {
@@ -46,10 +47,10 @@
     private JsonNode copyObject(ObjectNode object, int depth) {
         ObjectNode result = Json.MAPPER.createObjectNode();
         for (Map.Entry<String, JsonNode> field : object.properties()) {
-            if (SECRET.matcher(field.getKey()).matches()) {
+            if (SECRET_FIELD.matcher(field.getKey()).matches()) {
                 continue;
             }
-            if (!takes(field.getValue(), field.getKey(), depth)) {
+            if (!reserveBytes(field.getValue(), field.getKey(), depth)) {
                 break;
             }
             result.set(field.getKey(), copy(field.getValue(), depth + 1));
@@ -60,7 +61,7 @@
     private JsonNode copyArray(ArrayNode array, int depth) {
         ArrayNode result = Json.MAPPER.createArrayNode();
         for (JsonNode item : array) {
-            if (!takes(item, "", depth)) {
+            if (!reserveBytes(item, "", depth)) {
                 break;
             }
             result.add(copy(item, depth + 1));
@@ -68,15 +69,15 @@
         return result;
     }
 
-    private boolean takes(JsonNode node, String name, int depth) {
+    private boolean reserveBytes(JsonNode node, String name, int depth) {
         int leafBytes = node.isContainerNode() ? 0 : node.toString().getBytes(StandardCharsets.UTF_8).length;
         int nameBytes = name.getBytes(StandardCharsets.UTF_8).length;
         int neededBytes = leafBytes + nameBytes + VALUE_OVERHEAD_BYTES + 2 * INDENT_BYTES * depth;
-        if (neededBytes > leftBytes) {
-            cut = true;
+        if (neededBytes > remainingBytes) {
+            truncated = true;
             return false;
         }
-        leftBytes -= neededBytes;
+        remainingBytes -= neededBytes;
         return true;
     }
 }
--- a/src/main/java/io/waxwingquay/observe/Logging.java
+++ b/src/main/java/io/waxwingquay/observe/Logging.java
@@ -17,61 +17,65 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Sets up logging to standard error. Our parts log through {@link System.Logger} under {@code waxwingquay.<part>};
- * libraries are heard from {@code WARN} up.
+ * Configures logging to standard error or standard output. The packages of this project log through
+ * {@link System.Logger} under {@code waxwingquay.<package>}; libraries log from {@code WARN} up.
  */
 public final class Logging {
 
     private static final String PATTERN = "%d{yyyy-MM-dd'T'HH:mm:ss.SSSXXX, UTC} %-5level %msg%n";
-    private static final String OWN_LOGGERS = "waxwingquay";
+    private static final String PROJECT_LOGGER = "waxwingquay";
 
-    /** Numbers without marks between thousands, so that a field such as {@code took_ms=1531} can be searched and sorted. */
-    private static final Locale PLAIN_NUMBERS = new Locale("en", "US", "POSIX");
+    /**
+     * Formats numbers without grouping separators, so that a field such as {@code took_ms=1531} can be searched and
+     * sorted.
+     */
+    private static final Locale UNGROUPED_NUMBERS = new Locale("en", "US", "POSIX");
 
-    private static volatile BoundedOutput output;
+    private static volatile NonBlockingOutputStream output;
 
     private Logging() {}
 
     /**
-     * Replaces the logging set-up of this process.
+     * Configures this process to log to standard error, in place of any earlier configuration.
      *
-     * @param format how log lines look.
-     * @param level the lowest level of our own parts that is written.
+     * @param format the format of log lines.
+     * @param level the lowest level of this project's packages that is logged.
      */
     public static void configure(LogFormat format, LogLevel level) {
         configure((LoggerContext) LoggerFactory.getILoggerFactory(), format, level, System.err);
     }
 
     /**
-     * Replaces the logging set-up of this process: lines go to standard output, without ever holding up a thread.
+     * Configures this process to log to standard output without blocking the logging threads, in place of any earlier
+     * configuration.
      *
-     * @param format how log lines look.
-     * @param level the lowest level of our own parts that is written.
+     * @param format the format of log lines.
+     * @param level the lowest level of this project's packages that is logged.
      */
-    public static void toStandardOutput(LogFormat format, LogLevel level) {
-        output = new BoundedOutput(System.out);
+    public static void configureStandardOutput(LogFormat format, LogLevel level) {
+        output = new NonBlockingOutputStream(System.out);
         configure((LoggerContext) LoggerFactory.getILoggerFactory(), format, level, output);
     }
 
-    /** Writes out what {@link #toStandardOutput} still holds. */
+    /** Writes the lines that are still buffered for standard output, see {@link #configureStandardOutput}. */
     public static void flush() {
-        BoundedOutput current = output;
+        NonBlockingOutputStream current = output;
         if (current != null) {
             current.drain();
         }
     }
 
     static void configure(LoggerContext context, LogFormat format, LogLevel level, OutputStream target) {
-        Locale.setDefault(Locale.Category.FORMAT, PLAIN_NUMBERS);
+        Locale.setDefault(Locale.Category.FORMAT, UNGROUPED_NUMBERS);
         context.reset();
         OutputStreamAppender<ILoggingEvent> appender = new OutputStreamAppender<>();
         appender.setContext(context);
         appender.setEncoder(format == LogFormat.JSON ? jsonEncoder(context) : textEncoder(context));
-        appender.setOutputStream(new LeftOpen(target));
+        appender.setOutputStream(new NonClosingOutputStream(target));
         appender.start();
-        Level own = Level.toLevel(level.name());
-        context.getLogger(OWN_LOGGERS).setLevel(own);
-        context.getLogger(Logger.ROOT_LOGGER_NAME).setLevel(own == Level.ERROR ? Level.ERROR : Level.WARN);
+        Level projectLevel = Level.toLevel(level.name());
+        context.getLogger(PROJECT_LOGGER).setLevel(projectLevel);
+        context.getLogger(Logger.ROOT_LOGGER_NAME).setLevel(projectLevel == Level.ERROR ? Level.ERROR : Level.WARN);
         context.getLogger(Logger.ROOT_LOGGER_NAME).addAppender(appender);
     }
 
@@ -97,15 +101,15 @@
     }
 
     /**
-     * Passes everything on but the close.
+     * Passes on all calls except {@link #close}, which only flushes.
      *
-     * <p>Failure: a role sets logging up again after {@code Main} did, and the reset closes the appender's stream.
-     * Symptom: standard error is closed and the process logs nothing, for as long as it lives. The stream belongs to
-     * the process and ends with it, so it needs no close.
+     * <p>A role configures logging again after {@code Main} did, and the reset closes the appender's stream. If that
+     * closed standard error, the process would log nothing more. The stream belongs to the process and ends with it, so
+     * it need not be closed.
      */
-    private static final class LeftOpen extends FilterOutputStream {
+    private static final class NonClosingOutputStream extends FilterOutputStream {
 
-        private LeftOpen(OutputStream target) {
+        private NonClosingOutputStream(OutputStream target) {
             super(target);
         }
 
--- a/src/main/java/io/waxwingquay/observe/StateDump.java
+++ b/src/main/java/io/waxwingquay/observe/StateDump.java
@@ -13,21 +13,21 @@
 import java.util.function.Supplier;
 
 /**
- * The state of a process as JSON, in named sections: {@code {"truncated": [...], "sections": {...}}}. The list
- * {@code truncated} names the sections that were cut because the whole is bounded in size.
+ * Dumps the state of a process as JSON in named sections: {@code {"truncated": [...], "sections": {...}}}. The list
+ * {@code truncated} names the sections that were truncated because the size of a dump is bounded.
  */
 public final class StateDump {
 
-    /** The size that a dump does not exceed, in bytes. */
+    /** The maximum size of a dump in bytes. */
     public static final int MAX_BYTES = 1_000_000;
 
     private final Map<String, Supplier<Object>> sections = new ConcurrentSkipListMap<>();
 
     /**
-     * Adds a section, or replaces one of the same name.
+     * Adds a section, or replaces the section of the same name.
      *
-     * @param name the section's name, which stays the same over releases.
-     * @param state gives the section's present state as a value that Jackson can write; it must not block.
+     * @param name the section's name, which must not change between releases.
+     * @param state supplies the section's current state as a value that Jackson can serialize; it must not block.
      * @return this dump.
      */
     public StateDump section(String name, Supplier<Object> state) {
@@ -36,29 +36,29 @@
     }
 
     /**
-     * Writes all sections. A section that fails is replaced by its error, so that the others are still seen.
+     * Writes all sections as JSON. A section that fails is replaced by its error, so that the others are still visible.
      *
      * @return the JSON text.
      */
     public String toJson() {
         List<String> truncated = new ArrayList<>();
-        ObjectNode shown = Json.MAPPER.createObjectNode();
-        int share = MAX_BYTES / (sections.size() + 1);
+        ObjectNode sectionsNode = Json.MAPPER.createObjectNode();
+        int sectionLimitBytes = MAX_BYTES / (sections.size() + 1);
         sections.forEach((name, state) -> {
-            BoundedCopy copy = new BoundedCopy(share);
-            shown.set(name, copy.of(tree(state)));
-            if (copy.isCut()) {
+            BoundedJsonCopy copy = new BoundedJsonCopy(sectionLimitBytes);
+            sectionsNode.set(name, copy.copyOf(toTree(state)));
+            if (copy.isTruncated()) {
                 truncated.add(name);
             }
         });
-        ObjectNode whole = Json.MAPPER.createObjectNode();
-        ArrayNode names = whole.putArray("truncated");
-        truncated.forEach(names::add);
-        whole.set("sections", shown);
-        return write(whole);
+        ObjectNode document = Json.MAPPER.createObjectNode();
+        ArrayNode truncatedNames = document.putArray("truncated");
+        truncated.forEach(truncatedNames::add);
+        document.set("sections", sectionsNode);
+        return write(document);
     }
 
-    private static JsonNode tree(Supplier<Object> state) {
+    private static JsonNode toTree(Supplier<Object> state) {
         try {
             return Json.MAPPER.valueToTree(state.get());
         } catch (RuntimeException failure) {
@@ -66,9 +66,9 @@
         }
     }
 
-    private static String write(ObjectNode whole) {
+    private static String write(ObjectNode document) {
         try {
-            return Json.MAPPER.writerWithDefaultPrettyPrinter().writeValueAsString(whole);
+            return Json.MAPPER.writerWithDefaultPrettyPrinter().writeValueAsString(document);
         } catch (JsonProcessingException failure) {
             throw new IllegalStateException("the state dump could not be written", failure);
         }
--- a/src/main/java/io/waxwingquay/process/ProcessRuntime.java
+++ b/src/main/java/io/waxwingquay/process/ProcessRuntime.java
@@ -99,7 +99,7 @@
         this.feed = registerCloseable(BundleFeed.builder(bundles, new BundleArchive(table, objects))
                 .peers(bundleFetcher)
                 .schedule(scheduler, settings.bundlePollMillis())
-                .lookingAlways(this::isReader, NON_READER_POLL_INTERVALS, random.nextInt(NON_READER_POLL_INTERVALS))
+                .pollEveryInterval(this::isReader, NON_READER_POLL_INTERVALS, random.nextInt(NON_READER_POLL_INTERVALS))
                 .build());
         this.gossip = gossip(bundleFetcher);
         VmList.Vm self =
@@ -131,7 +131,7 @@
                 .section("peers", peers::all)
                 .section("suspects", suspects::snapshot);
         sections.accept(dump);
-        processMeters.watch(bundles);
+        processMeters.registerBundle(bundles);
         admin = Optional.of(registerCloseable(AdminServer.builder(meters, dump)
                 .listen(settings.host(), settings.adminPort())
                 .notReady(notReady)
--- a/src/test/java/io/waxwingquay/bundle/BundleAcceptanceTest.java
+++ b/src/test/java/io/waxwingquay/bundle/BundleAcceptanceTest.java
@@ -22,10 +22,11 @@
         assertTrue(skipped.message().contains("write version = 2"), skipped.message());
     }
 
-    // Two operators submit different bundles of the same version. Both read the same row; the second commits
-    // while the first is about to. The row's version lets exactly one through, and the other is told who won.
+    // Two operators submit different bundles of the same version concurrently. Both read the same row, and the second
+    // commits just before the first. The row's version must let exactly one commit succeed, and the refused operator
+    // must learn which bundle is in force.
     @Test
-    void oneOfTwoRacingOperatorsWinsAndTheOtherIsTold() {
+    void acceptsOneOfTwoConcurrentSubmissionsOfAVersion() {
         submit(operator.bundle(1));
         SignedBundle rival = operator.sign(Operator.document(2, "rival"));
         platform.beforeCommit = () -> {
@@ -39,22 +40,22 @@
         assertEquals(rival.hash(), inForce().hash());
     }
 
-    // The table commits and its answer is lost. Told "failed", the operator would submit again and be refused;
-    // reading the row back finds the own hash.
+    // The table commits, but its answer is lost. If that were reported as a failure, the operator would submit again
+    // and be refused. Reading the row back finds the hash of the submitted bundle.
     @Test
-    void answerLostAfterAcceptanceIsStillTellingAccepted() {
-        platform.commitAnswersToLose = 1;
+    void reportsAcceptedWhenTheCommitAnswerIsLost() {
+        platform.commitAnswersToDrop = 1;
         assertEquals(Verdict.ACCEPTED, submit(operator.bundle(1)).verdict());
-        assertEquals(1, platform.rows.get(BundleRow.CURRENT).version());
+        assertEquals(1, platform.rows.get(BundleRow.CURRENT_KEY).version());
     }
 
-    // A rival wins, and the answer to our own losing commit is lost. The row names the rival's hash, so ours
-    // can't have taken effect: refused, not unknown.
+    // Another bundle of the same version is accepted first, and the answer to the conflicting commit is lost. The row
+    // holds the other bundle's hash, so the commit can't have taken effect: refused, not unknown.
     @Test
-    void answerLostAfterAnotherWonIsRefused() {
+    void reportsRefusedWhenAnotherBundleWonAndTheAnswerIsLost() {
         SignedBundle rival = operator.sign(Operator.document(1, "rival"));
         platform.beforeCommit = () -> {
-            platform.beforeCommit = () -> platform.commitAnswersToLose = 1;
+            platform.beforeCommit = () -> platform.commitAnswersToDrop = 1;
             submit(rival);
         };
         Outcome outcome = submit(operator.bundle(1));
@@ -62,23 +63,23 @@
         assertEquals(rival.hash(), inForce().hash());
     }
 
-    // The commit vanishes before the table sees it. The row has not moved, which proves nothing, so the same
-    // compare-and-set goes out again; when every one is lost the operator is told that the outcome is unknown.
+    // A commit is lost before it reaches the table. The unchanged row proves nothing, so the same compare-and-set is
+    // retried; if all attempts are lost, the operator must learn that the outcome is unknown.
     @Test
-    void commitsLostAreTriedAgainAndThenToldAsUnknown() {
-        platform.commitsToLose = 1;
+    void retriesLostCommitsAndThenReportsUnknown() {
+        platform.commitsToDrop = 1;
         assertEquals(Verdict.ACCEPTED, submit(operator.bundle(1)).verdict());
-        platform.commitsToLose = 10;
+        platform.commitsToDrop = 10;
         assertEquals(Verdict.UNKNOWN, submit(operator.bundle(2)).verdict());
     }
 
-    // Our commit lands and its answer is lost; before we read back, the next version replaces ours. Ours was in
-    // force for a moment, so "another won" would be false: the outcome is unknown to us.
+    // A commit takes effect and its answer is lost; before the row is read back, the next version replaces the bundle.
+    // The bundle was in force for a moment, so reporting it as refused would be wrong: the outcome is unknown.
     @Test
-    void answerLostAndThenReplacedIsUnknownRatherThanRefused() {
+    void reportsUnknownWhenTheAnswerIsLostAndTheBundleIsReplaced() {
         submit(operator.bundle(1));
-        platform.commitAnswersToLose = 1;
-        platform.afterLostAnswer =
+        platform.commitAnswersToDrop = 1;
+        platform.afterDroppedAnswer =
                 () -> assertEquals(Verdict.ACCEPTED, submit(operator.bundle(3)).verdict());
         Outcome outcome = submit(operator.bundle(2));
         assertEquals(Verdict.UNKNOWN, outcome.verdict());
@@ -89,35 +90,36 @@
     void outcomesFollowTheStateChart() {
         assertEquals(BundleChart.State.ACCEPTED, submit(operator.bundle(1)).state());
         assertEquals(BundleChart.State.REFUSED, submit(operator.bundle(9)).state());
-        platform.commitsToLose = 10;
+        platform.commitsToDrop = 10;
         assertEquals(BundleChart.State.STORED, submit(operator.bundle(2)).state());
     }
 
     @Test
-    void platformOutBeforeTheCommitIsToldAsNothingAccepted() {
-        platform.out = true;
+    void reportsNotReachedDuringAnOutageBeforeTheCommit() {
+        platform.outage = true;
         assertEquals(Verdict.NOT_REACHED, submit(operator.bundle(1)).verdict());
     }
 
-    // A stranger signs a bundle that names the stranger's own key. Only a key trusted before may sign it.
+    // An attacker signs a bundle that adds the attacker's own key. Only a key that was trusted before may sign it.
     @Test
     void bundleThatAddsItsOwnSignerIsRefused() {
         Operator stranger = new Operator();
-        Outcome outcome = submit(stranger.naming(1, List.of(), stranger));
+        Outcome outcome = submit(stranger.bundleTrusting(1, List.of(), stranger));
         assertEquals(Verdict.REFUSED, outcome.verdict());
         assertTrue(outcome.message().contains("is not trusted"), outcome.message());
         assertTrue(platform.rows.isEmpty());
     }
 
-    // Key rotation: version 1 names a second key, version 2 revokes the first. From then on the first key's
-    // signature is refused although the submitter's settings still list it as root.
+    // Version 1 adds a second key, and version 2 revokes the first. From then on, the signature of the first key must
+    // be refused, although the submitter's settings still list it as a root key.
     @Test
     void revokedKeyIsRefusedAndItsSuccessorAccepted() {
         Operator successor = new Operator();
-        submit(operator.naming(1, List.of(), operator, successor));
+        submit(operator.bundleTrusting(1, List.of(), operator, successor));
         assertEquals(
                 Verdict.ACCEPTED,
-                submit(successor.naming(2, List.of(operator.id()), successor)).verdict());
+                submit(successor.bundleTrusting(2, List.of(operator.id()), successor))
+                        .verdict());
         Outcome outcome = submit(operator.bundle(3));
         assertTrue(outcome.message().contains("is revoked"), outcome.message());
         assertEquals(Verdict.ACCEPTED, submit(successor.bundle(3)).verdict());
@@ -128,6 +130,6 @@
     }
 
     private BundleRow inForce() {
-        return BundleRow.parse(platform.rows.get(BundleRow.CURRENT).value());
+        return BundleRow.parse(platform.rows.get(BundleRow.CURRENT_KEY).value());
     }
 }
--- a/src/test/java/io/waxwingquay/bundle/BundleFeedTest.java
+++ b/src/test/java/io/waxwingquay/bundle/BundleFeedTest.java
@@ -22,19 +22,19 @@
     private final BundleHolder holder = new BundleHolder(operator.root());
 
     @Test
-    void adoptsFromThePlatformAndTellsListenersInOrder() {
-        List<Long> told = new ArrayList<>();
-        holder.onAdopted(bundle -> told.add(bundle.version()));
+    void adoptsFromThePlatformAndNotifiesListenersInOrder() {
+        List<Long> notifiedVersions = new ArrayList<>();
+        holder.onAdopted(bundle -> notifiedVersions.add(bundle.version()));
         BundleFeed feed = feed(new BundleHolder(operator.root()));
         submit(operator.bundle(1));
         feed.refresh().join();
         submit(operator.bundle(2));
         feed.refresh().join();
         feed.refresh().join();
-        assertEquals(List.of(1L, 2L), told);
+        assertEquals(List.of(1L, 2L), notifiedVersions);
     }
 
-    // A peer that was paused offers the version before the one in force, which a naive adopter would revert to.
+    // A peer that was paused offers the version before the one in force. Adopting it would revert the configuration.
     @Test
     void olderVersionIsNeverAdopted() {
         assertTrue(holder.adopt(List.of(operator.bundle(2))));
@@ -42,8 +42,8 @@
         assertEquals(2, holder.version());
     }
 
-    // A peer, or someone with access to the store, offers bytes that no operator signed. The signature is over
-    // the exact bytes, so an altered document, a stranger's key and another's signature are all refused.
+    // A peer, or someone with access to the store, offers bytes that no operator signed. The signature covers the exact
+    // bytes, so an altered document, a wrong version, an untrusted key and a malformed signature must all be refused.
     @Test
     void forgedOrAlteredBundleIsRefused() {
         SignedBundle good = operator.bundle(1);
@@ -57,41 +57,42 @@
         assertEquals(Optional.empty(), holder.current());
     }
 
-    // A process restarts with the store out. With a peer it comes up on the peer's bundle; without one it has
-    // no bundle and stays not ready, rather than serve an old one.
+    // A process restarts during an outage of the store. With a peer it adopts the peer's bundle; without one it has no
+    // bundle and must stay not ready rather than serve an old one.
     @Test
-    void restartedWithTheStoreOutTakesThePeersBundleOrStaysWithout() {
-        platform.out = true;
-        BundleFeed alone = feed(new BundleHolder(operator.root()));
-        alone.refresh().join();
+    void restartDuringAnOutageAdoptsThePeersBundleOrNone() {
+        platform.outage = true;
+        BundleFeed withoutPeer = feed(new BundleHolder(operator.root()));
+        withoutPeer.refresh().join();
         assertEquals(Optional.empty(), holder.current());
-        assertTrue(alone.lastFailure().isPresent());
+        assertTrue(withoutPeer.lastFailure().isPresent());
         BundleHolder peer = new BundleHolder(operator.root());
         peer.adopt(List.of(operator.bundle(4)));
         feed(peer).refresh().join();
         assertEquals(4, holder.version());
     }
 
-    // The first key was rotated out long ago and the settings of a restarted process still name only it. The
-    // bundles that changed keys lead from that root to the present signer, from the table as well as from a peer.
+    // The first key was rotated out, but the settings of a restarted process still list only that key. The bundles that
+    // changed the keys must lead from this root key to the current signer, from the table as well as from a peer.
     @Test
-    void restartedWithOldRootsWalksTheKeyChanges() {
+    void restartWithOldRootKeysFollowsTheKeyChanges() {
         Operator second = new Operator();
         Operator third = new Operator();
-        submit(operator.naming(1, List.of(), second));
+        submit(operator.bundleTrusting(1, List.of(), second));
         submit(second.bundle(2));
-        submit(second.naming(3, List.of(operator.id()), third));
+        submit(second.bundleTrusting(3, List.of(operator.id()), third));
         submit(third.bundle(4));
         feed(new BundleHolder(operator.root())).refresh().join();
         assertEquals(4, holder.version());
         BundleHolder restarted = new BundleHolder(operator.root());
-        platform.out = true;
+        platform.outage = true;
         feedOf(restarted, holder).refresh().join();
         assertEquals(4, restarted.version());
         assertRefusedBy(restarted, operator.bundle(5));
     }
 
-    // The object store gives other bytes than the row's hash names, for example cut short. They are not adopted.
+    // The object store returns bytes that don't match the row's hash, such as a truncated document. They must not be
+    // adopted.
     @Test
     void bytesThatDoNotMatchTheRowAreRefused() {
         SignedBundle bundle = operator.bundle(1);
@@ -103,11 +104,11 @@
         assertTrue(feed.lastFailure().orElseThrow().contains("other bytes"));
     }
 
-    // Gossip tells of a higher version while the store is out. The hint makes the feed ask peers at once instead
-    // of waiting for the next look; a hint of no higher version costs nothing.
+    // Gossip reports a higher version during an outage of the store. The hint must make the feed ask peers at once
+    // instead of waiting for the next poll; a hint of a version that is not higher causes no call.
     @Test
     void hintOfAHigherVersionAsksPeersAtOnce() throws Exception {
-        platform.out = true;
+        platform.outage = true;
         BundleHolder peer = new BundleHolder(operator.root());
         peer.adopt(List.of(operator.bundle(6)));
         CompletableFuture<Long> adopted = new CompletableFuture<>();
@@ -124,13 +125,13 @@
         }
     }
 
-    // Every process reading the row each second would be 2,720 reads a second, and the table service takes 2,000.
-    // A process that others read for looks while it has no bundle, and then once in so many intervals: were that
-    // look left out, a process that gossip does not reach would stay on the old bundle for good.
+    // If every process read the row each second, 2,720 reads a second would exceed the 2,000 that the table service
+    // handles. A process that relies on gossip polls while it has no bundle and then once in a number of intervals;
+    // without that poll, a process that gossip does not reach would stay on the old bundle permanently.
     @Test
-    void aProcessThatOthersReadForLooksRarelyButDoesLook() {
+    void processThatSkipsIntervalsStillPollsPeriodically() {
         BundleFeed feed = BundleFeed.builder(holder, platform.archive())
-                .lookingAlways(() -> false, 30, 2)
+                .pollEveryInterval(() -> false, 30, 2)
                 .build();
         feed.tick().join();
         submit(operator.bundle(1));
@@ -145,17 +146,17 @@
         assertEquals(2, holder.version());
     }
 
-    // A client throws instead of failing its future. Were the look not closed, the feed would count as busy for
-    // good and the process would stay on an old bundle.
+    // The client of a peer throws instead of returning a failed future. If the feed did not end that refresh, it would
+    // skip all later ones and the process would stay on an old bundle.
     @Test
-    void throwingClientDoesNotStopLaterLooks() {
-        AtomicInteger asked = new AtomicInteger();
+    void throwingPeerClientDoesNotBlockLaterRefreshes() {
+        AtomicInteger fetches = new AtomicInteger();
         BundleHolder peer = new BundleHolder(operator.root());
         peer.adopt(List.of(operator.bundle(1)));
-        platform.out = true;
+        platform.outage = true;
         BundleFeed feed = BundleFeed.builder(holder, platform.archive())
                 .peers(version -> {
-                    if (asked.getAndIncrement() == 0) {
+                    if (fetches.getAndIncrement() == 0) {
                         throw new IllegalStateException("faulty client");
                     }
                     return CompletableFuture.completedFuture(peer.nextAbove(version));
@@ -172,8 +173,8 @@
         return feedOf(holder, peer);
     }
 
-    private BundleFeed feedOf(BundleHolder mine, BundleHolder peer) {
-        return BundleFeed.builder(mine, platform.archive())
+    private BundleFeed feedOf(BundleHolder holder, BundleHolder peer) {
+        return BundleFeed.builder(holder, platform.archive())
                 .peers(version -> CompletableFuture.completedFuture(peer.nextAbove(version)))
                 .build();
     }
--- a/src/test/java/io/waxwingquay/bundle/Operator.java
+++ b/src/test/java/io/waxwingquay/bundle/Operator.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.stream.Collectors;
 
-/** An operator with a key, who writes and signs small bundles. */
+/** An operator with a pair of keys who signs small bundles. */
 final class Operator {
 
     private final KeyPair pair = KeyCodec.generate();
@@ -15,7 +15,7 @@
     }
 
     String publicKey() {
-        return KeyCodec.text(pair.getPublic());
+        return KeyCodec.encode(pair.getPublic());
     }
 
     TrustedKeys root() {
@@ -30,13 +30,13 @@
         return sign(document(version, "records"));
     }
 
-    SignedBundle naming(long version, List<String> revoked, Operator... trusted) {
+    SignedBundle bundleTrusting(long version, List<String> revoked, Operator... trusted) {
         String keys = Arrays.stream(trusted)
                 .map(each ->
                         "[[keys.trusted]]\nid = \"" + each.id() + "\"\npublic_key = \"" + each.publicKey() + "\"\n")
                 .collect(Collectors.joining());
-        String list = revoked.stream().map(id -> "\"" + id + "\"").collect(Collectors.joining(", "));
-        return sign(document(version, "records") + "[keys]\nrevoked = [" + list + "]\n" + keys);
+        String revokedIds = revoked.stream().map(id -> "\"" + id + "\"").collect(Collectors.joining(", "));
+        return sign(document(version, "records") + "[keys]\nrevoked = [" + revokedIds + "]\n" + keys);
     }
 
     static String document(long version, String service) {
--- a/src/test/java/io/waxwingquay/observe/AdminServerTest.java
+++ b/src/test/java/io/waxwingquay/observe/AdminServerTest.java
@@ -25,8 +25,8 @@
 
 class AdminServerTest {
 
-    /** The close and the answer are on two threads; in one of a few the close comes first. */
-    private static final int CLOSING_SERVERS = 40;
+    /** The server closes and replies on two threads, and the close comes first only in some rounds. */
+    private static final int SHUTDOWN_ROUNDS = 40;
 
     private final PrometheusMeterRegistry registry = new PrometheusMeterRegistry(PrometheusConfig.DEFAULT);
     private final HttpClient client = new HttpClient();
@@ -55,12 +55,12 @@
         registry.close();
     }
 
-    // An operator asks an idle process to drain. It has nothing to wait for and closes at once, while the operator's
-    // answer
-    // was still being written: a connection that ends without an answer, of which nobody can tell whether it drains.
+    // An operator asks an idle process to drain. It has nothing to wait for and closes at once, while the reply is
+    // still being written. The connection would end without a reply, and the operator could not tell whether the
+    // process drains.
     @Test
-    void operatorIsAnsweredThoughTheDrainIsOverAtOnce() throws Exception {
-        for (int number = 0; number < CLOSING_SERVERS; number++) {
+    void answersShutdownBeforeTheServerCloses() throws Exception {
+        for (int number = 0; number < SHUTDOWN_ROUNDS; number++) {
             CompletableFuture<AdminServer> started = new CompletableFuture<>();
             try (AdminServer closing = AdminServer.builder(registry, new StateDump())
                     .drain(() -> started.join().close())
@@ -76,11 +76,11 @@
     }
 
     @Test
-    void showsMetersInThePrometheusFormat() throws Exception {
+    void exposesMetersInThePrometheusFormat() throws Exception {
         AtomicLong nowMillis = new AtomicLong(1_000);
         ProcessMeters meters = new ProcessMeters(registry, new FixedClock(nowMillis));
-        Bundles bundles = new Bundles();
-        meters.watch(bundles);
+        SettableBundleSource bundles = new SettableBundleSource();
+        meters.registerBundle(bundles);
         bundles.adopt(7);
         nowMillis.addAndGet(2_500);
         meters.countCall("gossip", 120, 80);
@@ -105,7 +105,7 @@
     }
 
     @Test
-    void tellsReadinessApartFromHealth() throws Exception {
+    void reportsReadinessSeparatelyFromHealth() throws Exception {
         assertEquals(200, get("/healthz").getStatus());
         assertEquals(503, get("/readyz").getStatus());
         assertEquals("not ready: no bundle yet\n", get("/readyz").getContentAsString());
@@ -113,8 +113,8 @@
         assertEquals(200, get("/readyz").getStatus());
     }
 
-    // A browser or a scraper that walks over all pages must not drain the process, and an operator who asks
-    // twice must not start a second drain beside the first.
+    // A browser or a scraper that requests all pages must not drain the process, and an operator who asks twice must
+    // not start a second drain.
     @Test
     void onlyPostStartsOneDrain() throws Exception {
         assertEquals(405, get("/shutdown").getStatus());
@@ -152,7 +152,7 @@
         }
     }
 
-    private static final class Bundles implements BundleSource {
+    private static final class SettableBundleSource implements BundleSource {
 
         private final List<Consumer<Bundle>> listeners = new ArrayList<>();
         private Optional<Bundle> current = Optional.empty();
--- a/src/test/java/io/waxwingquay/settings/ReferenceFilesTest.java
+++ b/src/test/java/io/waxwingquay/settings/ReferenceFilesTest.java
@@ -16,30 +16,31 @@
 
 class ReferenceFilesTest {
 
-    private static final Path ENTRY = Path.of("docs/settings/entry.toml");
-    private static final Path SIDE = Path.of("docs/settings/side.toml");
+    private static final Path ENTRY_REFERENCE = Path.of("docs/settings/entry.toml");
+    private static final Path SIDE_REFERENCE = Path.of("docs/settings/side.toml");
 
     @Test
     void entryReferenceNamesEveryKeyWithItsDefaultAndRange() throws IOException {
-        assertComplete(ENTRY, EntrySettings::from);
+        assertComplete(ENTRY_REFERENCE, EntrySettings::from);
     }
 
     @Test
     void sideReferenceNamesEveryKeyWithItsDefaultAndRange() throws IOException {
-        assertComplete(SIDE, SideSettings::from);
+        assertComplete(SIDE_REFERENCE, SideSettings::from);
     }
 
-    private static <T> void assertComplete(Path file, Function<TomlTable, T> reading) throws IOException {
+    private static <T> void assertComplete(Path file, Function<TomlTable, T> reader) throws IOException {
         String text = Files.readString(file);
         Map<String, String> known = new HashMap<>();
-        T whole = TomlDocument.read(file.toString(), text.getBytes(), table -> {
-            T settings = reading.apply(table);
+        T fromReference = TomlDocument.read(file.toString(), text.getBytes(), table -> {
+            T settings = reader.apply(table);
             known.putAll(table.knownKeys());
             return settings;
         });
         known.forEach((key, allowed) -> assertDocumented(text, key, allowed));
-        T required = TomlDocument.read("required keys", withoutDefaults(text).getBytes(), reading);
-        assertEquals(whole, required);
+        T fromRequiredKeys =
+                TomlDocument.read("required keys", withoutDefaults(text).getBytes(), reader);
+        assertEquals(fromReference, fromRequiredKeys);
     }
 
     private static void assertDocumented(String text, String key, String allowed) {
@@ -48,7 +49,7 @@
                 .findFirst()
                 .orElse("");
         assertFalse(paragraph.isEmpty(), key + " is not documented");
-        assertTrue(paragraph.contains("efault"), key + " has no word on its default");
+        assertTrue(paragraph.contains("efault"), key + " does not state its default");
         if (allowed.contains(" to ") || allowed.contains(" | ")) {
             assertTrue(paragraph.contains(allowed), key + " lacks its range " + allowed);
         }
