--- a/src/main/java/io/waxwingquay/bench/Demo.java
+++ b/src/main/java/io/waxwingquay/bench/Demo.java
@@ -59,13 +59,13 @@
     public boolean run() throws IOException, InterruptedException {
         byte[] document = document();
         try (LocalDeployment deployment =
-                        LocalDeployment.of(document).timeScale(TIME_SCALE).start();
+                        LocalDeployment.builder(document).timeScale(TIME_SCALE).start();
                 Caller caller = new Caller()) {
             out.println("Started a platform, a weight store, 3 model engines and a plain service as stand-ins;");
             out.println("2 entries and 4 sides; bundle 1 signed and accepted.");
             if (!deployment.awaitServing(READY_LIMIT_MILLIS)) {
                 out.println("Not every model was served in time: "
-                        + deployment.unserved(deployment.entries().get(0)));
+                        + deployment.unservedModels(deployment.entries().get(0)));
                 return false;
             }
             complete(deployment, caller);
@@ -123,7 +123,7 @@
             replays.add(payTwice(deployment, caller, number));
         }
         long same = replays.stream().filter(CompletableFuture::join).count();
-        PlainServiceStandin booking = deployment.targets().plains().get("booking-0");
+        PlainServiceStandin booking = deployment.targets().plainServices().get("booking-0");
         int most = booking.stats().runsByKey().values().stream()
                 .mapToInt(Integer::intValue)
                 .max()
--- a/src/main/java/io/waxwingquay/bench/Fault.java
+++ b/src/main/java/io/waxwingquay/bench/Fault.java
@@ -63,13 +63,13 @@
     SLOW_WEIGHTS {
         @Override
         void begin(LocalDeployment deployment, long lastsMillis) {
-            deployment.targets().stores().values().forEach(store -> store.faults()
+            deployment.targets().weightStores().values().forEach(store -> store.faults()
                     .set(Settings.NONE.withSlowMillis(SLOW_MILLIS)));
         }
 
         @Override
         void end(LocalDeployment deployment) {
-            deployment.targets().stores().values().forEach(store -> store.faults()
+            deployment.targets().weightStores().values().forEach(store -> store.faults()
                     .clear());
         }
     };
--- a/src/main/java/io/waxwingquay/bench/LoadRun.java
+++ b/src/main/java/io/waxwingquay/bench/LoadRun.java
@@ -1,6 +1,6 @@
 package io.waxwingquay.bench;
 
-import io.waxwingquay.bench.LocalDeployment.Residents;
+import io.waxwingquay.bench.LocalDeployment.InitialResidents;
 import io.waxwingquay.bundle.Bundle;
 import io.waxwingquay.common.HostPort;
 import io.waxwingquay.standin.CostModel;
@@ -45,17 +45,17 @@
     RunResult measure(Path bundles, PrintWriter trace) throws IOException, InterruptedException {
         byte[] document = Files.readAllBytes(bundles.resolve(workload.bundleFile()));
         StartGate gate = new StartGate();
-        try (LocalDeployment deployment = LocalDeployment.of(document)
+        try (LocalDeployment deployment = LocalDeployment.builder(document)
                         .entries(ENTRIES)
-                        .routing(policy.routing())
+                        .routingPolicy(policy.routing())
                         .decisions(policy.decisionsBehind(gate))
                         .costs(COSTS)
-                        .residents(Residents.PRELOADED)
+                        .initialResidents(InitialResidents.PRELOADED)
                         .start();
                 Caller caller = new Caller()) {
             if (!deployment.awaitServing(SERVING_LIMIT_MILLIS)) {
                 trace.println("  not every model was served before the load: "
-                        + deployment.unserved(deployment.entries().get(0)));
+                        + deployment.unservedModels(deployment.entries().get(0)));
             }
             gate.open();
             settle(deployment);
@@ -195,12 +195,12 @@
     }
 
     private static io.waxwingquay.standin.WeightStoreStandin.Stats store(LocalDeployment deployment) {
-        return deployment.targets().stores().values().iterator().next().stats();
+        return deployment.targets().weightStores().values().iterator().next().stats();
     }
 
     private static int mostRuns(LocalDeployment deployment) {
         Map<String, Integer> all = new java.util.HashMap<>();
-        deployment.targets().plains().values().forEach(plain -> plain.stats()
+        deployment.targets().plainServices().values().forEach(plain -> plain.stats()
                 .runsByKey()
                 .forEach((key, runs) -> all.merge(key, runs, Integer::sum)));
         return all.values().stream().mapToInt(Integer::intValue).max().orElse(0);
--- a/src/main/java/io/waxwingquay/bench/LocalDeployment.java
+++ b/src/main/java/io/waxwingquay/bench/LocalDeployment.java
@@ -71,7 +71,7 @@
                 new HostPort(LOOPBACK, platform.port()),
                 KeyCodec.text(operatorKey.getPublic()),
                 DATA_CENTRES,
-                choices.leaseMillis,
+                choices.permitLeaseMillis,
                 choices.orderQuarantineMillis);
     }
 
@@ -81,7 +81,7 @@
      * @param document the bundle to serve, as TOML.
      * @return a builder.
      */
-    public static LocalDeploymentBuilder of(byte[] document) {
+    public static LocalDeploymentBuilder builder(byte[] document) {
         return new LocalDeploymentBuilder(document);
     }
 
@@ -144,7 +144,7 @@
                     new HttpTableService(client, address, TABLE_TIMEOUT_MILLIS),
                     new HttpObjectStore(client, address, TABLE_TIMEOUT_MILLIS));
             TrustedKeys roots = TrustedKeys.ofRoots(List.of(KeyCodec.text(operatorKey.getPublic())));
-            return new BundleAcceptance(archive, roots).submit(signed(document)).join();
+            return new BundleAcceptance(archive, roots).submit(sign(document)).join();
         } finally {
             stop(client);
         }
@@ -156,7 +156,7 @@
      * @param document the bundle, as TOML.
      * @return the signed bundle, submitted to nobody.
      */
-    public SignedBundle signed(byte[] document) {
+    public SignedBundle sign(byte[] document) {
         return BundleSigner.of(operatorKey.getPrivate(), operatorKey.getPublic())
                 .sign(document);
     }
@@ -193,7 +193,7 @@
      * @param entry the entry.
      * @return the items.
      */
-    public Set<String> unserved(EntryProcess entry) {
+    public Set<String> unservedModels(EntryProcess entry) {
         Set<String> resident = entry.membership().sides().stream()
                 .filter(side -> side.takesWork())
                 .flatMap(side -> side.residentItems().stream())
@@ -280,7 +280,7 @@
         if (outcome.verdict() != BundleAcceptance.Verdict.ACCEPTED) {
             throw new IllegalStateException("the bundle was not accepted: " + outcome.message());
         }
-        if (choices.residents == Residents.PRELOADED) {
+        if (choices.initialResidents == InitialResidents.PRELOADED) {
             preload();
         }
         bundle.services().forEach(service -> IntStream.range(0, service.replicas())
@@ -291,7 +291,7 @@
     }
 
     private EntryProcess entry(int number) {
-        String text = texts.withSeeds(seeds()).entry(number, choices.policy, ANY_PORTS);
+        String text = texts.withSeeds(seeds()).entry(number, choices.routingPolicy, ANY_PORTS);
         return EntryProcess.start(EntrySettings.parse("entry", text.getBytes(StandardCharsets.UTF_8)));
     }
 
@@ -331,7 +331,7 @@
                 .filter(side -> side.takesWork())
                 .map(side -> side.service())
                 .collect(Collectors.toSet());
-        return unserved(entry).isEmpty() && bundle.services().stream().allMatch(s -> services.contains(s.name()));
+        return unservedModels(entry).isEmpty() && bundle.services().stream().allMatch(s -> services.contains(s.name()));
     }
 
     private static boolean await(long limitMillis, BooleanSupplier condition) throws InterruptedException {
@@ -354,7 +354,7 @@
     }
 
     /** What engines hold before any side starts. */
-    public enum Residents {
+    public enum InitialResidents {
         /** Nothing. */
         NONE,
         /** The static plan of the bundle. */
--- a/src/main/java/io/waxwingquay/bench/LocalDeploymentBuilder.java
+++ b/src/main/java/io/waxwingquay/bench/LocalDeploymentBuilder.java
@@ -13,15 +13,15 @@
 
     final byte[] document;
     int entryCount = 2;
-    String policy = "waxwingquay";
+    String routingPolicy = "waxwingquay";
     SideProcess.Decisions decisions = SideProcess.Decisions.DEFAULT;
     CostModel costs = CostModel.DEFAULT;
     double timeScale = 1.0;
     long weightLoadMillis = DEFAULT_WEIGHT_LOAD_MILLIS;
-    long leaseMillis = DEFAULT_LEASE_MILLIS;
+    long permitLeaseMillis = DEFAULT_LEASE_MILLIS;
     long orderQuarantineMillis;
     long listLagMillis;
-    LocalDeployment.Residents residents = LocalDeployment.Residents.NONE;
+    LocalDeployment.InitialResidents initialResidents = LocalDeployment.InitialResidents.NONE;
 
     LocalDeploymentBuilder(byte[] document) {
         this.document = document.clone();
@@ -44,8 +44,8 @@
      * @param name its name.
      * @return this builder.
      */
-    public LocalDeploymentBuilder routing(String name) {
-        this.policy = name;
+    public LocalDeploymentBuilder routingPolicy(String name) {
+        this.routingPolicy = name;
         return this;
     }
 
@@ -121,8 +121,8 @@
      * @param held what they hold.
      * @return this builder.
      */
-    public LocalDeploymentBuilder residents(LocalDeployment.Residents held) {
-        this.residents = held;
+    public LocalDeploymentBuilder initialResidents(LocalDeployment.InitialResidents held) {
+        this.initialResidents = held;
         return this;
     }
 
--- a/src/main/java/io/waxwingquay/bench/LocalTargets.java
+++ b/src/main/java/io/waxwingquay/bench/LocalTargets.java
@@ -29,8 +29,8 @@
 
     private final HttpClient client = HttpCalls.startClient(STORE_CONNECTIONS, CONNECT_MILLIS);
     private final Map<String, ModelEngineStandin> engines = new LinkedHashMap<>();
-    private final Map<String, PlainServiceStandin> plains = new LinkedHashMap<>();
-    private final Map<String, WeightStoreStandin> stores = new LinkedHashMap<>();
+    private final Map<String, PlainServiceStandin> plainServices = new LinkedHashMap<>();
+    private final Map<String, WeightStoreStandin> weightStores = new LinkedHashMap<>();
     private final CostModel costs;
     private final double timeScale;
     private final long weightLoadMillis;
@@ -59,7 +59,7 @@
     public HostPort address(String sideName) {
         int port = Optional.ofNullable(engines.get(sideName))
                 .map(ModelEngineStandin::port)
-                .orElseGet(() -> plains.get(sideName).port());
+                .orElseGet(() -> plainServices.get(sideName).port());
         return new HostPort(LOOPBACK, port);
     }
 
@@ -77,8 +77,8 @@
      *
      * @return the stand-ins by the name of their side.
      */
-    public Map<String, PlainServiceStandin> plains() {
-        return plains;
+    public Map<String, PlainServiceStandin> plainServices() {
+        return plainServices;
     }
 
     /**
@@ -86,16 +86,16 @@
      *
      * @return the stand-ins by service.
      */
-    public Map<String, WeightStoreStandin> stores() {
-        return stores;
+    public Map<String, WeightStoreStandin> weightStores() {
+        return weightStores;
     }
 
     /** {@inheritDoc} */
     @Override
     public void close() {
         engines.values().forEach(ModelEngineStandin::close);
-        plains.values().forEach(PlainServiceStandin::close);
-        stores.values().forEach(WeightStoreStandin::close);
+        plainServices.values().forEach(PlainServiceStandin::close);
+        weightStores.values().forEach(WeightStoreStandin::close);
         try {
             client.stop();
         } catch (Exception failure) {
@@ -105,11 +105,12 @@
 
     private void start(Service service) {
         if (service.kind() == Kind.PLAIN) {
-            replicas(service).forEach(number -> plains.put(SettingsText.sideName(service.name(), number), plain()));
+            replicas(service)
+                    .forEach(number -> plainServices.put(SettingsText.sideName(service.name(), number), plain()));
             return;
         }
         WeightStoreStandin store = store(service);
-        stores.put(service.name(), store);
+        weightStores.put(service.name(), store);
         WeightSource source = WeightSource.http(client, new HostPort(LOOPBACK, store.port()), LOAD_MILLIS);
         replicas(service)
                 .forEach(number -> engines.put(SettingsText.sideName(service.name(), number), engine(service, source)));
--- a/src/main/java/io/waxwingquay/bench/Overhead.java
+++ b/src/main/java/io/waxwingquay/bench/Overhead.java
@@ -26,10 +26,10 @@
  * Measures what the path through entry and side adds to a direct call: requests take turns between both, at the same
  * rate, to the same stand-in, which generates one token every 20 ms.
  *
- * @param perSecond the rates to measure, in requests a second of both together.
- * @param seconds how long each rate lasts.
+ * @param ratesPerSecond the rates to measure, in requests a second of both together.
+ * @param secondsPerRate how long each rate lasts.
  */
-public record Overhead(List<Integer> perSecond, int seconds) {
+public record Overhead(List<Integer> ratesPerSecond, int secondsPerRate) {
 
     private static final String BUNDLE = "/bench/overhead.toml";
     private static final String MODEL = "throwing";
@@ -51,14 +51,16 @@
      * @throws InterruptedException if a wait is interrupted.
      */
     public void run(PrintWriter out) throws IOException, InterruptedException {
-        try (LocalDeployment deployment =
-                        LocalDeployment.of(document()).entries(1).costs(COSTS).start();
+        try (LocalDeployment deployment = LocalDeployment.builder(document())
+                        .entries(1)
+                        .costs(COSTS)
+                        .start();
                 Caller caller = new Caller()) {
             deployment.awaitServing(SERVING_LIMIT_MILLIS);
             Paths paths = new Paths(deployment, caller);
-            measure(paths, perSecond.get(0));
+            measure(paths, ratesPerSecond.get(0));
             out.println("requests/s  direct p50 ms  p99 ms  through p50 ms  p99 ms  ratio p50  ratio p99  failed");
-            for (int rate : perSecond) {
+            for (int rate : ratesPerSecond) {
                 out.println(measure(paths, rate).line(rate));
                 out.flush();
             }
@@ -70,7 +72,7 @@
         Figures figures = new Figures();
         List<CompletableFuture<Void>> all = new ArrayList<>();
         long startNanos = System.nanoTime();
-        long count = (long) rate * seconds;
+        long count = (long) rate * secondsPerRate;
         for (long number = 0; number < count; number++) {
             sleepUntil(startNanos + number * TimeUnit.SECONDS.toNanos(1) / rate);
             all.add(number % 2 == 0 ? paths.direct(number, figures) : paths.through(number, figures));
--- a/src/main/java/io/waxwingquay/bench/Bench.java
+++ b/src/main/java/io/waxwingquay/bench/PolicyBenchmark.java
@@ -13,22 +13,28 @@
  *
  * @param workload the workload's name.
  * @param policies the policies' names.
- * @param seeds how many seeds, from 1.
- * @param seconds how long each run sends requests.
+ * @param seedCount how many seeds, from 1.
+ * @param secondsPerRun how long each run sends requests.
  * @param fault the fault's name.
- * @param bundles the directory of the bundle files.
- * @param directory where the report goes.
+ * @param bundleDirectory the directory of the bundle files.
+ * @param outputDirectory where the report goes.
  */
-public record Bench(
-        String workload, List<String> policies, int seeds, int seconds, String fault, Path bundles, Path directory) {
+public record PolicyBenchmark(
+        String workload,
+        List<String> policies,
+        int seedCount,
+        int secondsPerRun,
+        String fault,
+        Path bundleDirectory,
+        Path outputDirectory) {
 
     /**
      * Checks the names.
      *
      * @throws IllegalArgumentException if a name is not known, or the workload's bundle is not there.
      */
-    public Bench {
-        Path bundle = bundles.resolve(Workload.named(workload).bundleFile());
+    public PolicyBenchmark {
+        Path bundle = bundleDirectory.resolve(Workload.named(workload).bundleFile());
         if (!Files.isRegularFile(bundle)) {
             throw new IllegalArgumentException("bundle file " + bundle + " of workload " + workload
                     + " is not there; run at the repository's root or give --bundles");
@@ -51,16 +57,17 @@
         Fault shown = Fault.named(fault);
         List<PolicyPair> pairs = policies.stream().map(PolicyPair::named).toList();
         List<RunResult> results = new ArrayList<>();
-        for (int seed = 1; seed <= seeds; seed++) {
+        for (int seed = 1; seed <= seedCount; seed++) {
             for (PolicyPair pair : pairs) {
-                results.add(new LoadRun(requests, pair, shown, seed, seconds).measure(bundles, out));
+                results.add(new LoadRun(requests, pair, shown, seed, secondsPerRun).measure(bundleDirectory, out));
             }
         }
         BenchReport report = new BenchReport(results);
         String name = workload + "-" + shown.title();
-        report.write(directory, name);
-        BenchPlot.write(directory.resolve(name + ".png"), workload + ", fault: " + shown.title(), report.byPolicy());
-        out.println(workload + ", fault " + shown.title() + ", " + seeds + " seeds of " + seconds + " s");
+        report.write(outputDirectory, name);
+        BenchPlot.write(
+                outputDirectory.resolve(name + ".png"), workload + ", fault: " + shown.title(), report.byPolicy());
+        out.println(workload + ", fault " + shown.title() + ", " + seedCount + " seeds of " + secondsPerRun + " s");
         out.print(report.text());
         out.flush();
     }
--- a/src/main/java/io/waxwingquay/bench/SettingsText.java
+++ b/src/main/java/io/waxwingquay/bench/SettingsText.java
@@ -9,18 +9,18 @@
 /**
  * Writes the settings of a whole deployment on loopback, as an operator would by hand.
  *
- * @param platform where the platform answers.
+ * @param platformAddress where the platform answers.
  * @param publicKey the operator's root key, in base64.
- * @param dataCentres how many data centres the processes are spread over.
- * @param leaseMillis the lease of shared limits; a restarted side lends nothing for that long.
+ * @param dataCentreCount how many data centres the processes are spread over.
+ * @param permitLeaseMillis the lease of shared limits; a restarted side lends nothing for that long.
  * @param orderQuarantineMillis how long a side before an unfenced engine sends no orders after its start.
  * @param seeds processes to gossip with at first.
  */
 public record SettingsText(
-        HostPort platform,
+        HostPort platformAddress,
         String publicKey,
-        int dataCentres,
-        long leaseMillis,
+        int dataCentreCount,
+        long permitLeaseMillis,
         long orderQuarantineMillis,
         List<HostPort> seeds) {
 
@@ -73,7 +73,8 @@
      * @return the changed settings.
      */
     public SettingsText withSeeds(List<HostPort> addresses) {
-        return new SettingsText(platform, publicKey, dataCentres, leaseMillis, orderQuarantineMillis, addresses);
+        return new SettingsText(
+                platformAddress, publicKey, dataCentreCount, permitLeaseMillis, orderQuarantineMillis, addresses);
     }
 
     /**
@@ -121,12 +122,12 @@
     public String side(Bundle.Service service, int replica, HostPort target, List<Integer> ports) {
         String kind = service.kind().name().toLowerCase(Locale.ROOT);
         return common(sideName(service.name(), replica), replica, ports)
-                + SIDE.formatted(service.name(), replica, target, kind, leaseMillis, orderQuarantineMillis);
+                + SIDE.formatted(service.name(), replica, target, kind, permitLeaseMillis, orderQuarantineMillis);
     }
 
     private String common(String name, int number, List<Integer> ports) {
         return COMMON.formatted(
-                name, dataCentreNumber(number), ports.get(0), ports.get(1), platform, publicKey, quoted(seeds));
+                name, dataCentreNumber(number), ports.get(0), ports.get(1), platformAddress, publicKey, quoted(seeds));
     }
 
     private static String quoted(List<HostPort> addresses) {
@@ -134,6 +135,6 @@
     }
 
     private int dataCentreNumber(int number) {
-        return number % dataCentres + 1;
+        return number % dataCentreCount + 1;
     }
 }
--- a/src/main/java/io/waxwingquay/bench/capacity/Capacity.java
+++ b/src/main/java/io/waxwingquay/bench/capacity/Capacity.java
@@ -37,7 +37,7 @@
     }
 
     private void print(StepTable table) {
-        out.print(table.markdown());
+        out.print(table.toMarkdown());
         out.flush();
     }
 
--- a/src/main/java/io/waxwingquay/bench/capacity/LeastSquares.java
+++ b/src/main/java/io/waxwingquay/bench/capacity/LeastSquares.java
@@ -8,10 +8,10 @@
  *
  * @param intercept the cost at size nought.
  * @param slope the cost of one more.
- * @param slopeError the standard error of the slope; not a number below three steps.
- * @param worstError the largest distance of a step from the line, as a share of the step's cost.
+ * @param slopeStandardError the standard error of the slope; not a number below three steps.
+ * @param maxRelativeError the largest distance of a step from the line, as a share of the step's cost.
  */
-public record LeastSquares(double intercept, double slope, double slopeError, double worstError) {
+public record LeastSquares(double intercept, double slope, double slopeStandardError, double maxRelativeError) {
 
     private static final double PERCENT = 100.0;
 
@@ -21,7 +21,7 @@
      * @param steps at least two measurements at different sizes.
      * @return the line.
      */
-    static LeastSquares through(List<StepTable.Step> steps) {
+    static LeastSquares fit(List<StepTable.Step> steps) {
         double meanSize = mean(steps.stream().mapToDouble(StepTable.Step::size).toArray());
         double meanCost = mean(steps.stream().mapToDouble(StepTable.Step::cost).toArray());
         double spread = 0;
@@ -48,7 +48,7 @@
      * @param size the size.
      * @return the cost on the line.
      */
-    public double at(double size) {
+    public double costAt(double size) {
         return intercept + slope * size;
     }
 
@@ -60,8 +60,8 @@
                 "fit: %.4g + %.4g x size; standard error of the slope %.2g; worst step %.0f%% off the line",
                 intercept,
                 slope,
-                slopeError,
-                worstError * PERCENT);
+                slopeStandardError,
+                maxRelativeError * PERCENT);
     }
 
     private static double mean(double[] values) {
--- a/src/main/java/io/waxwingquay/bench/capacity/StepTable.java
+++ b/src/main/java/io/waxwingquay/bench/capacity/StepTable.java
@@ -8,11 +8,11 @@
 /**
  * A cost measured at rising sizes.
  *
- * @param cost what was measured, with its unit.
- * @param size what was raised.
+ * @param costLabel what was measured, with its unit.
+ * @param sizeLabel what was raised.
  * @param steps the measurements.
  */
-public record StepTable(String cost, String size, List<Step> steps) {
+public record StepTable(String costLabel, String sizeLabel, List<Step> steps) {
 
     /**
      * Measures a cost at each size.
@@ -34,8 +34,8 @@
      *
      * @return the fit over the size as it is.
      */
-    public LeastSquares line() {
-        return LeastSquares.through(steps);
+    public LeastSquares fittedLine() {
+        return LeastSquares.fit(steps);
     }
 
     /**
@@ -43,10 +43,10 @@
      *
      * @return lines of Markdown.
      */
-    public String markdown() {
-        StringBuilder text = new StringBuilder("\n| %s | %s |\n|---|---|\n".formatted(size, cost));
+    public String toMarkdown() {
+        StringBuilder text = new StringBuilder("\n| %s | %s |\n|---|---|\n".formatted(sizeLabel, costLabel));
         steps.forEach(step -> text.append(String.format(Locale.ROOT, "| %.0f | %.4g |%n", step.size(), step.cost())));
-        return text.append('\n').append(line()).append('\n').toString();
+        return text.append('\n').append(fittedLine()).append('\n').toString();
     }
 
     /**
--- a/src/main/java/io/waxwingquay/command/BenchCommand.java
+++ b/src/main/java/io/waxwingquay/command/BenchCommand.java
@@ -1,7 +1,7 @@
 package io.waxwingquay.command;
 
-import io.waxwingquay.bench.Bench;
 import io.waxwingquay.bench.Overhead;
+import io.waxwingquay.bench.PolicyBenchmark;
 import java.nio.file.Path;
 import java.util.List;
 import java.util.concurrent.Callable;
@@ -73,9 +73,9 @@
             return ExitCodes.OK;
         }
 
-        private Bench bench() {
+        private PolicyBenchmark bench() {
             try {
-                return new Bench(workload, policies, seeds, seconds, fault, bundles, directory);
+                return new PolicyBenchmark(workload, policies, seeds, seconds, fault, bundles, directory);
             } catch (IllegalArgumentException wrong) {
                 throw new ParameterException(spec.commandLine(), wrong.getMessage(), wrong);
             }
--- a/src/test/java/io/waxwingquay/bench/capacity/StepTableTest.java
+++ b/src/test/java/io/waxwingquay/bench/capacity/StepTableTest.java
@@ -11,20 +11,20 @@
     @Test
     void costsOnALineGiveThatLineWithoutError() {
         LeastSquares line = StepTable.measure("bytes", "sides", List.of(1, 2, 5), size -> 7 + 3 * size)
-                .line();
+                .fittedLine();
         assertEquals(3, line.slope(), 1e-9);
         assertEquals(7, line.intercept(), 1e-9);
-        assertEquals(0, line.slopeError(), 1e-9);
-        assertEquals(307, line.at(100), 1e-9);
+        assertEquals(0, line.slopeStandardError(), 1e-9);
+        assertEquals(307, line.costAt(100), 1e-9);
     }
 
     @Test
     void aStepOffTheLineShowsInTheErrors() {
         LeastSquares line = StepTable.measure("bytes", "sides", List.of(1, 2, 3), size -> size == 2 ? 20 : 10)
-                .line();
+                .fittedLine();
         assertEquals(0, line.slope(), 1e-9);
-        assertEquals(1 / 3.0, line.worstError(), 1e-9);
-        assertTrue(line.slopeError() > 1);
+        assertEquals(1 / 3.0, line.maxRelativeError(), 1e-9);
+        assertTrue(line.slopeStandardError() > 1);
     }
 
     // The page's figures rest on this field: news must go to all, and not across a cut.
--- a/src/test/java/io/waxwingquay/process/OperationsTest.java
+++ b/src/test/java/io/waxwingquay/process/OperationsTest.java
@@ -51,8 +51,9 @@
     @BeforeAll
     static void start() throws Exception {
         try (InputStream document = OperationsTest.class.getResourceAsStream("/demo/bundle.toml")) {
-            deployment =
-                    LocalDeployment.of(document.readAllBytes()).timeScale(0.05).start();
+            deployment = LocalDeployment.builder(document.readAllBytes())
+                    .timeScale(0.05)
+                    .start();
         }
         assertTrue(deployment.awaitServing(READY_MILLIS));
     }
--- a/src/test/java/io/waxwingquay/scenario/DeploymentWorld.java
+++ b/src/test/java/io/waxwingquay/scenario/DeploymentWorld.java
@@ -60,13 +60,14 @@
 
     /** Starts a deployment and waits until it serves every model. */
     void start(UnaryOperator<LocalDeploymentBuilder> choices) throws InterruptedException {
-        LocalDeployment started = own(choices.apply(
-                        LocalDeployment.of(document()).timeScale(TIME_SCALE).entries(2))
+        LocalDeployment started = own(choices.apply(LocalDeployment.builder(document())
+                        .timeScale(TIME_SCALE)
+                        .entries(2))
                 .start());
         deployment = Optional.of(started);
         caller = Optional.of(own(new Caller()));
         if (!started.awaitServing(SERVING_LIMIT_MILLIS)) {
-            throw new AssertionError("not served: " + started.unserved(entry(0)));
+            throw new AssertionError("not served: " + started.unservedModels(entry(0)));
         }
     }
 
--- a/src/test/java/io/waxwingquay/scenario/ReachSteps.java
+++ b/src/test/java/io/waxwingquay/scenario/ReachSteps.java
@@ -77,7 +77,7 @@
                 answer.join();
             }
             for (EntryProcess entry : world.deployment().entries()) {
-                assertEquals(Set.of(), world.deployment().unserved(entry), "evicted as the last replica");
+                assertEquals(Set.of(), world.deployment().unservedModels(entry), "evicted as the last replica");
             }
         }
     }
--- a/src/test/java/io/waxwingquay/scenario/RoguePeer.java
+++ b/src/test/java/io/waxwingquay/scenario/RoguePeer.java
@@ -46,7 +46,7 @@
                 switch (kind) {
                     case "forged" -> forged(document);
                     case "altered" -> altered(world, document, version);
-                    default -> world.deployment().signed(document);
+                    default -> world.deployment().sign(document);
                 };
         RoguePeer peer = new RoguePeer(world, offered);
         peer.server.servePeer(peer);
