--- a/src/main/java/io/waxwingquay/bench/StreamReader.java
+++ b/src/main/java/io/waxwingquay/bench/AnswerReader.java
@@ -17,27 +17,27 @@
 /**
  * Reads one answer as a caller does: streamed events, a plain body, or an error.
  */
-final class StreamReader implements Response.Listener {
+final class AnswerReader implements Response.Listener {
 
-    private static final String DATA = "data: ";
-    private static final String DONE = "[DONE]";
-    private static final int OK = 200;
+    private static final String DATA_PREFIX = "data: ";
+    private static final String END_OF_STREAM = "[DONE]";
+    private static final int STATUS_OK = 200;
 
     private final long sentNanos = System.nanoTime();
     private final CompletableFuture<CallerAnswer> answer = new CompletableFuture<>();
     private final ByteArrayOutputStream line = new ByteArrayOutputStream();
     private final StringBuilder text = new StringBuilder();
-    private final StringBuilder other = new StringBuilder();
+    private final StringBuilder plainBody = new StringBuilder();
     private OptionalLong firstTokenMicros = OptionalLong.empty();
     private Optional<CallerAnswer.Error> error = Optional.empty();
     private long tokens;
     private boolean isDone;
     private boolean isStream;
 
-    private StreamReader() {}
+    private AnswerReader() {}
 
     static CompletableFuture<CallerAnswer> send(Request request) {
-        StreamReader reader = new StreamReader();
+        AnswerReader reader = new AnswerReader();
         request.send(reader);
         return reader.answer;
     }
@@ -48,7 +48,7 @@
         while (content.hasRemaining()) {
             byte next = content.get();
             if (next == '\n') {
-                takeLine();
+                processLine();
             } else {
                 line.write(next);
             }
@@ -58,33 +58,34 @@
     /** {@inheritDoc} */
     @Override
     public void onComplete(Result result) {
-        takeLine();
+        processLine();
         int status = result.getResponse() == null ? 0 : result.getResponse().getStatus();
         if (!isStream) {
-            readError(other.toString());
+            readError(plainBody.toString());
         }
-        boolean isWhole = result.isSucceeded() && status == OK && error.isEmpty() && (isDone || !isStream);
-        String seen = isStream ? text.toString() : other.toString();
-        answer.complete(new CallerAnswer(status, isWhole, seen, tokens, firstTokenMicros, elapsedMicros(), error));
+        boolean isWhole = result.isSucceeded() && status == STATUS_OK && error.isEmpty() && (isDone || !isStream);
+        String answerText = isStream ? text.toString() : plainBody.toString();
+        answer.complete(
+                new CallerAnswer(status, isWhole, answerText, tokens, firstTokenMicros, elapsedMicros(), error));
     }
 
-    private void takeLine() {
-        String taken = line.toString(StandardCharsets.UTF_8);
+    private void processLine() {
+        String lineText = line.toString(StandardCharsets.UTF_8);
         line.reset();
-        if (taken.startsWith(DATA)) {
+        if (lineText.startsWith(DATA_PREFIX)) {
             isStream = true;
-            takeData(taken.substring(DATA.length()));
+            processData(lineText.substring(DATA_PREFIX.length()));
         } else {
-            other.append(taken);
+            plainBody.append(lineText);
         }
     }
 
-    private void takeData(String data) {
-        if (DONE.equals(data)) {
+    private void processData(String data) {
+        if (END_OF_STREAM.equals(data)) {
             isDone = true;
             return;
         }
-        JsonNode event = read(data);
+        JsonNode event = parse(data);
         if (event.has("error")) {
             readError(data);
             return;
@@ -97,7 +98,7 @@
     }
 
     private void readError(String body) {
-        JsonNode node = read(body).path("error");
+        JsonNode node = parse(body).path("error");
         if (node.isObject()) {
             error = Optional.of(new CallerAnswer.Error(
                     node.path("code").asText(),
@@ -110,7 +111,7 @@
         return TimeUnit.NANOSECONDS.toMicros(System.nanoTime() - sentNanos);
     }
 
-    private static JsonNode read(String body) {
+    private static JsonNode parse(String body) {
         try {
             return Json.MAPPER.readTree(body);
         } catch (JsonProcessingException failure) {
--- a/src/main/java/io/waxwingquay/bench/Tally.java
+++ b/src/main/java/io/waxwingquay/bench/AnswerStatistics.java
@@ -7,14 +7,14 @@
 import org.HdrHistogram.Histogram;
 
 /** Counts what callers saw. Safe for concurrent use. */
-final class Tally {
+final class AnswerStatistics {
 
     private static final double MICROS_PER_MILLI = 1_000.0;
     private static final double MICROS_PER_SECOND = 1_000_000.0;
     private static final String DID_NOT_RUN = "did_not_run";
-    private static final double RECOVERED = 0.95;
-    private static final int WINDOW_SECONDS = 2;
-    private static final int WARM_SECONDS = 2;
+    private static final double RECOVERED_SHARE = 0.95;
+    private static final int RECOVERY_WINDOW_SECONDS = 2;
+    private static final int WARM_UP_SECONDS = 2;
 
     private final Histogram firstTokenMicros = new Histogram(3);
     private final Map<String, Integer> failures = new TreeMap<>();
@@ -26,12 +26,12 @@
     private long refusedUnknown;
     private long plainAttained;
 
-    Tally(int seconds) {
+    AnswerStatistics(int seconds) {
         sentBySecond = new long[seconds];
         attainedBySecond = new long[seconds];
     }
 
-    synchronized void note(Arrival arrival, CallerAnswer answer) {
+    synchronized void record(Arrival arrival, CallerAnswer answer) {
         boolean inTime = answer.isWhole() && answer.totalMicros() <= arrival.deadlineMillis() * MICROS_PER_MILLI;
         if (arrival.call().isPresent()) {
             plainAttained += inTime ? 1 : 0;
@@ -46,11 +46,11 @@
         } else if (answer.isWhole()) {
             late++;
         } else {
-            noteFailure(arrival, answer);
+            recordFailure(arrival, answer);
         }
     }
 
-    private void noteFailure(Arrival arrival, CallerAnswer answer) {
+    private void recordFailure(Arrival arrival, CallerAnswer answer) {
         String code = answer.error().map(CallerAnswer.Error::code).orElse("broken connection");
         String execution = answer.error().map(CallerAnswer.Error::execution).orElse("unknown");
         if (execution.equals(DID_NOT_RUN)) {
@@ -78,30 +78,30 @@
         return Map.copyOf(failures);
     }
 
-    synchronized List<Double> shareBySecond() {
+    synchronized List<Double> attainedShareBySecond() {
         return java.util.stream.IntStream.range(0, sentBySecond.length)
-                .mapToObj(second -> share(second, second + 1))
+                .mapToObj(second -> attainedShare(second, second + 1))
                 .toList();
     }
 
     /** The share attained of what arrived from one second to before another. */
-    synchronized double share(int fromSecond, int toSecond) {
+    synchronized double attainedShare(int fromSecond, int toSecond) {
         long sent = Arrays.stream(sentBySecond, fromSecond, toSecond).sum();
         return sent == 0
                 ? 1
                 : (double) Arrays.stream(attainedBySecond, fromSecond, toSecond).sum() / sent;
     }
 
-    double shareBefore(double faultSeconds) {
-        return share(WARM_SECONDS, Math.max(WARM_SECONDS + 1, (int) faultSeconds));
+    double attainedShareBeforeFault(double faultSeconds) {
+        return attainedShare(WARM_UP_SECONDS, Math.max(WARM_UP_SECONDS + 1, (int) faultSeconds));
     }
 
     /** Seconds from the fault's end to the first window that reaches 95% of the share before; -1 if none does. */
     double recoverSeconds(double faultSeconds, double endSeconds) {
-        double wanted = RECOVERED * shareBefore(faultSeconds);
+        double requiredShare = RECOVERED_SHARE * attainedShareBeforeFault(faultSeconds);
         int end = (int) Math.ceil(endSeconds);
-        for (int second = end; second + WINDOW_SECONDS <= sentBySecond.length; second++) {
-            if (share(second, second + WINDOW_SECONDS) >= wanted) {
+        for (int second = end; second + RECOVERY_WINDOW_SECONDS <= sentBySecond.length; second++) {
+            if (attainedShare(second, second + RECOVERY_WINDOW_SECONDS) >= requiredShare) {
                 return second - endSeconds;
             }
         }
--- a/src/main/java/io/waxwingquay/bench/BenchPlot.java
+++ b/src/main/java/io/waxwingquay/bench/BenchPlot.java
@@ -13,31 +13,31 @@
 /** Draws the share of requests attained over time, a line for each policy: the mean over the seeds. */
 final class BenchPlot {
 
-    private static final int WIDTH = 1_100;
-    private static final int HEIGHT = 600;
+    private static final int WIDTH_PIXELS = 1_100;
+    private static final int HEIGHT_PIXELS = 600;
 
     private BenchPlot() {}
 
     static void write(Path file, String title, Map<String, List<RunResult>> byPolicy) throws IOException {
-        XYSeriesCollection lines = new XYSeriesCollection();
-        byPolicy.forEach((policy, runs) -> lines.addSeries(line(policy, runs)));
+        XYSeriesCollection dataset = new XYSeriesCollection();
+        byPolicy.forEach((policy, runs) -> dataset.addSeries(meanSeries(policy, runs)));
         JFreeChart chart = ChartFactory.createXYLineChart(
-                title, "seconds", "share of requests answered within their deadline", lines);
-        ChartUtils.saveChartAsPNG(file.toFile(), chart, WIDTH, HEIGHT);
+                title, "seconds", "share of requests answered within their deadline", dataset);
+        ChartUtils.saveChartAsPNG(file.toFile(), chart, WIDTH_PIXELS, HEIGHT_PIXELS);
     }
 
-    private static XYSeries line(String policy, List<RunResult> runs) {
-        XYSeries line = new XYSeries(policy);
+    private static XYSeries meanSeries(String policy, List<RunResult> runs) {
+        XYSeries series = new XYSeries(policy);
         int seconds = runs.get(0).attainedShareBySecond().size();
         for (int second = 0; second < seconds; second++) {
-            int at = second;
-            line.add(
-                    at,
+            int index = second;
+            series.add(
+                    index,
                     runs.stream()
-                            .mapToDouble(run -> run.attainedShareBySecond().get(at))
+                            .mapToDouble(run -> run.attainedShareBySecond().get(index))
                             .average()
                             .orElse(0));
         }
-        return line;
+        return series;
     }
 }
--- a/src/main/java/io/waxwingquay/bench/BenchReport.java
+++ b/src/main/java/io/waxwingquay/bench/BenchReport.java
@@ -35,8 +35,8 @@
             new Column("over limit", "%.0f", RunResult::overLimit),
             new Column("overcommits", "%.0f", RunResult::overcommits),
             new Column("bench late ms", "%.0f", RunResult::latestSendMillis));
-    private static final int NAME_WIDTH = 20;
-    private static final int WIDTH = 21;
+    private static final int TITLE_WIDTH = 20;
+    private static final int CELL_WIDTH = 21;
 
     private final List<RunResult> runs;
 
@@ -49,14 +49,14 @@
     }
 
     /** Policies as columns; each cell is the median and, in brackets, the least and the most over the seeds. */
-    String text() {
+    String toTable() {
         StringBuilder text = new StringBuilder();
-        text.append(pad("median [least..most]", NAME_WIDTH));
-        byPolicy().keySet().forEach(policy -> text.append(pad(policy, WIDTH)));
+        text.append(padRight("median [least..most]", TITLE_WIDTH));
+        byPolicy().keySet().forEach(policy -> text.append(padRight(policy, CELL_WIDTH)));
         text.append('\n');
         COLUMNS.forEach(column -> {
-            text.append(pad(column.title(), NAME_WIDTH));
-            byPolicy().values().forEach(of -> text.append(pad(column.cell(of), WIDTH)));
+            text.append(padRight(column.title(), TITLE_WIDTH));
+            byPolicy().values().forEach(of -> text.append(padRight(column.cell(of), CELL_WIDTH)));
             text.append('\n');
         });
         return text.toString();
@@ -64,15 +64,15 @@
 
     void write(Path directory, String name) throws IOException {
         Files.createDirectories(directory);
-        Files.writeString(directory.resolve(name + ".txt"), text());
-        Files.writeString(directory.resolve(name + ".csv"), csv());
+        Files.writeString(directory.resolve(name + ".txt"), toTable());
+        Files.writeString(directory.resolve(name + ".csv"), toCsv());
         Files.write(
                 directory.resolve(name + ".json"),
                 Json.MAPPER.writer(SerializationFeature.INDENT_OUTPUT).writeValueAsBytes(runs));
     }
 
-    private String csv() {
-        String head = "workload,fault,policy,seed,"
+    private String toCsv() {
+        String header = "workload,fault,policy,seed,"
                 + COLUMNS.stream().map(Column::title).collect(Collectors.joining(",")) + "\n";
         return runs.stream()
                 .map(run -> run.workload() + "," + run.fault() + "," + run.policy() + "," + run.seed() + ","
@@ -80,22 +80,23 @@
                                 .map(column -> String.format(
                                         Locale.ROOT, "%.4f", column.value().applyAsDouble(run)))
                                 .collect(Collectors.joining(",")))
-                .collect(Collectors.joining("\n", head, "\n"));
+                .collect(Collectors.joining("\n", header, "\n"));
     }
 
-    private static String pad(String text, int width) {
+    private static String padRight(String text, int width) {
         return String.format(Locale.ROOT, "%-" + width + "s", text);
     }
 
     private record Column(String title, String format, ToDoubleFunction<RunResult> value) {
 
-        String cell(List<RunResult> of) {
-            double[] sorted = of.stream().mapToDouble(value).sorted().toArray();
+        String cell(List<RunResult> policyRuns) {
+            double[] sorted = policyRuns.stream().mapToDouble(value).sorted().toArray();
             double median = (sorted[(sorted.length - 1) / 2] + sorted[sorted.length / 2]) / 2;
-            return show(median) + " [" + show(sorted[0]) + ".." + show(sorted[sorted.length - 1]) + "]";
+            return formatValue(median) + " [" + formatValue(sorted[0]) + ".." + formatValue(sorted[sorted.length - 1])
+                    + "]";
         }
 
-        private String show(double number) {
+        private String formatValue(double number) {
             return String.format(Locale.ROOT, format, number);
         }
     }
--- a/src/main/java/io/waxwingquay/bench/Caller.java
+++ b/src/main/java/io/waxwingquay/bench/Caller.java
@@ -17,13 +17,13 @@
  */
 public final class Caller implements AutoCloseable {
 
-    private static final int CONNECTIONS = 4_096;
-    private static final long CONNECT_MILLIS = 2_000L;
+    private static final int MAX_CONNECTIONS = 4_096;
+    private static final long CONNECT_TIMEOUT_MILLIS = 2_000L;
     private static final String JSON = "application/json";
-    private static final String DEADLINE = "X-Deadline-Millis";
-    private static final String IDEMPOTENCY_KEY = "Idempotency-Key";
+    private static final String DEADLINE_HEADER = "X-Deadline-Millis";
+    private static final String IDEMPOTENCY_KEY_HEADER = "Idempotency-Key";
 
-    private final HttpClient client = HttpCalls.startClient(CONNECTIONS, CONNECT_MILLIS);
+    private final HttpClient client = HttpCalls.startClient(MAX_CONNECTIONS, CONNECT_TIMEOUT_MILLIS);
 
     /**
      * Asks for a completion, streamed.
@@ -40,9 +40,9 @@
         body.put("max_tokens", completion.maxTokens());
         body.put("priority", completion.priority());
         body.put("stream", true);
-        Request request = post(entry, "/v1/completions", text(body))
-                .headers(headers -> headers.put(DEADLINE, Long.toString(completion.deadlineMillis())));
-        return StreamReader.send(request);
+        Request request = post(entry, "/v1/completions", toJson(body))
+                .headers(headers -> headers.put(DEADLINE_HEADER, Long.toString(completion.deadlineMillis())));
+        return AnswerReader.send(request);
     }
 
     /**
@@ -55,10 +55,10 @@
     public CompletableFuture<CallerAnswer> call(HostPort entry, ServiceCall call) {
         Request request = post(entry, "/v1/services/" + call.service() + "/" + call.operation(), call.body())
                 .headers(headers -> {
-                    headers.put(DEADLINE, Long.toString(call.deadlineMillis()));
-                    call.idempotencyKey().ifPresent(key -> headers.put(IDEMPOTENCY_KEY, key));
+                    headers.put(DEADLINE_HEADER, Long.toString(call.deadlineMillis()));
+                    call.idempotencyKey().ifPresent(key -> headers.put(IDEMPOTENCY_KEY_HEADER, key));
                 });
-        return StreamReader.send(request);
+        return AnswerReader.send(request);
     }
 
     /** {@inheritDoc} */
@@ -77,7 +77,7 @@
                 .body(new StringRequestContent(JSON, body));
     }
 
-    private static String text(ObjectNode body) {
+    private static String toJson(ObjectNode body) {
         try {
             return Json.MAPPER.writeValueAsString(body);
         } catch (JsonProcessingException failure) {
--- a/src/main/java/io/waxwingquay/bench/Claywheel.java
+++ b/src/main/java/io/waxwingquay/bench/Claywheel.java
@@ -29,19 +29,19 @@
             new Subject("throwing", 0.45, 28, 50, 3_000L),
             new Subject("glazing", 0.35, 24, 40, 3_000L),
             new Subject("booking", 0.20, 12, 90, 1_500L));
-    private static final double EARLY_PER_SECOND = 70;
+    private static final double BASE_PER_SECOND = 70;
     private static final double PEAK_PER_SECOND = 110;
-    private static final double PEAK_AT = 0.65;
+    private static final double PEAK_PROGRESS = 0.65;
     private static final double HOT_WEIGHT = 10;
     private static final double HOT_WIDTH = 0.8;
-    private static final double HOT_STUDIOS_PASSED = 3;
+    private static final double HOT_STUDIO_SHIFT = 3;
     private static final double DEPOSITS_PER_SECOND = 6;
     private static final double RESERVATIONS_PER_SECOND = 6;
-    private static final double SURGE = 10;
-    private static final int VOICES = 3;
-    private static final int CLASSES = 4;
+    private static final double MAX_SURGE_FACTOR = 10;
+    private static final int ADAPTERS = 3;
+    private static final int PROMPT_CLASSES = 4;
     private static final double ADAPTER_SHARE = 0.6;
-    private static final long PLAIN_MILLIS = 2_000L;
+    private static final long PLAIN_DEADLINE_MILLIS = 2_000L;
 
     /** {@inheritDoc} */
     @Override
@@ -64,21 +64,21 @@
     /** {@inheritDoc} */
     @Override
     public List<Arrival> arrivals(RandomGenerator random, double seconds, Surge surge) {
-        ArrivalStream stream = new ArrivalStream(random, seconds);
+        ArrivalGenerator generator = new ArrivalGenerator(random, seconds);
         List<Arrival> all = new ArrayList<>();
-        int first = random.nextInt(STUDIOS.size());
+        int hottestStudio = random.nextInt(STUDIOS.size());
         for (int number = 0; number < STUDIOS.size(); number++) {
-            int distance = Math.floorMod(number - first, STUDIOS.size());
+            int distance = Math.floorMod(number - hottestStudio, STUDIOS.size());
             for (Subject subject : SUBJECTS) {
                 String model = STUDIOS.get(number) + "-" + subject.name();
-                all.addAll(stream.draw(
-                        SURGE * PEAK_PER_SECOND * subject.share(),
+                all.addAll(generator.generate(
+                        MAX_SURGE_FACTOR * PEAK_PER_SECOND * subject.share(),
                         at -> subject.share() * studioRate(distance, at / seconds) * surge.factor(model, at),
-                        at -> ask(random, at, model, subject)));
+                        at -> completion(random, at, model, subject)));
             }
         }
-        all.addAll(plain(random, stream, "pay-deposit", DEPOSITS_PER_SECOND));
-        all.addAll(plain(random, stream, "reserve-seat", RESERVATIONS_PER_SECOND));
+        all.addAll(serviceCalls(random, generator, "pay-deposit", DEPOSITS_PER_SECOND));
+        all.addAll(serviceCalls(random, generator, "reserve-seat", RESERVATIONS_PER_SECOND));
         all.sort(Comparator.comparingLong(Arrival::atMicros));
         return all;
     }
@@ -86,38 +86,40 @@
     private static double studioRate(int distance, double progress) {
         double sum = 0;
         for (int other = 0; other < STUDIOS.size(); other++) {
-            sum += weight(other, progress);
+            sum += popularity(other, progress);
         }
-        return totalRate(progress) * weight(distance, progress) / sum;
+        return totalRate(progress) * popularity(distance, progress) / sum;
     }
 
     private static double totalRate(double progress) {
-        double nearness = progress < PEAK_AT ? progress / PEAK_AT : (1 - progress) / (1 - PEAK_AT);
-        return EARLY_PER_SECOND + (PEAK_PER_SECOND - EARLY_PER_SECOND) * nearness;
+        double closenessToPeak =
+                progress < PEAK_PROGRESS ? progress / PEAK_PROGRESS : (1 - progress) / (1 - PEAK_PROGRESS);
+        return BASE_PER_SECOND + (PEAK_PER_SECOND - BASE_PER_SECOND) * closenessToPeak;
     }
 
     /** The hot studios drift: the peak of demand passes from one to the next. */
-    private static double weight(int distance, double progress) {
-        double away = (distance - HOT_STUDIOS_PASSED * progress) / HOT_WIDTH;
-        return 1 + HOT_WEIGHT * Math.exp(-away * away / 2);
+    private static double popularity(int distance, double progress) {
+        double offset = (distance - HOT_STUDIO_SHIFT * progress) / HOT_WIDTH;
+        return 1 + HOT_WEIGHT * Math.exp(-offset * offset / 2);
     }
 
-    private static Arrival ask(RandomGenerator random, long at, String model, Subject subject) {
+    private static Arrival completion(RandomGenerator random, long atMicros, String model, Subject subject) {
         Optional<String> adapter = random.nextDouble() < ADAPTER_SHARE
-                ? Optional.of("studio-voice-0" + (random.nextInt(VOICES) + 1))
+                ? Optional.of("studio-voice-0" + (random.nextInt(ADAPTERS) + 1))
                 : Optional.empty();
-        String prompt = Prompts.sharing(model + "-class-" + random.nextInt(CLASSES), at);
+        String prompt = Prompts.withSharedPrefix(model + "-class-" + random.nextInt(PROMPT_CLASSES), atMicros);
         return Arrival.of(
-                at,
+                atMicros,
                 new Completion(model, adapter, prompt, subject.tokens(), subject.priority(), subject.deadlineMillis()));
     }
 
-    private static List<Arrival> plain(
-            RandomGenerator random, ArrivalStream stream, String operation, double perSecond) {
-        return stream.draw(perSecond, at -> perSecond, at -> {
+    private static List<Arrival> serviceCalls(
+            RandomGenerator random, ArrivalGenerator generator, String operation, double perSecond) {
+        return generator.generate(perSecond, at -> perSecond, at -> {
             Optional<String> key = Optional.of(operation + "-" + at + "-" + random.nextInt(Integer.MAX_VALUE));
             return Arrival.of(
-                    at, new ServiceCall("booking-payment", operation, key, "{\"at\":" + at + "}", PLAIN_MILLIS));
+                    at,
+                    new ServiceCall("booking-payment", operation, key, "{\"at\":" + at + "}", PLAIN_DEADLINE_MILLIS));
         });
     }
 
--- a/src/main/java/io/waxwingquay/bench/Demo.java
+++ b/src/main/java/io/waxwingquay/bench/Demo.java
@@ -23,20 +23,20 @@
 public final class Demo {
 
     private static final String BUNDLE = "/demo/bundle.toml";
-    private static final long READY_LIMIT_MILLIS = 60_000L;
+    private static final long READY_TIMEOUT_MILLIS = 60_000L;
     private static final int COMPLETIONS = 200;
     private static final int DEPOSITS = 40;
-    private static final int AT_ONCE = 20;
+    private static final int CONCURRENT_REQUESTS = 20;
     private static final int TOKENS = 12;
     private static final long DEADLINE_MILLIS = 10_000L;
     private static final double TIME_SCALE = 0.2;
     private static final double MICROS_PER_MILLI = 1_000.0;
-    private static final double MEDIAN = 50.0;
-    private static final double TAIL = 99.0;
+    private static final double MEDIAN_PERCENTILE = 50.0;
+    private static final double TAIL_PERCENTILE = 99.0;
 
     private final PrintWriter out;
     private final Histogram firstTokenMicros = new Histogram(3);
-    private int whole;
+    private int correct;
     private int wrong;
     private int failed;
 
@@ -57,36 +57,36 @@
      * @throws InterruptedException if a wait is interrupted.
      */
     public boolean run() throws IOException, InterruptedException {
-        byte[] document = document();
+        byte[] document = readBundle();
         try (LocalDeployment deployment =
                         LocalDeployment.builder(document).timeScale(TIME_SCALE).start();
                 Caller caller = new Caller()) {
             out.println("Started a platform, a weight store, 3 model engines and a plain service as stand-ins;");
             out.println("2 entries and 4 sides; bundle 1 signed and accepted.");
-            if (!deployment.awaitServing(READY_LIMIT_MILLIS)) {
+            if (!deployment.awaitServing(READY_TIMEOUT_MILLIS)) {
                 out.println("Not every model was served in time: "
                         + deployment.unservedModels(deployment.entries().get(0)));
                 return false;
             }
-            complete(deployment, caller);
-            boolean depositsHold = payDeposits(deployment, caller);
-            boolean memoryHolds = summarise(deployment);
+            runCompletions(deployment, caller);
+            boolean depositsRanOnce = payDeposits(deployment, caller);
+            boolean withinMemory = summarise(deployment);
             boolean rolledOut = rollOut(deployment, document);
             out.flush();
-            return failed == 0 && wrong == 0 && depositsHold && memoryHolds && rolledOut;
+            return failed == 0 && wrong == 0 && depositsRanOnce && withinMemory && rolledOut;
         }
     }
 
-    private void complete(LocalDeployment deployment, Caller caller) {
-        for (int from = 0; from < COMPLETIONS; from += AT_ONCE) {
-            List<CompletableFuture<Void>> batch = IntStream.range(from, from + AT_ONCE)
-                    .mapToObj(number -> completeOne(deployment, caller, number))
+    private void runCompletions(LocalDeployment deployment, Caller caller) {
+        for (int from = 0; from < COMPLETIONS; from += CONCURRENT_REQUESTS) {
+            List<CompletableFuture<Void>> batch = IntStream.range(from, from + CONCURRENT_REQUESTS)
+                    .mapToObj(number -> runCompletion(deployment, caller, number))
                     .toList();
             batch.forEach(CompletableFuture::join);
         }
     }
 
-    private CompletableFuture<Void> completeOne(LocalDeployment deployment, Caller caller, int number) {
+    private CompletableFuture<Void> runCompletion(LocalDeployment deployment, Caller caller, int number) {
         List<Bundle.Model> models = deployment.bundle().models();
         Bundle.Model asked = models.get(number % models.size());
         String model = asked.name();
@@ -98,10 +98,11 @@
                         name -> deployment.bundle().adapter(model, name))
                 .map(Bundle.Adapter::item);
         String expected = StandinText.answer(asked.item(), adapterItem, prompt, TOKENS);
-        return caller.complete(entry(deployment, number), completion).thenAccept(answer -> note(answer, expected));
+        return caller.complete(entry(deployment, number), completion)
+                .thenAccept(answer -> recordAnswer(answer, expected));
     }
 
-    private synchronized void note(CallerAnswer answer, String expected) {
+    private synchronized void recordAnswer(CallerAnswer answer, String expected) {
         if (!answer.isWhole()) {
             failed++;
             out.println(
@@ -110,7 +111,7 @@
         }
         answer.firstTokenMicros().ifPresent(firstTokenMicros::recordValue);
         if (answer.text().equals(expected)) {
-            whole++;
+            correct++;
         } else {
             wrong++;
         }
@@ -122,15 +123,15 @@
         for (int number = 0; number < DEPOSITS; number++) {
             replays.add(payTwice(deployment, caller, number));
         }
-        long same = replays.stream().filter(CompletableFuture::join).count();
+        long replayed = replays.stream().filter(CompletableFuture::join).count();
         PlainServiceStandin booking = deployment.targets().plainServices().get("booking-0");
-        int most = booking.stats().runsByKey().values().stream()
+        int maxRuns = booking.stats().runsByKey().values().stream()
                 .mapToInt(Integer::intValue)
                 .max()
                 .orElse(0);
         out.printf("Deposits: %d paid, each sent twice through different entries; ", DEPOSITS);
-        out.printf("%d resends got the first answer; most runs of one key: %d.%n", same, most);
-        return same == DEPOSITS && most == 1;
+        out.printf("%d resends got the first answer; most runs of one key: %d.%n", replayed, maxRuns);
+        return replayed == DEPOSITS && maxRuns == 1;
     }
 
     private CompletableFuture<Boolean> payTwice(LocalDeployment deployment, Caller caller, int number) {
@@ -156,11 +157,11 @@
     private boolean summarise(LocalDeployment deployment) {
         out.printf(
                 "Completions: %d of %d whole and checked word by word; %d wrong; %d not answered.%n",
-                whole, COMPLETIONS, wrong, failed);
+                correct, COMPLETIONS, wrong, failed);
         out.printf(
                 "First token: median %.1f ms, 99 in 100 within %.1f ms (engines run at %.0f times their speed).%n",
-                firstTokenMicros.getValueAtPercentile(MEDIAN) / MICROS_PER_MILLI,
-                firstTokenMicros.getValueAtPercentile(TAIL) / MICROS_PER_MILLI,
+                firstTokenMicros.getValueAtPercentile(MEDIAN_PERCENTILE) / MICROS_PER_MILLI,
+                firstTokenMicros.getValueAtPercentile(TAIL_PERCENTILE) / MICROS_PER_MILLI,
                 1.0 / TIME_SCALE);
         List<ModelEngineStandin.Stats> engines = deployment.targets().engines().values().stream()
                 .map(ModelEngineStandin::stats)
@@ -180,7 +181,7 @@
                 .replace("version = 1\n\n[[services]]", "version = 2\n\n[[services]]");
         long startNanos = System.nanoTime();
         BundleAcceptance.Outcome outcome = deployment.submit(next.getBytes(StandardCharsets.UTF_8));
-        boolean everywhere = deployment.awaitVersion(2L, READY_LIMIT_MILLIS);
+        boolean everywhere = deployment.awaitVersion(2L, READY_TIMEOUT_MILLIS);
         out.printf(
                 "Bundle 2: %s; in force in all %d processes after %.0f ms.%n",
                 outcome.verdict(),
@@ -193,7 +194,7 @@
         return deployment.entries().get(number % deployment.entries().size()).callerAddress();
     }
 
-    private static byte[] document() throws IOException {
+    private static byte[] readBundle() throws IOException {
         try (InputStream stream = Demo.class.getResourceAsStream(BUNDLE)) {
             return stream.readAllBytes();
         }
--- a/src/main/java/io/waxwingquay/bench/Fault.java
+++ b/src/main/java/io/waxwingquay/bench/Fault.java
@@ -10,7 +10,7 @@
 import java.util.Locale;
 import java.util.stream.IntStream;
 
-/** What goes wrong during a load, from {@link #BEGIN} to {@link #END} of its time. */
+/** What goes wrong during a load, from {@link #BEGIN_SHARE} to {@link #END_SHARE} of its time. */
 enum Fault {
     /** Nothing. */
     NONE,
@@ -28,7 +28,7 @@
     DATA_CENTRE_LOSS {
         @Override
         void begin(LocalDeployment deployment, long lastsMillis) {
-            deployment.killEntry(LOST);
+            deployment.killEntry(LOST_DATA_CENTRE);
             lostReplicas(deployment).forEach(replica -> {
                 deployment.killSide(replica.name());
                 if (replica.service().kind() == Kind.MODEL) {
@@ -42,7 +42,7 @@
         @Override
         void end(LocalDeployment deployment) {
             lostReplicas(deployment).forEach(replica -> deployment.startSide(replica.service(), replica.number()));
-            deployment.restartEntry(LOST);
+            deployment.restartEntry(LOST_DATA_CENTRE);
         }
     },
     /** Table service, object store and VM list answer nothing. */
@@ -64,7 +64,7 @@
         @Override
         void begin(LocalDeployment deployment, long lastsMillis) {
             deployment.targets().weightStores().values().forEach(store -> store.faults()
-                    .set(Settings.NONE.withSlowMillis(SLOW_MILLIS)));
+                    .set(Settings.NONE.withSlowMillis(ADDED_LOAD_MILLIS)));
         }
 
         @Override
@@ -75,17 +75,17 @@
     };
 
     /** When it begins, as a share of the load's time. */
-    static final double BEGIN = 1.0 / 3;
+    static final double BEGIN_SHARE = 1.0 / 3;
 
     /** When it ends, as a share of the load's time. */
-    static final double END = 0.55;
+    static final double END_SHARE = 0.55;
 
-    private static final double SURGE = 10;
+    private static final double SURGE_FACTOR = 10;
     /** The data centre that is lost, and the number of its entry. */
-    static final int LOST = 1;
+    static final int LOST_DATA_CENTRE = 1;
 
     private static final int DATA_CENTRES = 3;
-    private static final long SLOW_MILLIS = 3_000L;
+    private static final long ADDED_LOAD_MILLIS = 3_000L;
 
     static Fault named(String name) {
         return Arrays.stream(values())
@@ -103,7 +103,10 @@
         if (this != TENFOLD) {
             return Workload.Surge.NONE;
         }
-        return (asked, at) -> asked.equals(model) && at >= BEGIN * seconds && at < END * seconds ? SURGE : 1.0;
+        return (requested, atSeconds) ->
+                requested.equals(model) && atSeconds >= BEGIN_SHARE * seconds && atSeconds < END_SHARE * seconds
+                        ? SURGE_FACTOR
+                        : 1.0;
     }
 
     void begin(LocalDeployment deployment, long lastsMillis) {}
@@ -113,7 +116,7 @@
     private static List<Replica> lostReplicas(LocalDeployment deployment) {
         return deployment.bundle().services().stream()
                 .flatMap(service -> IntStream.range(0, service.replicas())
-                        .filter(number -> number % DATA_CENTRES == LOST)
+                        .filter(number -> number % DATA_CENTRES == LOST_DATA_CENTRE)
                         .mapToObj(
                                 number -> new Replica(service, number, SettingsText.sideName(service.name(), number))))
                 .toList();
--- a/src/main/java/io/waxwingquay/bench/LoadRun.java
+++ b/src/main/java/io/waxwingquay/bench/LoadRun.java
@@ -33,73 +33,75 @@
  */
 record LoadRun(Workload workload, PolicyPair policy, Fault fault, long seed, int seconds) {
 
-    private static final String ALGORITHM = "L64X128MixRandom";
-    private static final CostModel COSTS = new CostModel(400, 40, 40_000, 800, 16, 65_536, 50_000, 500_000, 250_000);
+    private static final String RANDOM_ALGORITHM = "L64X128MixRandom";
+    private static final CostModel ENGINE_COSTS =
+            new CostModel(400, 40, 40_000, 800, 16, 65_536, 50_000, 500_000, 250_000);
     private static final int ENTRIES = 3;
-    private static final long SERVING_LIMIT_MILLIS = 30_000L;
-    private static final long SETTLE_STEP_MILLIS = 1_000L;
-    private static final int SETTLE_STEPS = 6;
-    private static final long TAIL_LIMIT_MILLIS = 20_000L;
-    private static final int TOP_FAILURES = 6;
+    private static final long SERVING_TIMEOUT_MILLIS = 30_000L;
+    private static final long QUIESCENCE_POLL_MILLIS = 1_000L;
+    private static final int MAX_QUIESCENCE_POLLS = 6;
+    private static final long DRAIN_TIMEOUT_MILLIS = 20_000L;
+    private static final int MAX_PRINTED_FAILURES = 6;
 
     RunResult measure(Path bundles, PrintWriter trace) throws IOException, InterruptedException {
         byte[] document = Files.readAllBytes(bundles.resolve(workload.bundleFile()));
-        StartGate gate = new StartGate();
+        PlacementGate gate = new PlacementGate();
         try (LocalDeployment deployment = LocalDeployment.builder(document)
                         .entries(ENTRIES)
                         .routingPolicy(policy.routing())
-                        .decisions(policy.decisionsBehind(gate))
-                        .costs(COSTS)
+                        .decisions(policy.decisionsHeldBy(gate))
+                        .costs(ENGINE_COSTS)
                         .initialResidents(InitialResidents.PRELOADED)
                         .start();
                 Caller caller = new Caller()) {
-            if (!deployment.awaitServing(SERVING_LIMIT_MILLIS)) {
+            if (!deployment.awaitServing(SERVING_TIMEOUT_MILLIS)) {
                 trace.println("  not every model was served before the load: "
                         + deployment.unservedModels(deployment.entries().get(0)));
             }
             gate.open();
-            settle(deployment);
-            return load(deployment, caller, trace);
+            awaitQuiescence(deployment);
+            return runLoad(deployment, caller, trace);
         }
     }
 
     /** Waits until nothing has moved for a while, at most some steps. */
-    private static void settle(LocalDeployment deployment) throws InterruptedException {
+    private static void awaitQuiescence(LocalDeployment deployment) throws InterruptedException {
         long before = -1;
         Moves now = Moves.of(deployment);
-        for (int step = 0; step < SETTLE_STEPS && now.all() != before; step++) {
-            before = now.all();
-            TimeUnit.MILLISECONDS.sleep(SETTLE_STEP_MILLIS);
+        for (int step = 0; step < MAX_QUIESCENCE_POLLS && now.total() != before; step++) {
+            before = now.total();
+            TimeUnit.MILLISECONDS.sleep(QUIESCENCE_POLL_MILLIS);
             now = Moves.of(deployment);
         }
     }
 
-    private RunResult load(LocalDeployment deployment, Caller caller, PrintWriter trace) throws InterruptedException {
+    private RunResult runLoad(LocalDeployment deployment, Caller caller, PrintWriter trace)
+            throws InterruptedException {
         List<Arrival> arrivals = workload.arrivals(
-                RandomGeneratorFactory.of(ALGORITHM).create(seed),
+                RandomGeneratorFactory.of(RANDOM_ALGORITHM).create(seed),
                 seconds,
                 fault.surge(workload.surgingModel(), seconds));
-        RandomGenerator balancer = RandomGeneratorFactory.of(ALGORITHM).create(seed);
+        RandomGenerator balancer = RandomGeneratorFactory.of(RANDOM_ALGORITHM).create(seed);
         Moves before = Moves.of(deployment);
-        Tally tally = new Tally(seconds);
-        Thread faults = new Thread(() -> showFault(deployment), "bench-fault");
-        faults.setDaemon(true);
-        faults.start();
+        AnswerStatistics statistics = new AnswerStatistics(seconds);
+        Thread faultThread = new Thread(() -> injectFault(deployment), "bench-fault");
+        faultThread.setDaemon(true);
+        faultThread.start();
         List<CompletableFuture<Void>> answers = new ArrayList<>();
         long startNanos = System.nanoTime();
-        long latestNanos = 0;
+        long maxSendDelayNanos = 0;
         for (Arrival arrival : arrivals) {
             long dueNanos = startNanos + TimeUnit.MICROSECONDS.toNanos(arrival.atMicros());
             sleepUntil(dueNanos);
-            latestNanos = Math.max(latestNanos, System.nanoTime() - dueNanos);
-            HostPort entry = entry(deployment, balancer, arrival.atMicros());
-            answers.add(send(caller, entry, arrival).thenAccept(answer -> tally.note(arrival, answer)));
+            maxSendDelayNanos = Math.max(maxSendDelayNanos, System.nanoTime() - dueNanos);
+            HostPort entry = chooseEntry(deployment, balancer, arrival.atMicros());
+            answers.add(send(caller, entry, arrival).thenAccept(answer -> statistics.record(arrival, answer)));
         }
         awaitAll(answers);
-        faults.join(TAIL_LIMIT_MILLIS);
+        faultThread.join(DRAIN_TIMEOUT_MILLIS);
         Moves moves = Moves.of(deployment).since(before);
-        traceRun(tally, moves, trace);
-        return result(deployment, arrivals, tally, moves, TimeUnit.NANOSECONDS.toMillis(latestNanos));
+        printTrace(statistics, moves, trace);
+        return result(deployment, arrivals, statistics, moves, TimeUnit.NANOSECONDS.toMillis(maxSendDelayNanos));
     }
 
     private static CompletableFuture<CallerAnswer> send(Caller caller, HostPort entry, Arrival arrival) {
@@ -109,37 +111,37 @@
     }
 
     /** The platform's balancer, which passes over a lost entry from a second after the loss to its return. */
-    private HostPort entry(LocalDeployment deployment, RandomGenerator balancer, long atMicros) {
-        double at = TimeUnit.MICROSECONDS.toMillis(atMicros) / 1_000.0;
+    private HostPort chooseEntry(LocalDeployment deployment, RandomGenerator balancer, long atMicros) {
+        double atSeconds = TimeUnit.MICROSECONDS.toMillis(atMicros) / 1_000.0;
         int number = balancer.nextInt(ENTRIES);
         boolean isLost = fault == Fault.DATA_CENTRE_LOSS
-                && number == Fault.LOST
-                && at > Fault.BEGIN * seconds + 1
-                && at < Fault.END * seconds + 1;
+                && number == Fault.LOST_DATA_CENTRE
+                && atSeconds > Fault.BEGIN_SHARE * seconds + 1
+                && atSeconds < Fault.END_SHARE * seconds + 1;
         return deployment.callerAddress(isLost ? number + 1 : number);
     }
 
-    private void showFault(LocalDeployment deployment) {
+    private void injectFault(LocalDeployment deployment) {
         long startNanos = System.nanoTime();
-        long lastsMillis = Math.round((Fault.END - Fault.BEGIN) * seconds * 1_000);
-        sleepUntil(startNanos + Math.round(Fault.BEGIN * seconds * 1e9));
+        long lastsMillis = Math.round((Fault.END_SHARE - Fault.BEGIN_SHARE) * seconds * 1_000);
+        sleepUntil(startNanos + Math.round(Fault.BEGIN_SHARE * seconds * 1e9));
         fault.begin(deployment, lastsMillis);
-        sleepUntil(startNanos + Math.round(Fault.END * seconds * 1e9));
+        sleepUntil(startNanos + Math.round(Fault.END_SHARE * seconds * 1e9));
         fault.end(deployment);
     }
 
     private static void sleepUntil(long dueNanos) {
-        long left = dueNanos - System.nanoTime();
-        while (left > 0) {
-            LockSupport.parkNanos(left);
-            left = dueNanos - System.nanoTime();
+        long remainingNanos = dueNanos - System.nanoTime();
+        while (remainingNanos > 0) {
+            LockSupport.parkNanos(remainingNanos);
+            remainingNanos = dueNanos - System.nanoTime();
         }
     }
 
     private static void awaitAll(List<CompletableFuture<Void>> answers) throws InterruptedException {
         try {
             CompletableFuture.allOf(answers.toArray(CompletableFuture[]::new))
-                    .get(TAIL_LIMIT_MILLIS, TimeUnit.MILLISECONDS);
+                    .get(DRAIN_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
         } catch (TimeoutException unanswered) {
             // What was not answered by now counts as not attained: it is missing in the tally.
         } catch (java.util.concurrent.ExecutionException failure) {
@@ -147,24 +149,28 @@
         }
     }
 
-    private void traceRun(Tally tally, Moves moves, PrintWriter trace) {
-        trace.println("  " + policy.name() + " seed " + seed + ": " + tally.counts() + " " + moves);
-        tally.failures().entrySet().stream()
+    private void printTrace(AnswerStatistics statistics, Moves moves, PrintWriter trace) {
+        trace.println("  " + policy.name() + " seed " + seed + ": " + statistics.counts() + " " + moves);
+        statistics.failures().entrySet().stream()
                 .sorted(Map.Entry.<String, Integer>comparingByValue(Comparator.reverseOrder()))
-                .limit(TOP_FAILURES)
+                .limit(MAX_PRINTED_FAILURES)
                 .forEach(failure -> trace.println("    " + failure.getValue() + " x " + failure.getKey()));
         trace.flush();
     }
 
     private RunResult result(
-            LocalDeployment deployment, List<Arrival> arrivals, Tally tally, Moves moves, long latestSendMillis) {
-        Tally.Counts counts = tally.counts();
+            LocalDeployment deployment,
+            List<Arrival> arrivals,
+            AnswerStatistics statistics,
+            Moves moves,
+            long latestSendMillis) {
+        AnswerStatistics.Counts counts = statistics.counts();
         long plainSent =
                 arrivals.stream().filter(arrival -> arrival.call().isPresent()).count();
-        LoadPace.Stats models = store(deployment).models();
-        LoadPace.Stats adapters = store(deployment).adapters();
-        double faultSeconds = Fault.BEGIN * seconds;
-        double endSeconds = Fault.END * seconds;
+        LoadPace.Stats modelLoads = weightStoreStats(deployment).models();
+        LoadPace.Stats adapterLoads = weightStoreStats(deployment).adapters();
+        double faultSeconds = Fault.BEGIN_SHARE * seconds;
+        double endSeconds = Fault.END_SHARE * seconds;
         return new RunResult(
                 workload.name(),
                 policy.name(),
@@ -182,28 +188,30 @@
                 counts.firstTokenP99Millis(),
                 plainSent,
                 counts.plainAttained(),
-                mostRuns(deployment),
-                tally.shareBefore(faultSeconds),
-                tally.share((int) Math.ceil(endSeconds), seconds),
-                tally.recoverSeconds(faultSeconds, endSeconds),
-                models.maxInFlight(),
-                adapters.maxInFlight(),
-                models.overLimit() + adapters.overLimit(),
-                memories(deployment).mapToLong(EngineMemory.Stats::overcommits).sum(),
+                mostRunsOfOneKey(deployment),
+                statistics.attainedShareBeforeFault(faultSeconds),
+                statistics.attainedShare((int) Math.ceil(endSeconds), seconds),
+                statistics.recoverSeconds(faultSeconds, endSeconds),
+                modelLoads.maxInFlight(),
+                adapterLoads.maxInFlight(),
+                modelLoads.overLimit() + adapterLoads.overLimit(),
+                memoryStats(deployment)
+                        .mapToLong(EngineMemory.Stats::overcommits)
+                        .sum(),
                 latestSendMillis,
-                tally.shareBySecond());
+                statistics.attainedShareBySecond());
     }
 
-    private static io.waxwingquay.standin.WeightStoreStandin.Stats store(LocalDeployment deployment) {
+    private static io.waxwingquay.standin.WeightStoreStandin.Stats weightStoreStats(LocalDeployment deployment) {
         return deployment.targets().weightStores().values().iterator().next().stats();
     }
 
-    private static int mostRuns(LocalDeployment deployment) {
-        Map<String, Integer> all = new java.util.HashMap<>();
+    private static int mostRunsOfOneKey(LocalDeployment deployment) {
+        Map<String, Integer> runsByKey = new java.util.HashMap<>();
         deployment.targets().plainServices().values().forEach(plain -> plain.stats()
                 .runsByKey()
-                .forEach((key, runs) -> all.merge(key, runs, Integer::sum)));
-        return all.values().stream().mapToInt(Integer::intValue).max().orElse(0);
+                .forEach((key, runs) -> runsByKey.merge(key, runs, Integer::sum)));
+        return runsByKey.values().stream().mapToInt(Integer::intValue).max().orElse(0);
     }
 
     private static int accelerators(Bundle bundle) {
@@ -213,7 +221,7 @@
                 .sum();
     }
 
-    private static java.util.stream.Stream<EngineMemory.Stats> memories(LocalDeployment deployment) {
+    private static java.util.stream.Stream<EngineMemory.Stats> memoryStats(LocalDeployment deployment) {
         return deployment.targets().engines().values().stream()
                 .map(ModelEngineStandin::stats)
                 .map(ModelEngineStandin.Stats::memory);
@@ -223,7 +231,7 @@
     private record Moves(long modelLoads, long modelEvictions, long adapterLoads, long adapterEvictions) {
 
         static Moves of(LocalDeployment deployment) {
-            return memories(deployment)
+            return memoryStats(deployment)
                     .map(stats -> new Moves(
                             stats.loads() - stats.adapterLoads(),
                             stats.evictions() - stats.adapterEvictions(),
@@ -253,7 +261,7 @@
             return adapterLoads + adapterEvictions;
         }
 
-        long all() {
+        long total() {
             return models() + adapters();
         }
     }
--- a/src/main/java/io/waxwingquay/bench/LocalDeployment.java
+++ b/src/main/java/io/waxwingquay/bench/LocalDeployment.java
@@ -47,32 +47,34 @@
     private static final List<Integer> ANY_PORTS = List.of(0, 0, 0);
     private static final int DATA_CENTRES = 3;
     private static final long TABLE_TIMEOUT_MILLIS = 1_000L;
-    private static final long READY_STEP_MILLIS = 20L;
-    private static final int SEEDS = 3;
+    private static final long POLL_INTERVAL_MILLIS = 20L;
+    private static final int SEED_COUNT = 3;
     private static final int OPERATOR_CONNECTIONS = 8;
 
     private final Bundle bundle;
     private final KeyPair operatorKey = KeyCodec.generate();
     private final PlatformStandin platform;
     private final LocalTargets targets;
-    private final LocalDeploymentBuilder choices;
-    private final SettingsText texts;
+    private final LocalDeploymentBuilder configuration;
+    private final SettingsText settings;
     private final Map<String, SideProcess> sides = new LinkedHashMap<>();
     private final List<EntryProcess> entries = new ArrayList<>();
     private final List<HostPort> callerAddresses = new CopyOnWriteArrayList<>();
 
-    LocalDeployment(LocalDeploymentBuilder choices) {
-        this.choices = choices;
-        this.bundle = BundleDocument.parse("bundle", choices.document);
-        this.platform =
-                PlatformStandin.builder().listLagMillis(choices.listLagMillis).start();
-        this.targets = new LocalTargets(bundle, choices.costs, choices.timeScale, choices.weightLoadMillis);
-        this.texts = new SettingsText(
+    LocalDeployment(LocalDeploymentBuilder configuration) {
+        this.configuration = configuration;
+        this.bundle = BundleDocument.parse("bundle", configuration.document);
+        this.platform = PlatformStandin.builder()
+                .listLagMillis(configuration.listLagMillis)
+                .start();
+        this.targets =
+                new LocalTargets(bundle, configuration.costs, configuration.timeScale, configuration.weightLoadMillis);
+        this.settings = new SettingsText(
                 new HostPort(LOOPBACK, platform.port()),
                 KeyCodec.text(operatorKey.getPublic()),
                 DATA_CENTRES,
-                choices.permitLeaseMillis,
-                choices.orderQuarantineMillis);
+                configuration.permitLeaseMillis,
+                configuration.orderQuarantineMillis);
     }
 
     /**
@@ -223,9 +225,9 @@
      */
     public void startSide(Service service, int replica, List<HostPort> seeds) {
         String name = SettingsText.sideName(service.name(), replica);
-        String text = texts.withSeeds(seeds).side(service, replica, targets.address(name), ANY_PORTS);
-        SideSettings settings = SideSettings.parse(name, text.getBytes(StandardCharsets.UTF_8));
-        sides.put(name, SideProcess.start(settings, choices.decisions));
+        String text = settings.withSeeds(seeds).side(service, replica, targets.address(name), ANY_PORTS);
+        SideSettings sideSettings = SideSettings.parse(name, text.getBytes(StandardCharsets.UTF_8));
+        sides.put(name, SideProcess.start(sideSettings, configuration.decisions));
     }
 
     /**
@@ -252,7 +254,7 @@
      * @param number its number.
      */
     public void restartEntry(int number) {
-        entries.set(number, entry(number));
+        entries.set(number, startEntry(number));
         callerAddresses.set(number, entries.get(number).callerAddress());
     }
 
@@ -276,54 +278,57 @@
     }
 
     LocalDeployment start() {
-        BundleAcceptance.Outcome outcome = submit(choices.document);
+        BundleAcceptance.Outcome outcome = submit(configuration.document);
         if (outcome.verdict() != BundleAcceptance.Verdict.ACCEPTED) {
             throw new IllegalStateException("the bundle was not accepted: " + outcome.message());
         }
-        if (choices.initialResidents == InitialResidents.PRELOADED) {
-            preload();
+        if (configuration.initialResidents == InitialResidents.PRELOADED) {
+            preloadEngines();
         }
         bundle.services().forEach(service -> IntStream.range(0, service.replicas())
                 .forEach(number -> startSide(service, number)));
-        IntStream.range(0, choices.entryCount).mapToObj(this::entry).forEach(entries::add);
+        IntStream.range(0, configuration.entryCount).mapToObj(this::startEntry).forEach(entries::add);
         entries.forEach(entry -> callerAddresses.add(entry.callerAddress()));
         return this;
     }
 
-    private EntryProcess entry(int number) {
-        String text = texts.withSeeds(seeds()).entry(number, choices.routingPolicy, ANY_PORTS);
+    private EntryProcess startEntry(int number) {
+        String text = settings.withSeeds(seeds()).entry(number, configuration.routingPolicy, ANY_PORTS);
         return EntryProcess.start(EntrySettings.parse("entry", text.getBytes(StandardCharsets.UTF_8)));
     }
 
     /** Puts the static plan into the engines' memory, so that every policy starts from the same residents. */
-    private void preload() {
+    private void preloadEngines() {
         Map<String, Long> sizeBytes = new HashMap<>();
         bundle.models().forEach(model -> sizeBytes.put(model.item(), model.sizeBytes()));
         bundle.adapters().forEach(adapter -> sizeBytes.put(adapter.item(), adapter.sizeBytes()));
         bundle.services().stream()
                 .filter(service -> service.kind() == Bundle.Kind.MODEL)
-                .forEach(service -> preload(service, sizeBytes));
+                .forEach(service -> preloadEngines(service, sizeBytes));
     }
 
-    private void preload(Service service, Map<String, Long> sizeBytes) {
-        List<PlacementInput.LiveSide> empty = IntStream.range(0, service.replicas())
+    private void preloadEngines(Service service, Map<String, Long> sizeBytes) {
+        List<PlacementInput.LiveSide> emptySides = IntStream.range(0, service.replicas())
                 .mapToObj(number -> new PlacementInput.LiveSide(
                         SettingsText.sideName(service.name(), number),
-                        texts.dataCentre(number),
+                        settings.dataCentre(number),
                         service.memoryBytes(),
                         Set.of(),
                         Map.of()))
                 .toList();
-        PlacementInput view = new PlacementInput(bundle, service.name(), empty, Map.of(), Map.of(), 0L);
-        Plan plan = PlacementStrategy.named("static", DemandThresholds.DISABLED).plan(view);
-        empty.forEach(holder -> plan.shareOf(holder.id())
+        PlacementInput input = new PlacementInput(bundle, service.name(), emptySides, Map.of(), Map.of(), 0L);
+        Plan plan = PlacementStrategy.named("static", DemandThresholds.DISABLED).plan(input);
+        emptySides.forEach(holder -> plan.shareOf(holder.id())
                 .wantedItems()
                 .forEach(item -> targets.engines().get(holder.id()).preload(item, sizeBytes.get(item))));
     }
 
     /** As operators do: a few processes of each deployment are named to all. */
     private List<HostPort> seeds() {
-        return sides.values().stream().map(SideProcess::address).limit(SEEDS).toList();
+        return sides.values().stream()
+                .map(SideProcess::address)
+                .limit(SEED_COUNT)
+                .toList();
     }
 
     private boolean servesAll(EntryProcess entry) {
@@ -340,7 +345,7 @@
             if (condition.getAsBoolean()) {
                 return true;
             }
-            TimeUnit.MILLISECONDS.sleep(READY_STEP_MILLIS);
+            TimeUnit.MILLISECONDS.sleep(POLL_INTERVAL_MILLIS);
         }
         return false;
     }
--- a/src/main/java/io/waxwingquay/bench/LocalTargets.java
+++ b/src/main/java/io/waxwingquay/bench/LocalTargets.java
@@ -22,12 +22,12 @@
 public final class LocalTargets implements AutoCloseable {
 
     private static final String LOOPBACK = "127.0.0.1";
-    private static final int STORE_CONNECTIONS = 256;
-    private static final long CONNECT_MILLIS = 2_000L;
-    private static final long LOAD_MILLIS = 600_000L;
+    private static final int MAX_STORE_CONNECTIONS = 256;
+    private static final long CONNECT_TIMEOUT_MILLIS = 2_000L;
+    private static final long LOAD_TIMEOUT_MILLIS = 600_000L;
     private static final long PLAIN_LATENCY_MICROS = 2_000L;
 
-    private final HttpClient client = HttpCalls.startClient(STORE_CONNECTIONS, CONNECT_MILLIS);
+    private final HttpClient client = HttpCalls.startClient(MAX_STORE_CONNECTIONS, CONNECT_TIMEOUT_MILLIS);
     private final Map<String, ModelEngineStandin> engines = new LinkedHashMap<>();
     private final Map<String, PlainServiceStandin> plainServices = new LinkedHashMap<>();
     private final Map<String, WeightStoreStandin> weightStores = new LinkedHashMap<>();
@@ -47,7 +47,7 @@
         this.costs = costs;
         this.timeScale = timeScale;
         this.weightLoadMillis = weightLoadMillis;
-        bundle.services().forEach(this::start);
+        bundle.services().forEach(this::startService);
     }
 
     /**
@@ -103,28 +103,30 @@
         }
     }
 
-    private void start(Service service) {
+    private void startService(Service service) {
         if (service.kind() == Kind.PLAIN) {
-            replicas(service)
-                    .forEach(number -> plainServices.put(SettingsText.sideName(service.name(), number), plain()));
+            replicaNumbers(service)
+                    .forEach(number ->
+                            plainServices.put(SettingsText.sideName(service.name(), number), startPlainService()));
             return;
         }
-        WeightStoreStandin store = store(service);
+        WeightStoreStandin store = startWeightStore(service);
         weightStores.put(service.name(), store);
-        WeightSource source = WeightSource.http(client, new HostPort(LOOPBACK, store.port()), LOAD_MILLIS);
-        replicas(service)
-                .forEach(number -> engines.put(SettingsText.sideName(service.name(), number), engine(service, source)));
+        WeightSource source = WeightSource.http(client, new HostPort(LOOPBACK, store.port()), LOAD_TIMEOUT_MILLIS);
+        replicaNumbers(service)
+                .forEach(number ->
+                        engines.put(SettingsText.sideName(service.name(), number), startEngine(service, source)));
     }
 
-    private static IntStream replicas(Service service) {
+    private static IntStream replicaNumbers(Service service) {
         return IntStream.range(0, service.replicas());
     }
 
-    private PlainServiceStandin plain() {
+    private PlainServiceStandin startPlainService() {
         return PlainServiceStandin.builder().latencyMicros(PLAIN_LATENCY_MICROS).start();
     }
 
-    private WeightStoreStandin store(Service service) {
+    private WeightStoreStandin startWeightStore(Service service) {
         return WeightStoreStandin.builder()
                 .loads(service.weightLoadsAtOnce(), service.weightLoadsPerSecond(), weightLoadMillis)
                 .adapterLoadsAtOnce(service.adapterLoadsAtOnce())
@@ -132,7 +134,7 @@
                 .start();
     }
 
-    private ModelEngineStandin engine(Service service, WeightSource source) {
+    private ModelEngineStandin startEngine(Service service, WeightSource source) {
         ModelEngineStandin.Builder builder = ModelEngineStandin.builder()
                 .capacityBytes(service.memoryBytes())
                 .costs(costs)
--- a/src/main/java/io/waxwingquay/bench/Overhead.java
+++ b/src/main/java/io/waxwingquay/bench/Overhead.java
@@ -36,11 +36,12 @@
     private static final String ENGINE = "studio-0";
     private static final int TOKENS = 16;
     private static final int MAX_BATCH = 256;
-    private static final int CONNECTIONS = 1_024;
+    private static final int MAX_CONNECTIONS = 1_024;
     private static final long TIMEOUT_MILLIS = 5_000L;
-    private static final long SERVING_LIMIT_MILLIS = 20_000L;
-    private static final long TAIL_SECONDS = 10L;
-    private static final CostModel COSTS = new CostModel(0, 0, 20_000, 0, MAX_BATCH, 65_536, 50_000, 500_000, 250_000);
+    private static final long SERVING_TIMEOUT_MILLIS = 20_000L;
+    private static final long DRAIN_TIMEOUT_SECONDS = 10L;
+    private static final CostModel ENGINE_COSTS =
+            new CostModel(0, 0, 20_000, 0, MAX_BATCH, 65_536, 50_000, 500_000, 250_000);
     private static final double MICROS_PER_MILLI = 1_000.0;
 
     /**
@@ -51,95 +52,99 @@
      * @throws InterruptedException if a wait is interrupted.
      */
     public void run(PrintWriter out) throws IOException, InterruptedException {
-        try (LocalDeployment deployment = LocalDeployment.builder(document())
+        try (LocalDeployment deployment = LocalDeployment.builder(readBundle())
                         .entries(1)
-                        .costs(COSTS)
+                        .costs(ENGINE_COSTS)
                         .start();
                 Caller caller = new Caller()) {
-            deployment.awaitServing(SERVING_LIMIT_MILLIS);
-            Paths paths = new Paths(deployment, caller);
+            deployment.awaitServing(SERVING_TIMEOUT_MILLIS);
+            RequestPaths paths = new RequestPaths(deployment, caller);
             measure(paths, ratesPerSecond.get(0));
             out.println("requests/s  direct p50 ms  p99 ms  through p50 ms  p99 ms  ratio p50  ratio p99  failed");
             for (int rate : ratesPerSecond) {
-                out.println(measure(paths, rate).line(rate));
+                out.println(measure(paths, rate).toRow(rate));
                 out.flush();
             }
             paths.close();
         }
     }
 
-    private Figures measure(Paths paths, int rate) throws InterruptedException {
-        Figures figures = new Figures();
-        List<CompletableFuture<Void>> all = new ArrayList<>();
+    private Latencies measure(RequestPaths paths, int ratePerSecond) throws InterruptedException {
+        Latencies latencies = new Latencies();
+        List<CompletableFuture<Void>> answers = new ArrayList<>();
         long startNanos = System.nanoTime();
-        long count = (long) rate * secondsPerRate;
+        long count = (long) ratePerSecond * secondsPerRate;
         for (long number = 0; number < count; number++) {
-            sleepUntil(startNanos + number * TimeUnit.SECONDS.toNanos(1) / rate);
-            all.add(number % 2 == 0 ? paths.direct(number, figures) : paths.through(number, figures));
+            sleepUntil(startNanos + number * TimeUnit.SECONDS.toNanos(1) / ratePerSecond);
+            answers.add(
+                    number % 2 == 0
+                            ? paths.sendDirectly(number, latencies)
+                            : paths.sendThroughEntry(number, latencies));
         }
         try {
-            CompletableFuture.allOf(all.toArray(CompletableFuture[]::new)).get(TAIL_SECONDS, TimeUnit.SECONDS);
+            CompletableFuture.allOf(answers.toArray(CompletableFuture[]::new))
+                    .get(DRAIN_TIMEOUT_SECONDS, TimeUnit.SECONDS);
         } catch (java.util.concurrent.ExecutionException | java.util.concurrent.TimeoutException unanswered) {
-            figures.failed.addAndGet(
-                    all.stream().filter(answer -> !answer.isDone()).count());
+            latencies.failed.addAndGet(
+                    answers.stream().filter(answer -> !answer.isDone()).count());
         }
-        return figures;
+        return latencies;
     }
 
     private static void sleepUntil(long dueNanos) {
-        long left = dueNanos - System.nanoTime();
-        while (left > 0) {
-            LockSupport.parkNanos(left);
-            left = dueNanos - System.nanoTime();
+        long remainingNanos = dueNanos - System.nanoTime();
+        while (remainingNanos > 0) {
+            LockSupport.parkNanos(remainingNanos);
+            remainingNanos = dueNanos - System.nanoTime();
         }
     }
 
-    private static byte[] document() throws IOException {
+    private static byte[] readBundle() throws IOException {
         try (InputStream stream = Overhead.class.getResourceAsStream(BUNDLE)) {
             return stream.readAllBytes();
         }
     }
 
-    private static final class Figures {
+    private static final class Latencies {
 
         private final Histogram directMicros = new Histogram(3);
-        private final Histogram throughMicros = new Histogram(3);
+        private final Histogram proxiedMicros = new Histogram(3);
         private final AtomicLong failed = new AtomicLong();
 
-        private synchronized void note(Histogram histogram, long micros) {
+        private synchronized void record(Histogram histogram, long micros) {
             histogram.recordValue(micros);
         }
 
-        private synchronized String line(int rate) {
-            double[] direct = {at(directMicros, 50), at(directMicros, 99)};
-            double[] through = {at(throughMicros, 50), at(throughMicros, 99)};
+        private synchronized String toRow(int ratePerSecond) {
+            double[] directMillis = {percentileMillis(directMicros, 50), percentileMillis(directMicros, 99)};
+            double[] proxiedMillis = {percentileMillis(proxiedMicros, 50), percentileMillis(proxiedMicros, 99)};
             return String.format(
                     "%10d  %13.1f  %6.1f  %14.1f  %6.1f  %9.3f  %9.3f  %6d",
-                    rate,
-                    direct[0],
-                    direct[1],
-                    through[0],
-                    through[1],
-                    through[0] / direct[0],
-                    through[1] / direct[1],
+                    ratePerSecond,
+                    directMillis[0],
+                    directMillis[1],
+                    proxiedMillis[0],
+                    proxiedMillis[1],
+                    proxiedMillis[0] / directMillis[0],
+                    proxiedMillis[1] / directMillis[1],
                     failed.get());
         }
 
-        private static double at(Histogram histogram, double percentile) {
+        private static double percentileMillis(Histogram histogram, double percentile) {
             return histogram.getValueAtPercentile(percentile) / MICROS_PER_MILLI;
         }
     }
 
-    private static final class Paths implements AutoCloseable {
+    private static final class RequestPaths implements AutoCloseable {
 
-        private final HttpClient client = HttpCalls.startClient(CONNECTIONS, TIMEOUT_MILLIS);
+        private final HttpClient client = HttpCalls.startClient(MAX_CONNECTIONS, TIMEOUT_MILLIS);
         private final Caller caller;
         private final HostPort entry;
         private final ModelEngine engine;
         private final String item;
         private final AtomicLong ids = new AtomicLong();
 
-        private Paths(LocalDeployment deployment, Caller caller) {
+        private RequestPaths(LocalDeployment deployment, Caller caller) {
             this.caller = caller;
             this.entry = deployment.entries().get(0).callerAddress();
             this.engine =
@@ -147,18 +152,18 @@
             this.item = deployment.bundle().models().get(0).item();
         }
 
-        private CompletableFuture<Void> through(long number, Figures figures) {
+        private CompletableFuture<Void> sendThroughEntry(long number, Latencies latencies) {
             Completion asked = new Completion(MODEL, Optional.empty(), "through " + number, TOKENS, 0, TIMEOUT_MILLIS);
             return caller.complete(entry, asked).thenAccept(answer -> {
                 if (answer.isWhole()) {
-                    figures.note(figures.throughMicros, answer.totalMicros());
+                    latencies.record(latencies.proxiedMicros, answer.totalMicros());
                 } else {
-                    figures.failed.incrementAndGet();
+                    latencies.failed.incrementAndGet();
                 }
             });
         }
 
-        private CompletableFuture<Void> direct(long number, Figures figures) {
+        private CompletableFuture<Void> sendDirectly(long number, Latencies latencies) {
             String id = "direct-" + ids.incrementAndGet();
             CompletableFuture<Void> done = new CompletableFuture<>();
             long startNanos = System.nanoTime();
@@ -176,9 +181,9 @@
                 public void end(OptionalLong totalTokens, Optional<TargetException> failure) {
                     if (totalTokens.isPresent()) {
                         long micros = TimeUnit.NANOSECONDS.toMicros(System.nanoTime() - startNanos);
-                        figures.note(figures.directMicros, micros);
+                        latencies.record(latencies.directMicros, micros);
                     } else {
-                        figures.failed.incrementAndGet();
+                        latencies.failed.incrementAndGet();
                     }
                     done.complete(null);
                 }
--- a/src/main/java/io/waxwingquay/bench/StartGate.java
+++ b/src/main/java/io/waxwingquay/bench/PlacementGate.java
@@ -13,7 +13,7 @@
  * Leaves every side what it holds until the whole deployment is up. Sides start one after another; the first would
  * take all models for its own, and the load would begin from residents that depend on chance.
  */
-final class StartGate {
+final class PlacementGate {
 
     private final AtomicBoolean open = new AtomicBoolean();
 
@@ -21,18 +21,19 @@
         open.set(true);
     }
 
-    PlacementStrategy before(PlacementStrategy inner) {
-        return view -> open.get() ? inner.plan(view) : keep(view);
+    PlacementStrategy holdUntilOpen(PlacementStrategy strategy) {
+        return view -> open.get() ? strategy.plan(view) : keepResidents(view);
     }
 
-    private static Plan keep(PlacementInput view) {
+    private static Plan keepResidents(PlacementInput view) {
         return new Plan(
-                view.sides().stream().collect(Collectors.toMap(PlacementInput.LiveSide::id, StartGate::held)),
+                view.sides().stream()
+                        .collect(Collectors.toMap(PlacementInput.LiveSide::id, PlacementGate::residentShare)),
                 Map.of(),
                 List.of());
     }
 
-    private static Plan.Share held(PlacementInput.LiveSide holder) {
-        return new Plan.Share(List.copyOf(holder.residentItems()), Set.copyOf(holder.residentItems()));
+    private static Plan.Share residentShare(PlacementInput.LiveSide side) {
+        return new Plan.Share(List.copyOf(side.residentItems()), Set.copyOf(side.residentItems()));
     }
 }
--- a/src/main/java/io/waxwingquay/bench/PolicyBenchmark.java
+++ b/src/main/java/io/waxwingquay/bench/PolicyBenchmark.java
@@ -53,22 +53,26 @@
      */
     public void run(PrintWriter out) throws IOException, InterruptedException {
         System.setProperty("java.awt.headless", "true");
-        Workload requests = Workload.named(workload);
-        Fault shown = Fault.named(fault);
+        Workload loadedWorkload = Workload.named(workload);
+        Fault injectedFault = Fault.named(fault);
         List<PolicyPair> pairs = policies.stream().map(PolicyPair::named).toList();
         List<RunResult> results = new ArrayList<>();
         for (int seed = 1; seed <= seedCount; seed++) {
             for (PolicyPair pair : pairs) {
-                results.add(new LoadRun(requests, pair, shown, seed, secondsPerRun).measure(bundleDirectory, out));
+                results.add(new LoadRun(loadedWorkload, pair, injectedFault, seed, secondsPerRun)
+                        .measure(bundleDirectory, out));
             }
         }
         BenchReport report = new BenchReport(results);
-        String name = workload + "-" + shown.title();
+        String name = workload + "-" + injectedFault.title();
         report.write(outputDirectory, name);
         BenchPlot.write(
-                outputDirectory.resolve(name + ".png"), workload + ", fault: " + shown.title(), report.byPolicy());
-        out.println(workload + ", fault " + shown.title() + ", " + seedCount + " seeds of " + secondsPerRun + " s");
-        out.print(report.text());
+                outputDirectory.resolve(name + ".png"),
+                workload + ", fault: " + injectedFault.title(),
+                report.byPolicy());
+        out.println(
+                workload + ", fault " + injectedFault.title() + ", " + seedCount + " seeds of " + secondsPerRun + " s");
+        out.print(report.toTable());
         out.flush();
     }
 }
--- a/src/main/java/io/waxwingquay/bench/PolicyPair.java
+++ b/src/main/java/io/waxwingquay/bench/PolicyPair.java
@@ -14,11 +14,12 @@
  */
 record PolicyPair(String name, String routing, Decisions decisions) {
 
-    private static final String KNOWN = "waxwingquay, waxwingquay-1 to -7, round-robin, least-outstanding, model-hash, "
-            + "load-on-miss-lru, round-robin-blind or least-outstanding-blind";
+    private static final String KNOWN_NAMES =
+            "waxwingquay, waxwingquay-1 to -7, round-robin, least-outstanding, model-hash, "
+                    + "load-on-miss-lru, round-robin-blind or least-outstanding-blind";
 
     /** A third of the demand adds a replica already. */
-    private static final DemandThresholds QUICK = new DemandThresholds(1.0, 0.3, 60_000);
+    private static final DemandThresholds EARLY_SCALING_THRESHOLDS = new DemandThresholds(1.0, 0.3, 60_000);
 
     static PolicyPair named(String name) {
         return switch (name) {
@@ -31,7 +32,9 @@
             case "waxwingquay-6" -> new PolicyPair(
                     name,
                     "waxwingquay",
-                    new Decisions(PlacementStrategy.named("planned-2", QUICK), AdmissionRule.WITH_RUN_TIME));
+                    new Decisions(
+                            PlacementStrategy.named("planned-2", EARLY_SCALING_THRESHOLDS),
+                            AdmissionRule.WITH_RUN_TIME));
             case "waxwingquay-7" -> of(name, "waxwingquay", "planned-2", AdmissionRule.WITH_MARGIN);
             case "round-robin" -> baseline(name, "round-robin-resident", "static");
             case "least-outstanding" -> baseline(name, "least-outstanding-resident", "static");
@@ -39,12 +42,12 @@
             case "load-on-miss-lru" -> baseline(name, "least-outstanding-resident", "load-on-miss");
             case "round-robin-blind" -> baseline(name, "round-robin", "load-on-miss");
             case "least-outstanding-blind" -> baseline(name, "least-outstanding", "load-on-miss");
-            default -> throw new IllegalArgumentException("policy '" + name + "' is unknown; write " + KNOWN);
+            default -> throw new IllegalArgumentException("policy '" + name + "' is unknown; write " + KNOWN_NAMES);
         };
     }
 
-    Decisions decisionsBehind(StartGate gate) {
-        return new Decisions(gate.before(decisions.placement()), decisions.admission());
+    Decisions decisionsHeldBy(PlacementGate gate) {
+        return new Decisions(gate.holdUntilOpen(decisions.placement()), decisions.admission());
     }
 
     private static PolicyPair baseline(String name, String routing, String placement) {
--- a/src/main/java/io/waxwingquay/bench/Prompts.java
+++ b/src/main/java/io/waxwingquay/bench/Prompts.java
@@ -6,14 +6,14 @@
 /** Prompts that share a long beginning. */
 final class Prompts {
 
-    private static final int SHARED_WORDS = 20;
+    private static final int SHARED_PREFIX_WORDS = 20;
 
     private Prompts() {}
 
-    static String sharing(String beginning, long number) {
-        String shared = IntStream.range(0, SHARED_WORDS)
-                .mapToObj(word -> beginning + "-" + word)
+    static String withSharedPrefix(String prefix, long number) {
+        String sharedPrefix = IntStream.range(0, SHARED_PREFIX_WORDS)
+                .mapToObj(word -> prefix + "-" + word)
                 .collect(Collectors.joining(" "));
-        return shared + " then request " + number;
+        return sharedPrefix + " then request " + number;
     }
 }
--- a/src/main/java/io/waxwingquay/bench/SettingsText.java
+++ b/src/main/java/io/waxwingquay/bench/SettingsText.java
@@ -24,7 +24,7 @@
         long orderQuarantineMillis,
         List<HostPort> seeds) {
 
-    private static final String COMMON =
+    private static final String COMMON_TEMPLATE =
             """
             name = "%s"
             data_centre = "dc-%d"
@@ -37,12 +37,12 @@
             seeds = [%s]
             log_level = "warn"
             """;
-    private static final String ENTRY =
+    private static final String ENTRY_TEMPLATE =
             """
             caller_port = %d
             routing_policy = "%s"
             """;
-    private static final String SIDE =
+    private static final String SIDE_TEMPLATE =
             """
             service = "%s"
             replica = %d
@@ -107,7 +107,7 @@
      * @return the TOML text.
      */
     public String entry(int number, String policy, List<Integer> ports) {
-        return common("entry-" + number, number, ports) + ENTRY.formatted(ports.get(2), policy);
+        return commonSettings("entry-" + number, number, ports) + ENTRY_TEMPLATE.formatted(ports.get(2), policy);
     }
 
     /**
@@ -121,16 +121,23 @@
      */
     public String side(Bundle.Service service, int replica, HostPort target, List<Integer> ports) {
         String kind = service.kind().name().toLowerCase(Locale.ROOT);
-        return common(sideName(service.name(), replica), replica, ports)
-                + SIDE.formatted(service.name(), replica, target, kind, permitLeaseMillis, orderQuarantineMillis);
+        return commonSettings(sideName(service.name(), replica), replica, ports)
+                + SIDE_TEMPLATE.formatted(
+                        service.name(), replica, target, kind, permitLeaseMillis, orderQuarantineMillis);
     }
 
-    private String common(String name, int number, List<Integer> ports) {
-        return COMMON.formatted(
-                name, dataCentreNumber(number), ports.get(0), ports.get(1), platformAddress, publicKey, quoted(seeds));
+    private String commonSettings(String name, int number, List<Integer> ports) {
+        return COMMON_TEMPLATE.formatted(
+                name,
+                dataCentreNumber(number),
+                ports.get(0),
+                ports.get(1),
+                platformAddress,
+                publicKey,
+                quotedList(seeds));
     }
 
-    private static String quoted(List<HostPort> addresses) {
+    private static String quotedList(List<HostPort> addresses) {
         return addresses.stream().map(address -> '"' + address.toString() + '"').collect(Collectors.joining(", "));
     }
 
--- a/src/main/java/io/waxwingquay/bench/capacity/BundleSizes.java
+++ b/src/main/java/io/waxwingquay/bench/capacity/BundleSizes.java
@@ -10,10 +10,10 @@
 /** Bytes of a bundle document, by models, as it is and deflated. */
 final class BundleSizes {
 
-    private static final List<Integer> MODELS = List.of(40, 80, 155, 310, 620);
+    private static final List<Integer> MODEL_COUNTS = List.of(40, 80, 155, 310, 620);
     private static final long VERSION = 4_400;
-    private static final int ADAPTERS_A_MODEL = 4;
-    private static final String HEAD =
+    private static final int ADAPTERS_PER_MODEL = 4;
+    private static final String SERVICE_TOML =
             """
             version = 4400
 
@@ -29,7 +29,7 @@
             adapter_loads_at_once = 600
             max_concurrent = 64
             """;
-    private static final String MODEL =
+    private static final String MODEL_TEMPLATE =
             """
 
             [[models]]
@@ -39,7 +39,7 @@
             size_bytes = %d
             priority = %d
             """;
-    private static final String ADAPTER =
+    private static final String ADAPTER_TEMPLATE =
             """
 
             [[adapters]]
@@ -54,32 +54,32 @@
     static Stream<StepTable> all() {
         return Stream.of(
                 StepTable.measure(
-                        "bytes of a bundle document, " + ADAPTERS_A_MODEL + " adapters a model",
+                        "bytes of a bundle document, " + ADAPTERS_PER_MODEL + " adapters a model",
                         "models",
-                        MODELS,
+                        MODEL_COUNTS,
                         models -> document((int) models).length),
                 StepTable.measure(
                         "bytes of the same document deflated",
                         "models",
-                        MODELS,
+                        MODEL_COUNTS,
                         models -> deflatedBytes(document((int) models))),
                 StepTable.measure(
                         "processor microseconds to read and check that document",
                         "models",
-                        MODELS,
+                        MODEL_COUNTS,
                         models -> readMicros(document((int) models))));
     }
 
     /** Versions are random, as commit hashes are, since they bound what deflating saves. */
     private static byte[] document(int models) {
         Random random = new Random(5);
-        StringBuilder text = new StringBuilder(HEAD);
+        StringBuilder text = new StringBuilder(SERVICE_TOML);
         for (int index = 0; index < models; index++) {
             String name = "furnace-log-" + index;
-            text.append(
-                    MODEL.formatted(name, random.nextLong(), (1 + random.nextInt(640)) * 1_000_000_000L, index % 100));
-            for (int adapter = 0; adapter < ADAPTERS_A_MODEL; adapter++) {
-                text.append(ADAPTER.formatted(name, adapter, name, random.nextLong(), 200_000_000L));
+            text.append(MODEL_TEMPLATE.formatted(
+                    name, random.nextLong(), (1 + random.nextInt(640)) * 1_000_000_000L, index % 100));
+            for (int adapter = 0; adapter < ADAPTERS_PER_MODEL; adapter++) {
+                text.append(ADAPTER_TEMPLATE.formatted(name, adapter, name, random.nextLong(), 200_000_000L));
             }
         }
         return text.toString().getBytes(StandardCharsets.UTF_8);
@@ -94,8 +94,8 @@
         Deflater deflater = new Deflater();
         deflater.setInput(document);
         deflater.finish();
-        byte[] room = new byte[document.length];
-        int length = deflater.deflate(room);
+        byte[] buffer = new byte[document.length];
+        int length = deflater.deflate(buffer);
         deflater.end();
         return length;
     }
--- a/src/main/java/io/waxwingquay/bench/capacity/Capacity.java
+++ b/src/main/java/io/waxwingquay/bench/capacity/Capacity.java
@@ -31,7 +31,7 @@
             each.tables.get().forEach(this::print);
         }
         if (part == Part.ALL || part == Part.GOSSIP) {
-            out.println("\n" + Spread.partedRegions());
+            out.println("\n" + GossipCosts.partitionedRegions());
         }
         out.flush();
     }
@@ -48,9 +48,9 @@
         /** Record sizes, heap and processor time. */
         COSTS(Costs::all),
         /** Traffic and delay of gossip. */
-        GOSSIP(Spread::all),
+        GOSSIP(GossipCosts::all),
         /** The table service's load by claims. */
-        TABLE(TableUse::all),
+        TABLE(TableLoad::all),
         /** Bundle documents. */
         BUNDLES(BundleSizes::all);
 
--- a/src/main/java/io/waxwingquay/bench/capacity/Costs.java
+++ b/src/main/java/io/waxwingquay/bench/capacity/Costs.java
@@ -37,10 +37,10 @@
 /** Processor time and heap of single parts, by size. */
 final class Costs {
 
-    private static final int ITEMS = 8;
+    private static final int ITEMS_PER_SIDE = 8;
     private static final int MODELS = 620;
     private static final int SIDES = 2_400;
-    private static final List<Integer> SIDE_STEPS = List.of(150, 300, 600, 1_200, 2_400);
+    private static final List<Integer> SIDE_COUNTS = List.of(150, 300, 600, 1_200, 2_400);
     private static final int WARM_UP_POLLS = 10_000;
     private static final long POLL_WAIT_MILLIS = 250;
 
@@ -65,24 +65,25 @@
                 "bytes of a side record",
                 "items in it",
                 List.of(0, 4, 8, 16, 32, 64),
-                items -> Sides.sizeBytes(Sides.record(17, (int) items, MODELS)));
+                items -> SyntheticSides.sizeBytes(SyntheticSides.record(17, (int) items, MODELS)));
     }
 
     private static StepTable recordHeap() {
         return StepTable.measure(
-                "heap bytes of a member table, " + ITEMS + " items a side",
+                "heap bytes of a member table, " + ITEMS_PER_SIDE + " items a side",
                 "sides",
-                SIDE_STEPS,
-                sides -> Meter.heapBytes((int) sides, count -> Sides.table(count, ITEMS, MODELS)));
+                SIDE_COUNTS,
+                sides -> Meter.heapBytes((int) sides, count -> SyntheticSides.table(count, ITEMS_PER_SIDE, MODELS)));
     }
 
     private static StepTable snapshotMicros() {
         return StepTable.measure(
-                "processor microseconds of a membership snapshot after one change", "sides", SIDE_STEPS, sides -> {
-                    MemberTable table = Sides.table((int) sides, ITEMS, MODELS);
+                "processor microseconds of a membership snapshot after one change", "sides", SIDE_COUNTS, sides -> {
+                    MemberTable table = SyntheticSides.table((int) sides, ITEMS_PER_SIDE, MODELS);
                     AtomicLong version = new AtomicLong(1);
                     return Meter.threadMicros(100, () -> {
-                        table.publish(Sides.record(0, ITEMS, MODELS).setVersion(version.incrementAndGet()));
+                        table.publish(
+                                SyntheticSides.record(0, ITEMS_PER_SIDE, MODELS).setVersion(version.incrementAndGet()));
                         table.sides();
                     });
                 });
@@ -91,8 +92,8 @@
     /** An idle round and its answer at a process that knows as many: both ends. */
     private static StepTable gossipRoundMicros() {
         return StepTable.measure(
-                "processor microseconds of an idle gossip round, both ends together", "sides", SIDE_STEPS, sides -> {
-                    GossipField pair = GossipField.ofPair((int) sides, ITEMS);
+                "processor microseconds of an idle gossip round, both ends together", "sides", SIDE_COUNTS, sides -> {
+                    GossipSimulation pair = GossipSimulation.ofPair((int) sides, ITEMS_PER_SIDE);
                     return Meter.threadMicros(100, pair::round);
                 });
     }
@@ -101,39 +102,42 @@
         return StepTable.measure(
                 "processor microseconds of a routing decision over " + MODELS + " models",
                 "sides",
-                SIDE_STEPS,
+                SIDE_COUNTS,
                 sides -> {
-                    MemberTable table = Sides.table((int) sides, ITEMS, MODELS);
+                    MemberTable table = SyntheticSides.table((int) sides, ITEMS_PER_SIDE, MODELS);
                     SideIndex.Cache index = new SideIndex.Cache();
-                    LoadTracker board = loadedBoard((int) sides);
+                    LoadTracker tracker = trackerWithReports((int) sides);
                     Router router = new Router(RoutingPolicy.named("waxwingquay"));
                     Random random = new Random(7);
-                    return Meter.threadMicros(200, () -> decide(table, index, board, router, random));
+                    return Meter.threadMicros(200, () -> decide(table, index, tracker, router, random));
                 });
     }
 
     private static void decide(
-            MemberTable table, SideIndex.Cache index, LoadTracker board, Router router, Random random) {
-        List<String> items = List.of(Sides.itemName(random.nextInt(MODELS)));
-        RouteQuery query = new RouteQuery(Sides.SERVICE, Sides.dataCentre(0), items, random.nextLong(), 1, Set.of());
+            MemberTable table, SideIndex.Cache index, LoadTracker tracker, Router router, Random random) {
+        List<String> items = List.of(SyntheticSides.itemName(random.nextInt(MODELS)));
+        RouteQuery query = new RouteQuery(
+                SyntheticSides.SERVICE, SyntheticSides.dataCentre(0), items, random.nextLong(), 1, Set.of());
         List<Side> considered = router.policy().relevantSides(query, index.of(table.sides()));
-        router.candidates(query, board.views(considered, 1_000), random);
+        router.candidates(query, tracker.views(considered, 1_000), random);
     }
 
-    private static LoadTracker loadedBoard(int sides) {
-        LoadTracker board = new LoadTracker();
+    private static LoadTracker trackerWithReports(int sides) {
+        LoadTracker tracker = new LoadTracker();
         IntStream.range(0, sides)
-                .forEach(index -> board.recordReport(
-                        Sides.name(index), new LoadReport(index % 9, index % 3, index % 700, 900.0, 1L << 34, 5), 900));
-        return board;
+                .forEach(index -> tracker.recordReport(
+                        SyntheticSides.name(index),
+                        new LoadReport(index % 9, index % 3, index % 700, 900.0, 1L << 34, 5),
+                        900));
+        return tracker;
     }
 
     private static StepTable planMicrosBySides() {
-        Bundle bundle = Sides.bundle(MODELS);
+        Bundle bundle = SyntheticSides.bundle(MODELS);
         return StepTable.measure(
                 "processor microseconds of a placement plan of " + MODELS + " models",
                 "sides",
-                SIDE_STEPS,
+                SIDE_COUNTS,
                 sides -> planMicros(bundle, (int) sides));
     }
 
@@ -142,20 +146,23 @@
                 "processor microseconds of a placement plan over " + SIDES + " sides",
                 "models",
                 List.of(40, 80, 155, 310, 620),
-                models -> planMicros(Sides.bundle((int) models), SIDES));
+                models -> planMicros(SyntheticSides.bundle((int) models), SIDES));
     }
 
     private static double planMicros(Bundle bundle, int sides) {
-        MemberTable table = Sides.table(sides, ITEMS, bundle.models().size());
+        MemberTable table =
+                SyntheticSides.table(sides, ITEMS_PER_SIDE, bundle.models().size());
         PlacementStrategy strategy = PlacementStrategy.named("planned", DemandThresholds.DEFAULT);
         return Meter.threadMicros(
-                2, () -> strategy.plan(PlacementInput.of(bundle, Sides.SERVICE, table.sides(), Plan.EMPTY, 1_000)));
+                2,
+                () -> strategy.plan(
+                        PlacementInput.of(bundle, SyntheticSides.SERVICE, table.sides(), Plan.EMPTY, 1_000)));
     }
 
     /** Both ends over loopback in this process, so it is the cost of the pair. */
     private static StepTable pollMicros() {
         try (ThriftServer server =
-                        ThriftServer.bind(new HostPort("127.0.0.1", 0)).serveSide(answering());
+                        ThriftServer.bind(new HostPort("127.0.0.1", 0)).serveSide(pollResponder());
                 Connections connections = ThriftConnections.builder().build()) {
             SideProtocol side = connections.to(server.address());
             Meter.processMicros(WARM_UP_POLLS, () -> side.poll(new PollRequest("attempt", 4, POLL_WAIT_MILLIS))
@@ -174,15 +181,15 @@
         return StepTable.measure(
                 "heap bytes of open connections, both ends together", "connections", List.of(8, 16, 32, 64), count -> {
                     List<AutoCloseable> open = new ArrayList<>();
-                    double heapBytes = Meter.heapBytes((int) count, ignored -> connect((int) count, open));
+                    double heapBytes = Meter.heapBytes((int) count, ignored -> openConnections((int) count, open));
                     open.forEach(Costs::close);
                     return heapBytes;
                 });
     }
 
     /** One server and a client for each connection, as clients keep their connections apart. */
-    private static Object connect(int count, List<AutoCloseable> open) {
-        ThriftServer server = ThriftServer.bind(new HostPort("127.0.0.1", 0)).serveSide(answering());
+    private static Object openConnections(int count, List<AutoCloseable> open) {
+        ThriftServer server = ThriftServer.bind(new HostPort("127.0.0.1", 0)).serveSide(pollResponder());
         for (int index = 0; index < count; index++) {
             Connections connections = ThriftConnections.builder().build();
             connections
@@ -204,7 +211,7 @@
     }
 
     /** Answers polls with as many one-token chunks as the offset says. */
-    private static SideProtocol answering() {
+    private static SideProtocol pollResponder() {
         return (SideProtocol) Proxy.newProxyInstance(
                 SideProtocol.class.getClassLoader(),
                 new Class<?>[] {SideProtocol.class},
--- a/src/main/java/io/waxwingquay/bench/capacity/GossipField.java
+++ b/src/main/java/io/waxwingquay/bench/capacity/GossipSimulation.java
@@ -24,19 +24,19 @@
 import java.util.stream.IntStream;
 
 /** The gossip of many processes by direct calls, under one clock that is stepped. */
-final class GossipField {
+final class GossipSimulation {
 
     private static final long STEP_MILLIS = 25;
-    private static final long WAKE_MILLIS = 250;
-    private static final long SETTLE_MILLIS = 20_000;
-    private static final long LIMIT_MILLIS = 60_000;
+    private static final long WAKE_INTERVAL_MILLIS = 250;
+    private static final long WARM_UP_MILLIS = 20_000;
+    private static final long SPREAD_TIMEOUT_MILLIS = 60_000;
     private static final double MILLIS_PER_SECOND = 1_000;
 
     private final List<Node> nodes = new ArrayList<>();
     private final Map<HostPort, SideProtocol> protocols = new HashMap<>();
     private final Random random = new Random(20261202);
     private long nowMillis = 1_000;
-    private int cutOffDataCentres;
+    private int partitionedDataCentres;
     private final Clock clock = new Clock() {
         @Override
         public long monotonicMillis() {
@@ -50,38 +50,38 @@
     };
 
     /** Processes that each know all others' records. */
-    static GossipField ofAcquainted(int count, int items) {
-        GossipField field = new GossipField(count, 0);
+    static GossipSimulation withAllRecords(int count, int items) {
+        GossipSimulation simulation = new GossipSimulation(count, 0);
         List<SideRecord> all = IntStream.range(0, count)
-                .mapToObj(index -> Sides.record(index, items, 620))
+                .mapToObj(index -> SyntheticSides.record(index, items, 620))
                 .toList();
-        field.nodes.forEach(node -> node.table.merge(all));
-        field.pass(SETTLE_MILLIS);
-        return field;
+        simulation.nodes.forEach(node -> node.table.merge(all));
+        simulation.advance(WARM_UP_MILLIS);
+        return simulation;
     }
 
     /** Processes that each know some others at random and no records, so that thousands fit one machine. */
-    static GossipField ofStrangers(int count, int known) {
-        GossipField field = new GossipField(count, known);
-        field.pass(SETTLE_MILLIS);
-        return field;
+    static GossipSimulation withRandomSeeds(int count, int seedCount) {
+        GossipSimulation simulation = new GossipSimulation(count, seedCount);
+        simulation.advance(WARM_UP_MILLIS);
+        return simulation;
     }
 
     /** Two processes that know many sides; whichever side the first asks, the second answers. */
-    static GossipField ofPair(int sides, int items) {
-        GossipField field = new GossipField(2, 0);
+    static GossipSimulation ofPair(int sides, int items) {
+        GossipSimulation simulation = new GossipSimulation(2, 0);
         List<SideRecord> all = IntStream.range(0, sides)
-                .mapToObj(index -> Sides.record(index, items, 620))
+                .mapToObj(index -> SyntheticSides.record(index, items, 620))
                 .toList();
-        field.nodes.forEach(node -> node.table.merge(all));
+        simulation.nodes.forEach(node -> node.table.merge(all));
         IntStream.range(0, sides)
-                .forEach(index -> field.protocols.put(
-                        address(index), field.nodes.get(0).direct.proxy(1)));
+                .forEach(index -> simulation.protocols.put(
+                        address(index), simulation.nodes.get(0).connections.proxy(1)));
         for (int round = 0; round < sides; round++) {
-            field.nowMillis += WAKE_MILLIS;
-            field.round();
+            simulation.nowMillis += WAKE_INTERVAL_MILLIS;
+            simulation.round();
         }
-        return field;
+        return simulation;
     }
 
     /** One round of the first process. */
@@ -89,11 +89,11 @@
         nodes.get(0).gossip.round().join();
     }
 
-    private GossipField(int count, int known) {
-        IntStream.range(0, count).forEach(index -> nodes.add(new Node(index, some(count, known))));
+    private GossipSimulation(int count, int seedCount) {
+        IntStream.range(0, count).forEach(index -> nodes.add(new Node(index, randomSeeds(count, seedCount))));
     }
 
-    void pass(long millis) {
+    void advance(long millis) {
         for (long leftMillis = millis; leftMillis > 0; leftMillis -= STEP_MILLIS) {
             nowMillis += STEP_MILLIS;
             nodes.forEach(Node::step);
@@ -101,8 +101,8 @@
     }
 
     /** From now on the first data centres and the others do not reach each other; nought ends that. */
-    void cutOff(int dataCentres) {
-        cutOffDataCentres = dataCentres;
+    void partition(int dataCentres) {
+        partitionedDataCentres = dataCentres;
     }
 
     long millisToSpreadBundle() {
@@ -112,18 +112,18 @@
     }
 
     long millisToSpreadLeaving(int side) {
-        nodes.get(0).table.noteLeaving(Sides.name(side), 1);
+        nodes.get(0).table.noteLeaving(SyntheticSides.name(side), 1);
         return millisUntilAll(
-                node -> node.table.side(Sides.name(side)).orElseThrow().state() == SideState.LEAVING);
+                node -> node.table.side(SyntheticSides.name(side)).orElseThrow().state() == SideState.LEAVING);
     }
 
     void publish(int side, long version, int items) {
-        nodes.get(side).table.publish(Sides.record(side, items, 620).setVersion(version));
+        nodes.get(side).table.publish(SyntheticSides.record(side, items, 620).setVersion(version));
     }
 
     long millisUntilAllHave(int side, long version) {
         return millisUntilAll(
-                node -> node.table.side(Sides.name(side)).orElseThrow().version() >= version);
+                node -> node.table.side(SyntheticSides.name(side)).orElseThrow().version() >= version);
     }
 
     /** Bytes a second that a process sends, on average, while time passes. */
@@ -132,15 +132,15 @@
         double messages = messages();
         long fromMillis = nowMillis;
         work.run();
-        pass(millis - (nowMillis - fromMillis));
+        advance(millis - (nowMillis - fromMillis));
         double processSeconds = nodes.size() * (nowMillis - fromMillis) / MILLIS_PER_SECOND;
         return new Traffic((sentBytes() - bytes) / processSeconds, (messages() - messages) / processSeconds);
     }
 
     private long millisUntilAll(Predicate<Node> condition) {
         long fromMillis = nowMillis;
-        while (nowMillis - fromMillis < LIMIT_MILLIS && !nodes.stream().allMatch(condition)) {
-            pass(STEP_MILLIS);
+        while (nowMillis - fromMillis < SPREAD_TIMEOUT_MILLIS && !nodes.stream().allMatch(condition)) {
+            advance(STEP_MILLIS);
         }
         return nowMillis - fromMillis;
     }
@@ -160,21 +160,21 @@
                 .sum();
     }
 
-    private List<HostPort> some(int count, int known) {
-        return random.ints(known, 0, count)
+    private List<HostPort> randomSeeds(int count, int seedCount) {
+        return random.ints(seedCount, 0, count)
                 .distinct()
-                .mapToObj(GossipField::address)
+                .mapToObj(GossipSimulation::address)
                 .toList();
     }
 
     private static HostPort address(int index) {
-        return new HostPort("127.0.0.1", Sides.PORT + index);
+        return new HostPort("127.0.0.1", SyntheticSides.BASE_PORT + index);
     }
 
-    private boolean isCut(int from, int to) {
-        boolean fromFirst = from % Sides.DATA_CENTRES < cutOffDataCentres;
-        boolean toFirst = to % Sides.DATA_CENTRES < cutOffDataCentres;
-        return cutOffDataCentres > 0 && fromFirst != toFirst;
+    private boolean isPartitioned(int from, int to) {
+        boolean fromFirst = from % SyntheticSides.DATA_CENTRES < partitionedDataCentres;
+        boolean toFirst = to % SyntheticSides.DATA_CENTRES < partitionedDataCentres;
+        return partitionedDataCentres > 0 && fromFirst != toFirst;
     }
 
     /**
@@ -191,19 +191,21 @@
         private final MemberTable table = new MemberTable(clock, MemberTable.Timing.DEFAULT);
         private final SimpleMeterRegistry registry = new SimpleMeterRegistry();
         private final Gossip gossip;
-        private final Direct direct;
+        private final DirectConnections connections;
         private final long phaseMillis;
         private long lastRoundMillis;
         private long bundleVersion = 1;
 
         private Node(int index, List<HostPort> seeds) {
             this.index = index;
-            Peers peers =
-                    new Peers(new Peers.Peer(Sides.name(index), address(index), Sides.dataCentre(index)), table, seeds);
-            this.phaseMillis = random.nextLong(WAKE_MILLIS / STEP_MILLIS) * STEP_MILLIS;
+            Peers peers = new Peers(
+                    new Peers.Peer(SyntheticSides.name(index), address(index), SyntheticSides.dataCentre(index)),
+                    table,
+                    seeds);
+            this.phaseMillis = random.nextLong(WAKE_INTERVAL_MILLIS / STEP_MILLIS) * STEP_MILLIS;
             this.lastRoundMillis = nowMillis - random.nextInt(2_000);
-            this.direct = new Direct(index);
-            this.gossip = Gossip.over(table, peers, direct)
+            this.connections = new DirectConnections(index);
+            this.gossip = Gossip.over(table, peers, connections)
                     .carrying(new SuspectTable(clock, 600_000, 100))
                     .announcing(
                             () -> bundleVersion, (version, from) -> bundleVersion = Math.max(bundleVersion, version))
@@ -213,7 +215,7 @@
         }
 
         private void step() {
-            boolean isAwake = (nowMillis - phaseMillis) % WAKE_MILLIS == 0;
+            boolean isAwake = (nowMillis - phaseMillis) % WAKE_INTERVAL_MILLIS == 0;
             if (isAwake && nowMillis - lastRoundMillis >= gossip.nextDelayMillis()) {
                 lastRoundMillis = nowMillis;
                 gossip.round().join();
@@ -221,18 +223,20 @@
         }
     }
 
-    private final class Direct implements Connections {
+    private final class DirectConnections implements Connections {
 
         private final int from;
 
-        private Direct(int from) {
+        private DirectConnections(int from) {
             this.from = from;
         }
 
         @Override
         public SideProtocol to(HostPort address) {
-            int index = address.port() - Sides.PORT;
-            return isCut(from, index) ? unreachable() : protocols.computeIfAbsent(address, ignored -> proxy(index));
+            int index = address.port() - SyntheticSides.BASE_PORT;
+            return isPartitioned(from, index)
+                    ? unreachable()
+                    : protocols.computeIfAbsent(address, ignored -> proxy(index));
         }
 
         private SideProtocol proxy(int index) {
--- a/src/main/java/io/waxwingquay/bench/capacity/LeastSquares.java
+++ b/src/main/java/io/waxwingquay/bench/capacity/LeastSquares.java
@@ -24,22 +24,23 @@
     static LeastSquares fit(List<StepTable.Step> steps) {
         double meanSize = mean(steps.stream().mapToDouble(StepTable.Step::size).toArray());
         double meanCost = mean(steps.stream().mapToDouble(StepTable.Step::cost).toArray());
-        double spread = 0;
-        double together = 0;
+        double sizeSquares = 0;
+        double crossProducts = 0;
         for (StepTable.Step step : steps) {
-            spread += (step.size() - meanSize) * (step.size() - meanSize);
-            together += (step.size() - meanSize) * (step.cost() - meanCost);
+            sizeSquares += (step.size() - meanSize) * (step.size() - meanSize);
+            crossProducts += (step.size() - meanSize) * (step.cost() - meanCost);
         }
-        double slope = together / spread;
+        double slope = crossProducts / sizeSquares;
         double intercept = meanCost - slope * meanSize;
-        double squares = 0;
-        double worst = 0;
+        double residualSquares = 0;
+        double maxRelativeResidual = 0;
         for (StepTable.Step step : steps) {
-            double miss = step.cost() - intercept - slope * step.size();
-            squares += miss * miss;
-            worst = Math.max(worst, Math.abs(miss / step.cost()));
+            double residual = step.cost() - intercept - slope * step.size();
+            residualSquares += residual * residual;
+            maxRelativeResidual = Math.max(maxRelativeResidual, Math.abs(residual / step.cost()));
         }
-        return new LeastSquares(intercept, slope, Math.sqrt(squares / (steps.size() - 2) / spread), worst);
+        return new LeastSquares(
+                intercept, slope, Math.sqrt(residualSquares / (steps.size() - 2) / sizeSquares), maxRelativeResidual);
     }
 
     /**
--- a/src/main/java/io/waxwingquay/bench/capacity/Meter.java
+++ b/src/main/java/io/waxwingquay/bench/capacity/Meter.java
@@ -10,7 +10,7 @@
 final class Meter {
 
     private static final double NANOS_PER_MICRO = 1_000.0;
-    private static final int COLLECTIONS = 3;
+    private static final int GARBAGE_COLLECTIONS = 3;
     private static final int BATCHES = 5;
 
     private Meter() {}
@@ -47,7 +47,7 @@
     }
 
     private static long usedBytes() {
-        for (int collection = 0; collection < COLLECTIONS; collection++) {
+        for (int collection = 0; collection < GARBAGE_COLLECTIONS; collection++) {
             System.gc();
         }
         return ManagementFactory.getMemoryMXBean().getHeapMemoryUsage().getUsed();
--- a/src/main/java/io/waxwingquay/bench/capacity/Sides.java
+++ b/src/main/java/io/waxwingquay/bench/capacity/SyntheticSides.java
@@ -15,15 +15,15 @@
 import org.apache.thrift.protocol.TCompactProtocol;
 
 /** Made-up sides and bundles of any size. */
-final class Sides {
+final class SyntheticSides {
 
     static final String SERVICE = "models";
     static final int DATA_CENTRES = 6;
-    static final int PORT = 20_000;
-    private static final long TARGET_BYTES = 640L << 30;
+    static final int BASE_PORT = 20_000;
+    private static final long TARGET_CAPACITY_BYTES = 640L << 30;
     private static final long MODEL_BYTES = 60L << 30;
 
-    private Sides() {}
+    private SyntheticSides() {}
 
     /** A side with some items resident, each with demand; models are dealt out in turn. */
     static SideRecord record(int index, int items, int models) {
@@ -33,7 +33,7 @@
         return new SideRecord(
                 name(index),
                 "127.0.0.1",
-                PORT + index,
+                BASE_PORT + index,
                 dataCentre(index),
                 SERVICE,
                 index,
@@ -41,7 +41,7 @@
                 1,
                 1,
                 SideState.SERVING,
-                TARGET_BYTES,
+                TARGET_CAPACITY_BYTES,
                 held);
     }
 
--- a/src/main/java/io/waxwingquay/bench/capacity/TableUse.java
+++ b/src/main/java/io/waxwingquay/bench/capacity/TableLoad.java
@@ -11,34 +11,34 @@
 import java.util.stream.Stream;
 
 /** Transactions that the claims of one entry cost, by the rate of calls that run at most once. */
-final class TableUse {
+final class TableLoad {
 
-    private static final List<Integer> RATES = List.of(1, 2, 5, 10, 20, 50, 100, 200);
-    private static final int SECONDS = 60;
+    private static final List<Integer> CALLS_PER_SECOND = List.of(1, 2, 5, 10, 20, 50, 100, 200);
+    private static final int SIMULATED_SECONDS = 60;
     private static final int MILLIS_PER_SECOND = 1_000;
-    private static final int BATCH = 64;
+    private static final int MAX_BATCH_WRITES = 64;
 
-    private TableUse() {}
+    private TableLoad() {}
 
     static Stream<StepTable> all() {
-        return Stream.of(transactions(20), transactions(100));
+        return Stream.of(transactionsPerSecond(20), transactionsPerSecond(100));
     }
 
-    private static StepTable transactions(int latencyMillis) {
+    private static StepTable transactionsPerSecond(int latencyMillis) {
         return StepTable.measure(
                 "table transactions a second of one entry, a claim and an outcome a call, table answering in "
                         + latencyMillis + " ms",
                 "calls a second that run at most once",
-                RATES,
+                CALLS_PER_SECOND,
                 rate -> simulate((int) rate, latencyMillis));
     }
 
     private static double simulate(int callsPerSecond, int latencyMillis) {
-        SlowTable table = new SlowTable(latencyMillis);
-        GroupCommitter committer = new GroupCommitter(table, BATCH, Runnable::run);
+        DelayedTable table = new DelayedTable(latencyMillis);
+        GroupCommitter committer = new GroupCommitter(table, MAX_BATCH_WRITES, Runnable::run);
         Random random = new Random(3);
         int calls = 0;
-        for (int atMillis = 0; atMillis < SECONDS * MILLIS_PER_SECOND; atMillis++) {
+        for (int atMillis = 0; atMillis < SIMULATED_SECONDS * MILLIS_PER_SECOND; atMillis++) {
             table.advance(atMillis);
             if (random.nextInt(MILLIS_PER_SECOND) < callsPerSecond) {
                 String key = "claim/" + calls++;
@@ -47,25 +47,25 @@
                         .thenRun(() -> committer.commit(new TableService.Write(key, 1, "outcome")));
             }
         }
-        return (double) table.transactions / SECONDS;
+        return (double) table.transactions / SIMULATED_SECONDS;
     }
 
     /** Takes every write, after a fixed time. */
-    private static final class SlowTable implements TableService {
+    private static final class DelayedTable implements TableService {
 
         private final int latencyMillis;
-        private final Queue<Open> open = new ArrayDeque<>();
+        private final Queue<PendingCommit> pendingCommits = new ArrayDeque<>();
         private int nowMillis;
         private long transactions;
 
-        private SlowTable(int latencyMillis) {
+        private DelayedTable(int latencyMillis) {
             this.latencyMillis = latencyMillis;
         }
 
         private void advance(int atMillis) {
             nowMillis = atMillis;
-            while (!open.isEmpty() && open.peek().dueMillis <= nowMillis) {
-                open.remove().result.complete(new CommitResult(true, Map.of()));
+            while (!pendingCommits.isEmpty() && pendingCommits.peek().dueMillis <= nowMillis) {
+                pendingCommits.remove().result.complete(new CommitResult(true, Map.of()));
             }
         }
 
@@ -77,11 +77,11 @@
         @Override
         public CompletableFuture<CommitResult> commit(List<Write> writes) {
             transactions++;
-            Open started = new Open(nowMillis + latencyMillis, new CompletableFuture<>());
-            open.add(started);
+            PendingCommit started = new PendingCommit(nowMillis + latencyMillis, new CompletableFuture<>());
+            pendingCommits.add(started);
             return started.result;
         }
 
-        private record Open(int dueMillis, CompletableFuture<CommitResult> result) {}
+        private record PendingCommit(int dueMillis, CompletableFuture<CommitResult> result) {}
     }
 }
--- a/src/test/java/io/waxwingquay/bench/capacity/StepTableTest.java
+++ b/src/test/java/io/waxwingquay/bench/capacity/StepTableTest.java
@@ -9,7 +9,7 @@
 class StepTableTest {
 
     @Test
-    void costsOnALineGiveThatLineWithoutError() {
+    void fitsCostsOnALineWithoutError() {
         LeastSquares line = StepTable.measure("bytes", "sides", List.of(1, 2, 5), size -> 7 + 3 * size)
                 .fittedLine();
         assertEquals(3, line.slope(), 1e-9);
@@ -19,7 +19,7 @@
     }
 
     @Test
-    void aStepOffTheLineShowsInTheErrors() {
+    void reportsErrorsForAStepOffTheLine() {
         LeastSquares line = StepTable.measure("bytes", "sides", List.of(1, 2, 3), size -> size == 2 ? 20 : 10)
                 .fittedLine();
         assertEquals(0, line.slope(), 1e-9);
@@ -29,13 +29,13 @@
 
     // The page's figures rest on this field: news must go to all, and not across a cut.
     @Test
-    void newsReachesEveryProcessOfTheFieldAndNotAcrossACut() {
-        GossipField field = GossipField.ofAcquainted(24, 1);
-        field.cutOff(3);
-        field.publish(0, 2, 1);
-        assertEquals(60_000, field.millisUntilAllHave(0, 2));
-        field.cutOff(0);
-        assertTrue(field.millisUntilAllHave(0, 2) < 60_000);
-        assertTrue(field.millisToSpreadBundle() < 60_000);
+    void changeReachesEveryProcessButNotAcrossAPartition() {
+        GossipSimulation simulation = GossipSimulation.withAllRecords(24, 1);
+        simulation.partition(3);
+        simulation.publish(0, 2, 1);
+        assertEquals(60_000, simulation.millisUntilAllHave(0, 2));
+        simulation.partition(0);
+        assertTrue(simulation.millisUntilAllHave(0, 2) < 60_000);
+        assertTrue(simulation.millisToSpreadBundle() < 60_000);
     }
 }
