--- a/src/main/java/io/waxwingquay/bench/AnswerReader.java
+++ b/src/main/java/io/waxwingquay/bench/AnswerReader.java
@@ -15,7 +15,7 @@
 import org.eclipse.jetty.client.Result;
 
 /**
- * Reads one answer as a caller does: streamed events, a plain body, or an error.
+ * Reads one HTTP answer as a caller does: a stream of events, a plain body or an error.
  */
 final class AnswerReader implements Response.Listener {
 
--- a/src/main/java/io/waxwingquay/bench/AnswerStatistics.java
+++ b/src/main/java/io/waxwingquay/bench/AnswerStatistics.java
@@ -6,7 +6,7 @@
 import java.util.TreeMap;
 import org.HdrHistogram.Histogram;
 
-/** Counts what callers saw. Safe for concurrent use. */
+/** Collects statistics of the answers that callers received. Safe for concurrent use. */
 final class AnswerStatistics {
 
     private static final double MICROS_PER_MILLI = 1_000.0;
@@ -84,7 +84,7 @@
                 .toList();
     }
 
-    /** The share attained of what arrived from one second to before another. */
+    /** Returns the attained share of the requests that were sent from one second up to, but not including, another. */
     synchronized double attainedShare(int fromSecond, int toSecond) {
         long sent = Arrays.stream(sentBySecond, fromSecond, toSecond).sum();
         return sent == 0
@@ -96,7 +96,7 @@
         return attainedShare(WARM_UP_SECONDS, Math.max(WARM_UP_SECONDS + 1, (int) faultSeconds));
     }
 
-    /** Seconds from the fault's end to the first window that reaches 95% of the share before; -1 if none does. */
+    /** Returns the seconds from the fault's end to the first window with 95% of the share before it; -1 if none has. */
     double recoverSeconds(double faultSeconds, double endSeconds) {
         double requiredShare = RECOVERED_SHARE * attainedShareBeforeFault(faultSeconds);
         int end = (int) Math.ceil(endSeconds);
@@ -108,7 +108,7 @@
         return -1;
     }
 
-    /** What was counted of the whole run. */
+    /** The counts of a whole run. */
     record Counts(
             long sent,
             long attained,
--- a/src/main/java/io/waxwingquay/bench/Arrival.java
+++ b/src/main/java/io/waxwingquay/bench/Arrival.java
@@ -5,11 +5,11 @@
 import java.util.Optional;
 
 /**
- * One request of an open loop. Exactly one of completion and call is present.
+ * One scheduled request of an open-loop load. Exactly one of completion and call is present.
  *
- * @param atMicros when it is sent, from the start of the load.
- * @param completion the completion asked for.
- * @param call the call to a plain service.
+ * @param atMicros time at which it is sent, from the start of the load.
+ * @param completion the requested completion, if it is one.
+ * @param call the call to a plain service, if it is one.
  */
 record Arrival(long atMicros, Optional<Completion> completion, Optional<ServiceCall> call) {
 
--- a/src/main/java/io/waxwingquay/bench/ArrivalGenerator.java
+++ b/src/main/java/io/waxwingquay/bench/ArrivalGenerator.java
@@ -6,7 +6,7 @@
 import java.util.function.LongFunction;
 import java.util.random.RandomGenerator;
 
-/** Draws Poisson arrivals whose rate changes over time, by thinning. */
+/** Generates the arrivals of a non-homogeneous Poisson process by thinning. */
 final class ArrivalGenerator {
 
     private static final double MICROS_PER_SECOND = 1_000_000.0;
@@ -20,11 +20,11 @@
     }
 
     /**
-     * Draws one stream.
+     * Generates one sequence of arrivals in order of time.
      *
-     * @param peakPerSecond at least the rate at any time.
-     * @param ratePerSecond the rate at a time in seconds.
-     * @param request makes the request that is sent at a time in microseconds.
+     * @param peakPerSecond an upper bound of the rate at any time.
+     * @param ratePerSecond gives the rate at a time in seconds.
+     * @param request creates the request that is sent at a time in microseconds.
      */
     List<Arrival> generate(double peakPerSecond, DoubleUnaryOperator ratePerSecond, LongFunction<Arrival> request) {
         List<Arrival> arrivals = new ArrayList<>();
--- a/src/main/java/io/waxwingquay/bench/BenchPlot.java
+++ b/src/main/java/io/waxwingquay/bench/BenchPlot.java
@@ -10,7 +10,7 @@
 import org.jfree.data.xy.XYSeries;
 import org.jfree.data.xy.XYSeriesCollection;
 
-/** Draws the share of requests attained over time, a line for each policy: the mean over the seeds. */
+/** Plots the attained share of requests over time, one line for each policy: the mean over its seeds. */
 final class BenchPlot {
 
     private static final int WIDTH_PIXELS = 1_100;
--- a/src/main/java/io/waxwingquay/bench/BenchReport.java
+++ b/src/main/java/io/waxwingquay/bench/BenchReport.java
@@ -12,7 +12,7 @@
 import java.util.function.ToDoubleFunction;
 import java.util.stream.Collectors;
 
-/** Writes one table over all policies and seeds of a bench: text, CSV and JSON. */
+/** Reports the results of all policies and seeds of a benchmark as a text table, CSV and JSON. */
 final class BenchReport {
 
     private static final List<Column> COLUMNS = List.of(
@@ -48,7 +48,7 @@
         return runs.stream().collect(Collectors.groupingBy(RunResult::policy, LinkedHashMap::new, Collectors.toList()));
     }
 
-    /** Policies as columns; each cell is the median and, in brackets, the least and the most over the seeds. */
+    /** Returns a table with a column for each policy. A cell holds the median and the range over the seeds. */
     String toTable() {
         StringBuilder text = new StringBuilder();
         text.append(padRight("median [least..most]", TITLE_WIDTH));
@@ -56,7 +56,7 @@
         text.append('\n');
         COLUMNS.forEach(column -> {
             text.append(padRight(column.title(), TITLE_WIDTH));
-            byPolicy().values().forEach(of -> text.append(padRight(column.cell(of), CELL_WIDTH)));
+            byPolicy().values().forEach(policyRuns -> text.append(padRight(column.cell(policyRuns), CELL_WIDTH)));
             text.append('\n');
         });
         return text.toString();
--- a/src/main/java/io/waxwingquay/bench/Caller.java
+++ b/src/main/java/io/waxwingquay/bench/Caller.java
@@ -13,7 +13,7 @@
 import org.eclipse.jetty.http.HttpMethod;
 
 /**
- * A caller of the system, over HTTP as any caller would.
+ * An HTTP client of the entries, which sends requests and reads answers as an external caller does.
  */
 public final class Caller implements AutoCloseable {
 
@@ -26,11 +26,11 @@
     private final HttpClient client = HttpCalls.startClient(MAX_CONNECTIONS, CONNECT_TIMEOUT_MILLIS);
 
     /**
-     * Asks for a completion, streamed.
+     * Requests a streamed completion.
      *
-     * @param entry which entry to ask.
-     * @param completion what is asked.
-     * @return what the caller saw; does not fail.
+     * @param entry address of the entry.
+     * @param completion the requested completion.
+     * @return a future of the answer; a failed request is an answer too, so the future never fails.
      */
     public CompletableFuture<CallerAnswer> complete(HostPort entry, Completion completion) {
         ObjectNode body = Json.MAPPER.createObjectNode();
@@ -48,9 +48,9 @@
     /**
      * Calls an operation of a plain service.
      *
-     * @param entry which entry to ask.
-     * @param call what is asked.
-     * @return what the caller saw; does not fail.
+     * @param entry address of the entry.
+     * @param call the call to make.
+     * @return a future of the answer; a failed request is an answer too, so the future never fails.
      */
     public CompletableFuture<CallerAnswer> call(HostPort entry, ServiceCall call) {
         Request request = post(entry, "/v1/services/" + call.service() + "/" + call.operation(), call.body())
@@ -81,31 +81,31 @@
         try {
             return Json.MAPPER.writeValueAsString(body);
         } catch (JsonProcessingException failure) {
-            throw new IllegalStateException("a request cannot be written as JSON", failure);
+            throw new IllegalStateException("the request cannot be written as JSON", failure);
         }
     }
 
     /**
-     * A completion to ask for.
+     * A completion request.
      *
      * @param model the model.
      * @param adapter the adapter, if any.
      * @param prompt the prompt.
-     * @param maxTokens the most tokens wanted.
+     * @param maxTokens the largest number of tokens to generate.
      * @param priority the priority.
-     * @param deadlineMillis the caller's deadline, from sending.
+     * @param deadlineMillis the deadline, counted from sending.
      */
     public record Completion(
             String model, Optional<String> adapter, String prompt, int maxTokens, int priority, long deadlineMillis) {}
 
     /**
-     * A call to make.
+     * A call of an operation of a plain service.
      *
      * @param service the service.
      * @param operation the operation.
-     * @param idempotencyKey the key, if any.
+     * @param idempotencyKey the idempotency key, if any.
      * @param body the JSON body.
-     * @param deadlineMillis the caller's deadline, from sending.
+     * @param deadlineMillis the deadline, counted from sending.
      */
     public record ServiceCall(
             String service, String operation, Optional<String> idempotencyKey, String body, long deadlineMillis) {}
--- a/src/main/java/io/waxwingquay/bench/CallerAnswer.java
+++ b/src/main/java/io/waxwingquay/bench/CallerAnswer.java
@@ -4,15 +4,15 @@
 import java.util.OptionalLong;
 
 /**
- * What one caller saw of one request.
+ * The outcome of one request as its caller sees it.
  *
- * @param statusCode the HTTP status; 0 if the connection broke before one came.
- * @param isWhole whether the answer came to its explicit end.
+ * @param statusCode the HTTP status; 0 if the connection broke before it arrived.
+ * @param isWhole whether the answer succeeded and reached its explicit end.
  * @param text the answer's text, or the error's message.
- * @param tokens tokens received.
- * @param firstTokenMicros time from sending to the first token, if any came.
- * @param totalMicros time from sending to the end.
- * @param error the error, if it was one.
+ * @param tokens number of tokens received.
+ * @param firstTokenMicros time from sending to the first token, if any arrived.
+ * @param totalMicros time from sending to the end of the answer.
+ * @param error the error, if the answer holds one.
  */
 public record CallerAnswer(
         int statusCode,
@@ -24,11 +24,11 @@
         Optional<Error> error) {
 
     /**
-     * An error as the caller reads it.
+     * An error answer as its caller reads it.
      *
-     * @param code its code.
+     * @param code the error code.
      * @param execution whether the request ran: {@code did_not_run}, {@code ran} or {@code unknown}.
-     * @param retryAfterMillis when to come back, 0 if it makes no sense.
+     * @param retryAfterMillis the retry-after delay; 0 if a retry makes no sense.
      */
     public record Error(String code, String execution, long retryAfterMillis) {}
 }
--- a/src/main/java/io/waxwingquay/bench/Claywheel.java
+++ b/src/main/java/io/waxwingquay/bench/Claywheel.java
@@ -9,8 +9,8 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Claywheel Commons: an evening peak that comes late in the run and whose studios change while it lasts, guidance
- * with adapters, bookings and deposits.
+ * Workload of Claywheel Commons: completions of studio models, many with adapters, whose total rate peaks late in the
+ * run while the most requested studios change, and deposits and reservations at a plain service.
  */
 final class Claywheel implements Workload {
 
@@ -65,22 +65,24 @@
     @Override
     public List<Arrival> arrivals(RandomGenerator random, double seconds, Surge surge) {
         ArrivalGenerator generator = new ArrivalGenerator(random, seconds);
-        List<Arrival> all = new ArrayList<>();
+        List<Arrival> arrivals = new ArrayList<>();
         int hottestStudio = random.nextInt(STUDIOS.size());
         for (int number = 0; number < STUDIOS.size(); number++) {
             int distance = Math.floorMod(number - hottestStudio, STUDIOS.size());
             for (Subject subject : SUBJECTS) {
                 String model = STUDIOS.get(number) + "-" + subject.name();
-                all.addAll(generator.generate(
+                arrivals.addAll(generator.generate(
                         MAX_SURGE_FACTOR * PEAK_PER_SECOND * subject.share(),
-                        at -> subject.share() * studioRate(distance, at / seconds) * surge.factor(model, at),
-                        at -> completion(random, at, model, subject)));
+                        atSeconds -> subject.share()
+                                * studioRate(distance, atSeconds / seconds)
+                                * surge.factor(model, atSeconds),
+                        atMicros -> completion(random, atMicros, model, subject)));
             }
         }
-        all.addAll(serviceCalls(random, generator, "pay-deposit", DEPOSITS_PER_SECOND));
-        all.addAll(serviceCalls(random, generator, "reserve-seat", RESERVATIONS_PER_SECOND));
-        all.sort(Comparator.comparingLong(Arrival::atMicros));
-        return all;
+        arrivals.addAll(serviceCalls(random, generator, "pay-deposit", DEPOSITS_PER_SECOND));
+        arrivals.addAll(serviceCalls(random, generator, "reserve-seat", RESERVATIONS_PER_SECOND));
+        arrivals.sort(Comparator.comparingLong(Arrival::atMicros));
+        return arrivals;
     }
 
     private static double studioRate(int distance, double progress) {
@@ -97,7 +99,7 @@
         return BASE_PER_SECOND + (PEAK_PER_SECOND - BASE_PER_SECOND) * closenessToPeak;
     }
 
-    /** The hot studios drift: the peak of demand passes from one to the next. */
+    /** Returns the relative demand for a studio. Its peak moves from one studio to the next as the run progresses. */
     private static double popularity(int distance, double progress) {
         double offset = (distance - HOT_STUDIO_SHIFT * progress) / HOT_WIDTH;
         return 1 + HOT_WEIGHT * Math.exp(-offset * offset / 2);
@@ -115,11 +117,12 @@
 
     private static List<Arrival> serviceCalls(
             RandomGenerator random, ArrivalGenerator generator, String operation, double perSecond) {
-        return generator.generate(perSecond, at -> perSecond, at -> {
-            Optional<String> key = Optional.of(operation + "-" + at + "-" + random.nextInt(Integer.MAX_VALUE));
+        return generator.generate(perSecond, atSeconds -> perSecond, atMicros -> {
+            Optional<String> key = Optional.of(operation + "-" + atMicros + "-" + random.nextInt(Integer.MAX_VALUE));
             return Arrival.of(
-                    at,
-                    new ServiceCall("booking-payment", operation, key, "{\"at\":" + at + "}", PLAIN_DEADLINE_MILLIS));
+                    atMicros,
+                    new ServiceCall(
+                            "booking-payment", operation, key, "{\"at\":" + atMicros + "}", PLAIN_DEADLINE_MILLIS));
         });
     }
 
--- a/src/main/java/io/waxwingquay/bench/Demo.java
+++ b/src/main/java/io/waxwingquay/bench/Demo.java
@@ -18,7 +18,8 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * The whole path in one JVM: stand-ins, two entries, four sides, a signed bundle, a short load, and a summary.
+ * Runs a short load through a whole deployment in one JVM: stand-ins, two entries, four sides and a signed bundle. It
+ * checks every answer and prints a summary.
  */
 public final class Demo {
 
@@ -41,19 +42,20 @@
     private int failed;
 
     /**
-     * A demo.
+     * Creates a demo.
      *
-     * @param out where the summary goes.
+     * @param out receives the summary.
      */
     public Demo(PrintWriter out) {
         this.out = out;
     }
 
     /**
-     * Runs it.
+     * Runs the demo.
      *
-     * @return whether everything was answered whole and nothing ran twice.
-     * @throws IOException if the bundle of the demo cannot be read.
+     * @return whether every answer was complete and correct, no deposit ran twice, no accelerator memory was
+     *     overcommitted and the second bundle came into force everywhere.
+     * @throws IOException if the demo's bundle cannot be read.
      * @throws InterruptedException if a wait is interrupted.
      */
     public boolean run() throws IOException, InterruptedException {
@@ -78,8 +80,8 @@
     }
 
     private void runCompletions(LocalDeployment deployment, Caller caller) {
-        for (int from = 0; from < COMPLETIONS; from += CONCURRENT_REQUESTS) {
-            List<CompletableFuture<Void>> batch = IntStream.range(from, from + CONCURRENT_REQUESTS)
+        for (int firstNumber = 0; firstNumber < COMPLETIONS; firstNumber += CONCURRENT_REQUESTS) {
+            List<CompletableFuture<Void>> batch = IntStream.range(firstNumber, firstNumber + CONCURRENT_REQUESTS)
                     .mapToObj(number -> runCompletion(deployment, caller, number))
                     .toList();
             batch.forEach(CompletableFuture::join);
@@ -88,8 +90,8 @@
 
     private CompletableFuture<Void> runCompletion(LocalDeployment deployment, Caller caller, int number) {
         List<Bundle.Model> models = deployment.bundle().models();
-        Bundle.Model asked = models.get(number % models.size());
-        String model = asked.name();
+        Bundle.Model bundleModel = models.get(number % models.size());
+        String model = bundleModel.name();
         Optional<String> adapter = "glazing".equals(model) ? Optional.of("kingston") : Optional.empty();
         String prompt = "student " + number + " asks about the evening class";
         Caller.Completion completion =
@@ -97,7 +99,7 @@
         Optional<String> adapterItem = adapter.flatMap(
                         name -> deployment.bundle().adapter(model, name))
                 .map(Bundle.Adapter::item);
-        String expected = StandinText.answer(asked.item(), adapterItem, prompt, TOKENS);
+        String expected = StandinText.answer(bundleModel.item(), adapterItem, prompt, TOKENS);
         return caller.complete(entry(deployment, number), completion)
                 .thenAccept(answer -> recordAnswer(answer, expected));
     }
@@ -117,7 +119,7 @@
         }
     }
 
-    /** Each deposit is paid through one entry and sent again through the other. */
+    /** Pays each deposit through one entry and resends it through the other. */
     private boolean payDeposits(LocalDeployment deployment, Caller caller) {
         List<CompletableFuture<Boolean>> replays = new ArrayList<>();
         for (int number = 0; number < DEPOSITS; number++) {
@@ -147,11 +149,11 @@
     }
 
     private synchronized boolean isReplay(CallerAnswer first, CallerAnswer second) {
-        boolean same = first.isWhole() && second.isWhole() && first.text().equals(second.text());
-        if (!same) {
+        boolean isSame = first.isWhole() && second.isWhole() && first.text().equals(second.text());
+        if (!isSame) {
             out.println("  first: " + first + ", resend: " + second);
         }
-        return same;
+        return isSame;
     }
 
     private boolean summarise(LocalDeployment deployment) {
--- a/src/main/java/io/waxwingquay/bench/Fault.java
+++ b/src/main/java/io/waxwingquay/bench/Fault.java
@@ -10,30 +10,30 @@
 import java.util.Locale;
 import java.util.stream.IntStream;
 
-/** What goes wrong during a load, from {@link #BEGIN_SHARE} to {@link #END_SHARE} of its time. */
+/** A fault injected during a load, from {@link #BEGIN_SHARE} to {@link #END_SHARE} of its duration. */
 enum Fault {
-    /** Nothing. */
+    /** No fault. */
     NONE,
-    /** The first engine crashes, and comes back empty at the end. */
+    /** The first engine crashes; it restarts with empty memory at the end. */
     TARGET_DEATH {
         @Override
-        void begin(LocalDeployment deployment, long lastsMillis) {
+        void begin(LocalDeployment deployment, long durationMillis) {
             ModelEngineStandin engine =
                     deployment.targets().engines().values().iterator().next();
-            engine.faults().set(Settings.NONE.withCrash("", lastsMillis));
+            engine.faults().set(Settings.NONE.withCrash("", durationMillis));
             engine.crash();
         }
     },
-    /** Sides, targets and the entry of one data centre are gone, and come back empty at the end. */
+    /** The sides, the engines and the entry of one data centre are lost; they restart with empty memory at the end. */
     DATA_CENTRE_LOSS {
         @Override
-        void begin(LocalDeployment deployment, long lastsMillis) {
+        void begin(LocalDeployment deployment, long durationMillis) {
             deployment.killEntry(LOST_DATA_CENTRE);
             lostReplicas(deployment).forEach(replica -> {
                 deployment.killSide(replica.name());
                 if (replica.service().kind() == Kind.MODEL) {
                     ModelEngineStandin engine = deployment.targets().engines().get(replica.name());
-                    engine.faults().set(Settings.NONE.withCrash("", lastsMillis));
+                    engine.faults().set(Settings.NONE.withCrash("", durationMillis));
                     engine.crash();
                 }
             });
@@ -45,10 +45,10 @@
             deployment.restartEntry(LOST_DATA_CENTRE);
         }
     },
-    /** Table service, object store and VM list answer nothing. */
+    /** The table service, the object store and the VM list do not answer. */
     STORE_OUTAGE {
         @Override
-        void begin(LocalDeployment deployment, long lastsMillis) {
+        void begin(LocalDeployment deployment, long durationMillis) {
             deployment.platform().faults().next(Faults.Kind.OUT, Faults.FOREVER);
         }
 
@@ -57,12 +57,12 @@
             deployment.platform().faults().clear();
         }
     },
-    /** Ten times the demand for one model. */
+    /** The demand for one model is ten times as high. */
     TENFOLD,
-    /** Every load takes seconds longer. */
+    /** Every load of weights takes seconds longer. */
     SLOW_WEIGHTS {
         @Override
-        void begin(LocalDeployment deployment, long lastsMillis) {
+        void begin(LocalDeployment deployment, long durationMillis) {
             deployment.targets().weightStores().values().forEach(store -> store.faults()
                     .set(Settings.NONE.withSlowMillis(ADDED_LOAD_MILLIS)));
         }
@@ -74,14 +74,14 @@
         }
     };
 
-    /** When it begins, as a share of the load's time. */
+    /** When the fault begins, as a share of the load's duration. */
     static final double BEGIN_SHARE = 1.0 / 3;
 
-    /** When it ends, as a share of the load's time. */
+    /** When the fault ends, as a share of the load's duration. */
     static final double END_SHARE = 0.55;
 
     private static final double SURGE_FACTOR = 10;
-    /** The data centre that is lost, and the number of its entry. */
+    /** The number of the lost data centre and of its entry. */
     static final int LOST_DATA_CENTRE = 1;
 
     private static final int DATA_CENTRES = 3;
@@ -109,7 +109,7 @@
                         : 1.0;
     }
 
-    void begin(LocalDeployment deployment, long lastsMillis) {}
+    void begin(LocalDeployment deployment, long durationMillis) {}
 
     void end(LocalDeployment deployment) {}
 
--- a/src/main/java/io/waxwingquay/bench/LoadRun.java
+++ b/src/main/java/io/waxwingquay/bench/LoadRun.java
@@ -23,13 +23,13 @@
 import java.util.random.RandomGeneratorFactory;
 
 /**
- * One run: a fresh deployment, a policy, a seed, a fault.
+ * One benchmark run: a load on a fresh deployment under one policy, with one seed and one fault.
  *
- * @param workload the requests.
- * @param policy what decides.
- * @param fault what goes wrong.
- * @param seed the seed.
- * @param seconds how long requests are sent.
+ * @param workload generates the requests.
+ * @param policy the routing, placement and admission under test.
+ * @param fault the fault that is injected.
+ * @param seed seed of the random generators.
+ * @param seconds duration of the load.
  */
 record LoadRun(Workload workload, PolicyPair policy, Fault fault, long seed, int seconds) {
 
@@ -64,7 +64,7 @@
         }
     }
 
-    /** Waits until nothing has moved for a while, at most some steps. */
+    /** Waits until no model or adapter was loaded or evicted between two polls, for a limited number of polls. */
     private static void awaitQuiescence(LocalDeployment deployment) throws InterruptedException {
         long before = -1;
         Moves now = Moves.of(deployment);
@@ -110,7 +110,10 @@
                 .orElseGet(() -> caller.call(entry, arrival.call().orElseThrow()));
     }
 
-    /** The platform's balancer, which passes over a lost entry from a second after the loss to its return. */
+    /**
+     * Chooses an entry as the platform's load balancer does: it skips a lost entry from one second after the loss until
+     * one second after the end of the fault.
+     */
     private HostPort chooseEntry(LocalDeployment deployment, RandomGenerator balancer, long atMicros) {
         double atSeconds = TimeUnit.MICROSECONDS.toMillis(atMicros) / 1_000.0;
         int number = balancer.nextInt(ENTRIES);
@@ -123,9 +126,9 @@
 
     private void injectFault(LocalDeployment deployment) {
         long startNanos = System.nanoTime();
-        long lastsMillis = Math.round((Fault.END_SHARE - Fault.BEGIN_SHARE) * seconds * 1_000);
+        long durationMillis = Math.round((Fault.END_SHARE - Fault.BEGIN_SHARE) * seconds * 1_000);
         sleepUntil(startNanos + Math.round(Fault.BEGIN_SHARE * seconds * 1e9));
-        fault.begin(deployment, lastsMillis);
+        fault.begin(deployment, durationMillis);
         sleepUntil(startNanos + Math.round(Fault.END_SHARE * seconds * 1e9));
         fault.end(deployment);
     }
@@ -143,7 +146,7 @@
             CompletableFuture.allOf(answers.toArray(CompletableFuture[]::new))
                     .get(DRAIN_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
         } catch (TimeoutException unanswered) {
-            // What was not answered by now counts as not attained: it is missing in the tally.
+            // A request without an answer by now counts as not attained, since the statistics lack it.
         } catch (java.util.concurrent.ExecutionException failure) {
             throw new IllegalStateException("a caller of the bench failed", failure);
         }
@@ -227,7 +230,7 @@
                 .map(ModelEngineStandin.Stats::memory);
     }
 
-    /** Moves of a deployment so far, models and adapters apart. */
+    /** The loads and evictions in a deployment so far, counted apart for models and adapters. */
     private record Moves(long modelLoads, long modelEvictions, long adapterLoads, long adapterEvictions) {
 
         static Moves of(LocalDeployment deployment) {
--- a/src/main/java/io/waxwingquay/bench/LocalDeployment.java
+++ b/src/main/java/io/waxwingquay/bench/LocalDeployment.java
@@ -39,7 +39,8 @@
 import org.eclipse.jetty.client.HttpClient;
 
 /**
- * A whole deployment in this JVM: stand-ins of everything outside, real entries and real sides, over loopback.
+ * A whole deployment in this JVM over loopback: real entries and real sides, with stand-ins for the platform and the
+ * targets.
  */
 public final class LocalDeployment implements AutoCloseable {
 
@@ -78,17 +79,17 @@
     }
 
     /**
-     * Starts to describe a deployment.
+     * Creates a builder of a deployment.
      *
      * @param document the bundle to serve, as TOML.
-     * @return a builder.
+     * @return a new builder.
      */
     public static LocalDeploymentBuilder builder(byte[] document) {
         return new LocalDeploymentBuilder(document);
     }
 
     /**
-     * The bundle that is served.
+     * Returns the bundle that the deployment started with.
      *
      * @return the bundle.
      */
@@ -97,7 +98,7 @@
     }
 
     /**
-     * The platform.
+     * Returns the platform.
      *
      * @return the stand-in.
      */
@@ -106,7 +107,7 @@
     }
 
     /**
-     * The targets.
+     * Returns the targets.
      *
      * @return the stand-ins.
      */
@@ -115,7 +116,7 @@
     }
 
     /**
-     * The sides by name.
+     * Returns the sides by name.
      *
      * @return the running processes.
      */
@@ -124,7 +125,7 @@
     }
 
     /**
-     * The entries.
+     * Returns the entries.
      *
      * @return the running processes.
      */
@@ -136,7 +137,7 @@
      * Signs a document with the operator's key and submits it.
      *
      * @param document the bundle, as TOML.
-     * @return what became of it.
+     * @return the outcome.
      */
     public BundleAcceptance.Outcome submit(byte[] document) {
         HttpClient client = HttpCalls.startClient(OPERATOR_CONNECTIONS, TABLE_TIMEOUT_MILLIS);
@@ -156,7 +157,7 @@
      * Signs a document with the operator's key.
      *
      * @param document the bundle, as TOML.
-     * @return the signed bundle, submitted to nobody.
+     * @return the signed bundle, which is not submitted.
      */
     public SignedBundle sign(byte[] document) {
         return BundleSigner.of(operatorKey.getPrivate(), operatorKey.getPublic())
@@ -164,10 +165,10 @@
     }
 
     /**
-     * Waits until every entry knows a serving side for every model and for every plain service.
+     * Waits until every entry knows a serving side for every model and every service.
      *
-     * @param limitMillis the longest wait.
-     * @return whether all are served.
+     * @param limitMillis the wait limit.
+     * @return whether all were served in time.
      * @throws InterruptedException if the wait is interrupted.
      */
     public boolean awaitServing(long limitMillis) throws InterruptedException {
@@ -178,8 +179,8 @@
      * Waits until a bundle version is in force in every entry and side.
      *
      * @param version the version.
-     * @param limitMillis the longest wait.
-     * @return whether it is.
+     * @param limitMillis the wait limit.
+     * @return whether the version came into force in time.
      * @throws InterruptedException if the wait is interrupted.
      */
     public boolean awaitVersion(long version, long limitMillis) throws InterruptedException {
@@ -190,10 +191,10 @@
     }
 
     /**
-     * Models that an entry knows no serving side for.
+     * Returns the models for which an entry knows no serving side.
      *
      * @param entry the entry.
-     * @return the items.
+     * @return the items of these models.
      */
     public Set<String> unservedModels(EntryProcess entry) {
         Set<String> resident = entry.membership().sides().stream()
@@ -207,7 +208,7 @@
     }
 
     /**
-     * Starts a side, or starts it again after it was closed.
+     * Starts a side, or restarts one that was killed.
      *
      * @param service its service.
      * @param replica its number.
@@ -217,11 +218,11 @@
     }
 
     /**
-     * Starts a side, or starts it again after it was closed.
+     * Starts a side, or restarts one that was killed.
      *
      * @param service its service.
      * @param replica its number.
-     * @param seeds processes that it gossips with at first.
+     * @param seeds addresses of processes that it gossips with at first.
      */
     public void startSide(Service service, int replica, List<HostPort> seeds) {
         String name = SettingsText.sideName(service.name(), replica);
@@ -231,7 +232,7 @@
     }
 
     /**
-     * Ends a side as a lost VM does: nothing is drained.
+     * Stops a side without draining it, as the loss of its VM does.
      *
      * @param name its name.
      */
@@ -240,7 +241,7 @@
     }
 
     /**
-     * Ends an entry as a lost VM does.
+     * Stops an entry, as the loss of its VM does.
      *
      * @param number its number.
      */
@@ -249,7 +250,7 @@
     }
 
     /**
-     * Starts an entry again in the place of one that was killed.
+     * Starts a new entry in place of one that was killed.
      *
      * @param number its number.
      */
@@ -259,7 +260,7 @@
     }
 
     /**
-     * Where callers reach an entry, or last reached it if it was killed.
+     * Returns the address at which callers reach an entry, or reached it before it was killed.
      *
      * @param number its number.
      * @return the address.
@@ -297,7 +298,7 @@
         return EntryProcess.start(EntrySettings.parse("entry", text.getBytes(StandardCharsets.UTF_8)));
     }
 
-    /** Puts the static plan into the engines' memory, so that every policy starts from the same residents. */
+    /** Loads the items of the static plan into the engines, so that every policy starts from the same residents. */
     private void preloadEngines() {
         Map<String, Long> sizeBytes = new HashMap<>();
         bundle.models().forEach(model -> sizeBytes.put(model.item(), model.sizeBytes()));
@@ -318,12 +319,12 @@
                 .toList();
         PlacementInput input = new PlacementInput(bundle, service.name(), emptySides, Map.of(), Map.of(), 0L);
         Plan plan = PlacementStrategy.named("static", DemandThresholds.DISABLED).plan(input);
-        emptySides.forEach(holder -> plan.shareOf(holder.id())
+        emptySides.forEach(side -> plan.shareOf(side.id())
                 .wantedItems()
-                .forEach(item -> targets.engines().get(holder.id()).preload(item, sizeBytes.get(item))));
+                .forEach(item -> targets.engines().get(side.id()).preload(item, sizeBytes.get(item))));
     }
 
-    /** As operators do: a few processes of each deployment are named to all. */
+    /** Returns the addresses of a few sides, which every process takes as seeds, as operators configure them. */
     private List<HostPort> seeds() {
         return sides.values().stream()
                 .map(SideProcess::address)
@@ -336,7 +337,8 @@
                 .filter(side -> side.takesWork())
                 .map(side -> side.service())
                 .collect(Collectors.toSet());
-        return unservedModels(entry).isEmpty() && bundle.services().stream().allMatch(s -> services.contains(s.name()));
+        return unservedModels(entry).isEmpty()
+                && bundle.services().stream().allMatch(service -> services.contains(service.name()));
     }
 
     private static boolean await(long limitMillis, BooleanSupplier condition) throws InterruptedException {
@@ -358,11 +360,11 @@
         }
     }
 
-    /** What engines hold before any side starts. */
+    /** The items that are resident in the engines before any side starts. */
     public enum InitialResidents {
-        /** Nothing. */
+        /** No items. */
         NONE,
-        /** The static plan of the bundle. */
+        /** The items that the static plan assigns to each engine. */
         PRELOADED
     }
 }
--- a/src/main/java/io/waxwingquay/bench/LocalDeploymentBuilder.java
+++ b/src/main/java/io/waxwingquay/bench/LocalDeploymentBuilder.java
@@ -4,7 +4,7 @@
 import io.waxwingquay.standin.CostModel;
 
 /**
- * Describes a {@link LocalDeployment}.
+ * Configures and starts a {@link LocalDeployment}.
  */
 public final class LocalDeploymentBuilder {
 
@@ -28,7 +28,7 @@
     }
 
     /**
-     * Sets how many entries there are.
+     * Sets the number of entries.
      *
      * @param count 1 or above.
      * @return this builder.
@@ -50,7 +50,7 @@
     }
 
     /**
-     * Sets how the sides decide.
+     * Sets the placement and admission of the sides.
      *
      * @param choice the decisions.
      * @return this builder.
@@ -61,9 +61,9 @@
     }
 
     /**
-     * Sets what work costs an engine.
+     * Sets the cost model of the engines.
      *
-     * @param model the costs at scale 1.
+     * @param model the costs at a time scale of 1.
      * @return this builder.
      */
     public LocalDeploymentBuilder costs(CostModel model) {
@@ -83,9 +83,9 @@
     }
 
     /**
-     * Sets the time of one model load at full speed.
+     * Sets the duration of one model load at full speed.
      *
-     * @param millis the time at scale 1.
+     * @param millis the duration at a time scale of 1.
      * @return this builder.
      */
     public LocalDeploymentBuilder weightLoadMillis(long millis) {
@@ -94,9 +94,9 @@
     }
 
     /**
-     * Sets how long a side before an unfenced engine holds its orders back.
+     * Sets how long the side of an unfenced engine sends no orders after its start.
      *
-     * @param millis longer than the longest delay of an order.
+     * @param millis the duration, which must exceed the longest delay of an order in flight.
      * @return this builder.
      */
     public LocalDeploymentBuilder orderQuarantineMillis(long millis) {
@@ -105,7 +105,7 @@
     }
 
     /**
-     * Sets how old the platform's VM list is.
+     * Sets by how much the platform's VM list lags.
      *
      * @param millis the lag.
      * @return this builder.
@@ -116,20 +116,20 @@
     }
 
     /**
-     * Sets what the engines hold before any side starts.
+     * Sets what is resident in the engines before any side starts.
      *
-     * @param held what they hold.
+     * @param items the resident items.
      * @return this builder.
      */
-    public LocalDeploymentBuilder initialResidents(LocalDeployment.InitialResidents held) {
-        this.initialResidents = held;
+    public LocalDeploymentBuilder initialResidents(LocalDeployment.InitialResidents items) {
+        this.initialResidents = items;
         return this;
     }
 
     /**
      * Starts the deployment.
      *
-     * @return the running deployment, which may not serve yet.
+     * @return the running deployment, which may not be serving yet.
      */
     public LocalDeployment start() {
         return new LocalDeployment(this).start();
--- a/src/main/java/io/waxwingquay/bench/LocalTargets.java
+++ b/src/main/java/io/waxwingquay/bench/LocalTargets.java
@@ -17,7 +17,7 @@
 import org.eclipse.jetty.client.HttpClient;
 
 /**
- * Stand-ins of the targets of one bundle, with a weight store for each service of model engines.
+ * The stand-ins of the targets of one bundle, with a weight store for each model service.
  */
 public final class LocalTargets implements AutoCloseable {
 
@@ -36,12 +36,12 @@
     private final long weightLoadMillis;
 
     /**
-     * Starts the stand-ins.
+     * Starts a stand-in for each replica and a weight store for each model service.
      *
-     * @param bundle names the services.
-     * @param costs what work costs an engine.
-     * @param timeScale scales every time; 0.1 is ten times as fast.
-     * @param weightLoadMillis time of one model load at full speed.
+     * @param bundle the bundle that defines the services.
+     * @param costs the cost model of the engines.
+     * @param timeScale the factor on every duration; 0.1 is ten times as fast.
+     * @param weightLoadMillis duration of one model load at full speed.
      */
     public LocalTargets(Bundle bundle, CostModel costs, double timeScale, long weightLoadMillis) {
         this.costs = costs;
@@ -51,7 +51,7 @@
     }
 
     /**
-     * Where a target answers.
+     * Returns the address of a target.
      *
      * @param sideName the name of its side.
      * @return the address.
@@ -64,7 +64,7 @@
     }
 
     /**
-     * The engines.
+     * Returns the engines.
      *
      * @return the stand-ins by the name of their side.
      */
@@ -73,7 +73,7 @@
     }
 
     /**
-     * The plain services.
+     * Returns the replicas of plain services.
      *
      * @return the stand-ins by the name of their side.
      */
@@ -82,7 +82,7 @@
     }
 
     /**
-     * The weight stores.
+     * Returns the weight stores.
      *
      * @return the stand-ins by service.
      */
--- a/src/main/java/io/waxwingquay/bench/Overhead.java
+++ b/src/main/java/io/waxwingquay/bench/Overhead.java
@@ -23,11 +23,11 @@
 import org.eclipse.jetty.client.HttpClient;
 
 /**
- * Measures what the path through entry and side adds to a direct call: requests take turns between both, at the same
- * rate, to the same stand-in, which generates one token every 20 ms.
+ * Measures the latency that entry and side add to a direct call of the engine. Requests alternate between both paths at
+ * the same rate and reach the same stand-in, which generates one token every 20 ms.
  *
- * @param ratesPerSecond the rates to measure, in requests a second of both together.
- * @param secondsPerRate how long each rate lasts.
+ * @param ratesPerSecond the rates to measure, in requests a second of both paths together.
+ * @param secondsPerRate duration of the load at each rate.
  */
 public record Overhead(List<Integer> ratesPerSecond, int secondsPerRate) {
 
@@ -45,9 +45,9 @@
     private static final double MICROS_PER_MILLI = 1_000.0;
 
     /**
-     * Runs it and prints a table.
+     * Runs the benchmark and prints a table.
      *
-     * @param out where the table goes.
+     * @param out receives the table.
      * @throws IOException if the bundle cannot be read.
      * @throws InterruptedException if a wait is interrupted.
      */
@@ -153,8 +153,9 @@
         }
 
         private CompletableFuture<Void> sendThroughEntry(long number, Latencies latencies) {
-            Completion asked = new Completion(MODEL, Optional.empty(), "through " + number, TOKENS, 0, TIMEOUT_MILLIS);
-            return caller.complete(entry, asked).thenAccept(answer -> {
+            Completion completion =
+                    new Completion(MODEL, Optional.empty(), "through " + number, TOKENS, 0, TIMEOUT_MILLIS);
+            return caller.complete(entry, completion).thenAccept(answer -> {
                 if (answer.isWhole()) {
                     latencies.record(latencies.proxiedMicros, answer.totalMicros());
                 } else {
@@ -167,13 +168,13 @@
             String id = "direct-" + ids.incrementAndGet();
             CompletableFuture<Void> done = new CompletableFuture<>();
             long startNanos = System.nanoTime();
-            Generation asked = new Generation(id, item, Optional.empty(), "direct " + number, TOKENS, 0);
-            engine.stream(asked, 0, new ModelEngine.Listener() {
+            Generation generation = new Generation(id, item, Optional.empty(), "direct " + number, TOKENS, 0);
+            engine.stream(generation, 0, new ModelEngine.Listener() {
 
                 /** {@inheritDoc} */
                 @Override
                 public void token(long offset, String text) {
-                    // Only the end is timed.
+                    // Only the time to the end is measured.
                 }
 
                 /** {@inheritDoc} */
@@ -197,7 +198,7 @@
             try {
                 client.stop();
             } catch (Exception failure) {
-                throw new IllegalStateException("the HTTP client of the bench did not stop", failure);
+                throw new IllegalStateException("the HTTP client of the overhead benchmark did not stop", failure);
             }
         }
     }
--- a/src/main/java/io/waxwingquay/bench/PlacementGate.java
+++ b/src/main/java/io/waxwingquay/bench/PlacementGate.java
@@ -10,8 +10,8 @@
 import java.util.stream.Collectors;
 
 /**
- * Leaves every side what it holds until the whole deployment is up. Sides start one after another; the first would
- * take all models for its own, and the load would begin from residents that depend on chance.
+ * Delays placement until the whole deployment has started: until then every side keeps its residents. Sides start one
+ * after another, so the first would plan every model for itself, and the load would begin from random residents.
  */
 final class PlacementGate {
 
--- a/src/main/java/io/waxwingquay/bench/PolicyBenchmark.java
+++ b/src/main/java/io/waxwingquay/bench/PolicyBenchmark.java
@@ -8,16 +8,16 @@
 import java.util.List;
 
 /**
- * Measures policies against each other: each seed runs under every policy in turn, so that what the machine does
- * meanwhile falls on all of them.
+ * Compares policies: each seed runs under every policy in turn, so that a change in the load of the machine affects
+ * all policies alike.
  *
  * @param workload the workload's name.
  * @param policies the policies' names.
- * @param seedCount how many seeds, from 1.
- * @param secondsPerRun how long each run sends requests.
+ * @param seedCount number of seeds; they count from 1.
+ * @param secondsPerRun duration of the load of each run.
  * @param fault the fault's name.
- * @param bundleDirectory the directory of the bundle files.
- * @param outputDirectory where the report goes.
+ * @param bundleDirectory directory of the bundle files.
+ * @param outputDirectory directory that the report is written to.
  */
 public record PolicyBenchmark(
         String workload,
@@ -29,9 +29,9 @@
         Path outputDirectory) {
 
     /**
-     * Checks the names.
+     * Checks that the workload, the fault and the policies exist.
      *
-     * @throws IllegalArgumentException if a name is not known, or the workload's bundle is not there.
+     * @throws IllegalArgumentException if a name is unknown or the workload's bundle file does not exist.
      */
     public PolicyBenchmark {
         Path bundle = bundleDirectory.resolve(Workload.named(workload).bundleFile());
@@ -45,10 +45,10 @@
     }
 
     /**
-     * Runs all and writes table, CSV, JSON and plot.
+     * Runs every seed under every policy and writes the table, CSV, JSON and plot.
      *
-     * @param out where the table and the traces go.
-     * @throws IOException if a bundle cannot be read or a report not be written.
+     * @param out receives the table and a summary of each run.
+     * @throws IOException if a bundle cannot be read or a report cannot be written.
      * @throws InterruptedException if a wait is interrupted.
      */
     public void run(PrintWriter out) throws IOException, InterruptedException {
--- a/src/main/java/io/waxwingquay/bench/PolicyPair.java
+++ b/src/main/java/io/waxwingquay/bench/PolicyPair.java
@@ -6,11 +6,11 @@
 import io.waxwingquay.side.AdmissionRule;
 
 /**
- * Routing, placement and admission that are measured together.
+ * A routing policy with the placement and admission of the sides, which are measured together.
  *
- * @param name the name that the command line uses.
- * @param routing the routing policy's name.
- * @param decisions how each side decides.
+ * @param name the name on the command line.
+ * @param routing name of the entries' routing policy.
+ * @param decisions placement and admission of the sides.
  */
 record PolicyPair(String name, String routing, Decisions decisions) {
 
@@ -18,7 +18,7 @@
             "waxwingquay, waxwingquay-1 to -7, round-robin, least-outstanding, model-hash, "
                     + "load-on-miss-lru, round-robin-blind or least-outstanding-blind";
 
-    /** A third of the demand adds a replica already. */
+    /** Thresholds that add a copy of a model at a third of the demand at which the default ones do. */
     private static final DemandThresholds EARLY_SCALING_THRESHOLDS = new DemandThresholds(1.0, 0.3, 60_000);
 
     static PolicyPair named(String name) {
--- a/src/main/java/io/waxwingquay/bench/Prompts.java
+++ b/src/main/java/io/waxwingquay/bench/Prompts.java
@@ -3,7 +3,7 @@
 import java.util.stream.Collectors;
 import java.util.stream.IntStream;
 
-/** Prompts that share a long beginning. */
+/** Creates prompts that share a long prefix, so that the prefix caches of engines have an effect. */
 final class Prompts {
 
     private static final int SHARED_PREFIX_WORDS = 20;
--- a/src/main/java/io/waxwingquay/bench/RunResult.java
+++ b/src/main/java/io/waxwingquay/bench/RunResult.java
@@ -5,34 +5,37 @@
 import java.util.List;
 
 /**
- * The figures of one run. Moves count from when every model was served and nothing was being loaded.
+ * The results of one run. Moves, which are loads and evictions, count from the start of the load, when every model is
+ * served and no item is loading.
  *
- * @param workload the workload.
- * @param policy the policy.
- * @param fault the fault.
- * @param seed the seed.
- * @param sent completions sent.
- * @param attained completions answered whole within their deadline.
- * @param attainedPerAcceleratorSecond the same per accelerator and second.
+ * @param workload name of the workload.
+ * @param policy name of the policy.
+ * @param fault name of the fault.
+ * @param seed seed of the random generators.
+ * @param sent number of completions sent.
+ * @param attained number of completions answered in full within their deadline.
+ * @param attainedPerAcceleratorSecond attained completions per accelerator and second.
  * @param modelMoves loads and evictions of models.
  * @param adapterMoves loads and evictions of adapters.
- * @param refusedDidNotRun answers that say the request did not run.
- * @param refusedUnknown answers that say it may have run, or connections that broke.
- * @param late whole answers after the deadline.
- * @param firstTokenP50Millis median time to the first token.
- * @param firstTokenP99Millis 99th percentile of it.
- * @param plainSent calls to plain services.
- * @param plainAttained of these, answered within their deadline.
- * @param mostRunsOfOneKey the most runs that any idempotency key had.
- * @param beforeShare share of arrivals attained before the fault.
- * @param afterShare share of arrivals attained from the fault's end to the end of the load.
- * @param recoverSeconds from the fault's end to 95% of the share before; -1 if it did not come.
- * @param modelLoadsAtOnce most model loads in flight at once.
- * @param adapterLoadsAtOnce most adapter loads in flight at once.
- * @param overLimit loads beyond either limit.
- * @param overcommits moments at which accelerator memory was overcommitted.
- * @param latestSendMillis how late the bench itself sent, at worst.
- * @param attainedShareBySecond share of the arrivals of each second that were attained.
+ * @param refusedDidNotRun number of error answers that say that the request did not run.
+ * @param refusedUnknown number of error answers that say that the request ran or may have run, and of broken
+ *     connections.
+ * @param late number of complete answers after the deadline.
+ * @param firstTokenP50Millis median of the time to the first token.
+ * @param firstTokenP99Millis 99th percentile of the time to the first token.
+ * @param plainSent number of calls to plain services.
+ * @param plainAttained number of these calls that were answered within their deadline.
+ * @param mostRunsOfOneKey the largest number of runs of any idempotency key.
+ * @param beforeShare attained share of the arrivals before the fault, after a warm-up.
+ * @param afterShare attained share of the arrivals from the end of the fault to the end of the load.
+ * @param recoverSeconds seconds from the end of the fault until 95% of beforeShare is attained again; -1 if it
+ *     never is.
+ * @param modelLoadsAtOnce largest number of concurrent model loads.
+ * @param adapterLoadsAtOnce largest number of concurrent adapter loads.
+ * @param overLimit number of loads that exceeded a limit on loads.
+ * @param overcommits number of times that accelerator memory was overcommitted.
+ * @param latestSendMillis largest delay with which the benchmark itself sent a request.
+ * @param attainedShareBySecond attained share of the arrivals of each second.
  */
 @JsonNaming(PropertyNamingStrategies.SnakeCaseStrategy.class)
 record RunResult(
--- a/src/main/java/io/waxwingquay/bench/SettingsText.java
+++ b/src/main/java/io/waxwingquay/bench/SettingsText.java
@@ -7,14 +7,14 @@
 import java.util.stream.Collectors;
 
 /**
- * Writes the settings of a whole deployment on loopback, as an operator would by hand.
+ * Generates the settings files of a whole deployment on loopback, as an operator writes them by hand.
  *
- * @param platformAddress where the platform answers.
+ * @param platformAddress address of the platform.
  * @param publicKey the operator's root key, in base64.
- * @param dataCentreCount how many data centres the processes are spread over.
- * @param permitLeaseMillis the lease of shared limits; a restarted side lends nothing for that long.
- * @param orderQuarantineMillis how long a side before an unfenced engine sends no orders after its start.
- * @param seeds processes to gossip with at first.
+ * @param dataCentreCount number of data centres that the processes are spread over.
+ * @param permitLeaseMillis lease of the permits of shared limits; a restarted side grants none for that long.
+ * @param orderQuarantineMillis how long the side of an unfenced engine sends no orders after its start.
+ * @param seeds addresses of processes to gossip with at first.
  */
 public record SettingsText(
         HostPort platformAddress,
@@ -53,24 +53,28 @@
             """;
 
     /**
-     * Settings without seeds.
+     * Creates settings without seeds.
      *
-     * @param platform where the platform answers.
+     * @param platformAddress address of the platform.
      * @param publicKey the operator's root key, in base64.
-     * @param dataCentres how many data centres the processes are spread over.
-     * @param leaseMillis the lease of shared limits.
-     * @param orderQuarantineMillis how long a side before an unfenced engine sends no orders after its start.
+     * @param dataCentreCount number of data centres that the processes are spread over.
+     * @param permitLeaseMillis lease of the permits of shared limits.
+     * @param orderQuarantineMillis how long the side of an unfenced engine sends no orders after its start.
      */
     public SettingsText(
-            HostPort platform, String publicKey, int dataCentres, long leaseMillis, long orderQuarantineMillis) {
-        this(platform, publicKey, dataCentres, leaseMillis, orderQuarantineMillis, List.of());
+            HostPort platformAddress,
+            String publicKey,
+            int dataCentreCount,
+            long permitLeaseMillis,
+            long orderQuarantineMillis) {
+        this(platformAddress, publicKey, dataCentreCount, permitLeaseMillis, orderQuarantineMillis, List.of());
     }
 
     /**
-     * The same with other seeds.
+     * Returns the same settings with other seeds.
      *
-     * @param addresses processes to gossip with at first.
-     * @return the changed settings.
+     * @param addresses addresses of processes to gossip with at first.
+     * @return the new settings.
      */
     public SettingsText withSeeds(List<HostPort> addresses) {
         return new SettingsText(
@@ -78,7 +82,7 @@
     }
 
     /**
-     * The name of a side.
+     * Returns the name of a side.
      *
      * @param service its service.
      * @param replica its number.
@@ -89,7 +93,7 @@
     }
 
     /**
-     * The data centre that a replica or entry stands in.
+     * Returns the data centre of a replica or entry.
      *
      * @param number its number.
      * @return the data centre's name.
@@ -99,11 +103,11 @@
     }
 
     /**
-     * Settings of an entry.
+     * Returns the settings of an entry.
      *
      * @param number its number.
-     * @param policy the routing policy.
-     * @param ports Thrift, admin and caller port; 0 for any.
+     * @param policy name of the routing policy.
+     * @param ports Thrift, admin and caller port; 0 for any free port.
      * @return the TOML text.
      */
     public String entry(int number, String policy, List<Integer> ports) {
@@ -111,12 +115,12 @@
     }
 
     /**
-     * Settings of a side.
+     * Returns the settings of a side.
      *
      * @param service its service.
      * @param replica its number.
-     * @param target where the target answers.
-     * @param ports Thrift and admin port; 0 for any.
+     * @param target address of the target.
+     * @param ports Thrift and admin port; 0 for any free port.
      * @return the TOML text.
      */
     public String side(Bundle.Service service, int replica, HostPort target, List<Integer> ports) {
--- a/src/main/java/io/waxwingquay/bench/Tamworth.java
+++ b/src/main/java/io/waxwingquay/bench/Tamworth.java
@@ -9,8 +9,8 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Tamworth Quench Analytics: summaries in bursts when a forge's shift ends, fault flags, overnight batch reviews,
- * questions to the furnace models, and batch releases to sign.
+ * Workload of Tamworth Quench Analytics: bursts of summaries when the shift of a forge ends, fault flags, overnight
+ * batch reviews, questions to the furnace models, and batch releases at a plain service.
  */
 final class Tamworth implements Workload {
 
@@ -67,23 +67,25 @@
     @Override
     public List<Arrival> arrivals(RandomGenerator random, double seconds, Surge surge) {
         ArrivalGenerator generator = new ArrivalGenerator(random, seconds);
-        List<Arrival> all = new ArrayList<>();
-        all.addAll(generator.generate(
+        List<Arrival> arrivals = new ArrayList<>();
+        arrivals.addAll(generator.generate(
                 BURST_PER_SECOND,
                 Tamworth::summaryRate,
-                at -> completion(random, at, "cycle-summary", shiftEndForge(at), SUMMARY)));
-        all.addAll(generator.generate(
+                atMicros -> completion(random, atMicros, "cycle-summary", shiftEndForge(atMicros), SUMMARY)));
+        arrivals.addAll(generator.generate(
                 FLAGS_PER_SECOND,
-                at -> FLAGS_PER_SECOND,
-                at -> completion(random, at, "fault-flag", randomForge(random), FLAG)));
-        all.addAll(generator.generate(
+                atSeconds -> FLAGS_PER_SECOND,
+                atMicros -> completion(random, atMicros, "fault-flag", randomForge(random), FLAG)));
+        arrivals.addAll(generator.generate(
                 REVIEWS_PER_SECOND,
-                at -> REVIEWS_PER_SECOND,
-                at -> completion(random, at, random.nextBoolean() ? "batch-review" : "morning-digest", "", REVIEW)));
-        FURNACE_MODELS.forEach(model -> all.addAll(questions(random, generator, model, surge)));
-        all.addAll(generator.generate(RELEASES_PER_SECOND, at -> RELEASES_PER_SECOND, at -> release(random, at)));
-        all.sort(Comparator.comparingLong(Arrival::atMicros));
-        return all;
+                atSeconds -> REVIEWS_PER_SECOND,
+                atMicros -> completion(
+                        random, atMicros, random.nextBoolean() ? "batch-review" : "morning-digest", "", REVIEW)));
+        FURNACE_MODELS.forEach(model -> arrivals.addAll(questions(random, generator, model, surge)));
+        arrivals.addAll(generator.generate(
+                RELEASES_PER_SECOND, atSeconds -> RELEASES_PER_SECOND, atMicros -> release(random, atMicros)));
+        arrivals.sort(Comparator.comparingLong(Arrival::atMicros));
+        return arrivals;
     }
 
     private static List<Arrival> questions(
@@ -91,20 +93,21 @@
         double perSecond = QUESTIONS_PER_SECOND / FURNACE_MODELS.size();
         return generator.generate(
                 MAX_SURGE_FACTOR * perSecond,
-                at -> perSecond * surge.factor(model, at),
-                at -> completion(random, at, model, random.nextBoolean() ? randomForge(random) : "", QUESTION));
+                atSeconds -> perSecond * surge.factor(model, atSeconds),
+                atMicros ->
+                        completion(random, atMicros, model, random.nextBoolean() ? randomForge(random) : "", QUESTION));
     }
 
     private static double summaryRate(double atSeconds) {
         return atSeconds % SHIFT_SECONDS < BURST_SECONDS ? BURST_PER_SECOND : BASE_PER_SECOND;
     }
 
-    /** Each shift ends at another forge. */
+    /** Returns the forge whose shift ends: a different one at each end of a shift. */
     private static String shiftEndForge(long atMicros) {
         return "forge-0" + ((long) (atMicros / 1e6 / SHIFT_SECONDS) % FORGES + 1);
     }
 
-    /** Three forges have an adapter for each model; the fourth only for some. */
+    /** Chooses one of the three forges that have an adapter for every model; the fourth lacks some. */
     private static String randomForge(RandomGenerator random) {
         return "forge-0" + (random.nextInt(FORGES - 1) + 1);
     }
--- a/src/main/java/io/waxwingquay/bench/Workload.java
+++ b/src/main/java/io/waxwingquay/bench/Workload.java
@@ -3,38 +3,38 @@
 import java.util.List;
 import java.util.random.RandomGenerator;
 
-/** The requests of one customer. The same seed gives the same requests, whatever the policy. */
+/** Generates the requests of one customer. The same seed gives the same requests under every policy. */
 interface Workload {
 
-    /** A factor on the demand for one model while a fault lasts. */
+    /** The factor by which a fault raises the demand for a model over time. */
     interface Surge {
 
-        /** No surge. */
+        /** A surge that leaves all demand as it is. */
         Surge NONE = (model, atSeconds) -> 1.0;
 
         /**
-         * The factor.
+         * Returns the factor at a time.
          *
          * @param model the model's name.
          * @param atSeconds time from the start of the load.
-         * @return 1 if there is no surge.
+         * @return the factor; 1 if there is no surge.
          */
         double factor(String model, double atSeconds);
     }
 
-    /** The name that the command line uses. */
+    /** Returns the name on the command line. */
     String name();
 
-    /** The file name of its bundle. */
+    /** Returns the file name of the bundle. */
     String bundleFile();
 
-    /** The model whose demand a surge multiplies. */
+    /** Returns the model whose demand a surge multiplies. */
     String surgingModel();
 
-    /** The requests by their time. */
+    /** Generates the requests in order of time. */
     List<Arrival> arrivals(RandomGenerator random, double seconds, Surge surge);
 
-    /** Finds a workload by its name. */
+    /** Returns the workload of a name. */
     static Workload named(String name) {
         return switch (name) {
             case "tamworth" -> new Tamworth();
--- a/src/main/java/io/waxwingquay/bench/capacity/BundleSizes.java
+++ b/src/main/java/io/waxwingquay/bench/capacity/BundleSizes.java
@@ -7,7 +7,7 @@
 import java.util.stream.Stream;
 import java.util.zip.Deflater;
 
-/** Bytes of a bundle document, by models, as it is and deflated. */
+/** Measures the size of a bundle document, plain and deflated, and the time to read it, by the number of models. */
 final class BundleSizes {
 
     private static final List<Integer> MODEL_COUNTS = List.of(40, 80, 155, 310, 620);
@@ -51,7 +51,7 @@
 
     private BundleSizes() {}
 
-    static Stream<StepTable> all() {
+    static Stream<StepTable> measureAll() {
         return Stream.of(
                 StepTable.measure(
                         "bytes of a bundle document, " + ADAPTERS_PER_MODEL + " adapters a model",
@@ -70,7 +70,7 @@
                         models -> readMicros(document((int) models))));
     }
 
-    /** Versions are random, as commit hashes are, since they bound what deflating saves. */
+    /** Creates a document. Its versions are random, as commit hashes are, since they limit how well it deflates. */
     private static byte[] document(int models) {
         Random random = new Random(5);
         StringBuilder text = new StringBuilder(SERVICE_TOML);
--- a/src/main/java/io/waxwingquay/bench/capacity/Capacity.java
+++ b/src/main/java/io/waxwingquay/bench/capacity/Capacity.java
@@ -6,25 +6,25 @@
 import java.util.stream.Stream;
 
 /**
- * Raises sizes step by step and prints, for each cost, the steps, the line through them and its error.
+ * Measures costs at rising sizes and prints, for each cost, the measurements, the line fitted to them and its error.
  */
 public final class Capacity {
 
     private final PrintWriter out;
 
     /**
-     * A run.
+     * Creates a measurement run.
      *
-     * @param out where the tables go.
+     * @param out receives the tables.
      */
     public Capacity(PrintWriter out) {
         this.out = out;
     }
 
     /**
-     * Measures everything, or one part.
+     * Runs one part of the measurements, or all of them.
      *
-     * @param part the part.
+     * @param part the part to run.
      */
     public void run(Part part) {
         for (Part each : part == Part.ALL ? List.of(Part.values()) : List.of(part)) {
@@ -41,18 +41,18 @@
         out.flush();
     }
 
-    /** What can be measured alone. */
+    /** A part of the measurements. */
     public enum Part {
-        /** Everything. */
+        /** All parts. */
         ALL(Stream::of),
-        /** Record sizes, heap and processor time. */
-        COSTS(Costs::all),
-        /** Traffic and delay of gossip. */
-        GOSSIP(GossipCosts::all),
-        /** The table service's load by claims. */
-        TABLE(TableLoad::all),
-        /** Bundle documents. */
-        BUNDLES(BundleSizes::all);
+        /** Sizes of records, heap and processor time. */
+        COSTS(Costs::measureAll),
+        /** Traffic and propagation delay of gossip. */
+        GOSSIP(GossipCosts::measureAll),
+        /** Load that claims put on the table service. */
+        TABLE(TableLoad::measureAll),
+        /** Size of bundle documents and the time to read them. */
+        BUNDLES(BundleSizes::measureAll);
 
         private final Supplier<Stream<StepTable>> tables;
 
--- a/src/main/java/io/waxwingquay/bench/capacity/Costs.java
+++ b/src/main/java/io/waxwingquay/bench/capacity/Costs.java
@@ -34,7 +34,7 @@
 import java.util.stream.IntStream;
 import java.util.stream.Stream;
 
-/** Processor time and heap of single parts, by size. */
+/** Measures record sizes, heap and processor time of single components at rising sizes. */
 final class Costs {
 
     private static final int ITEMS_PER_SIDE = 8;
@@ -46,7 +46,7 @@
 
     private Costs() {}
 
-    static Stream<StepTable> all() {
+    static Stream<StepTable> measureAll() {
         return Stream.<Supplier<StepTable>>of(
                         Costs::recordBytes,
                         Costs::recordHeap,
@@ -89,7 +89,7 @@
                 });
     }
 
-    /** An idle round and its answer at a process that knows as many: both ends. */
+    /** Measures an idle gossip round at both ends, each of which knows as many sides. */
     private static StepTable gossipRoundMicros() {
         return StepTable.measure(
                 "processor microseconds of an idle gossip round, both ends together", "sides", SIDE_COUNTS, sides -> {
@@ -159,7 +159,7 @@
                         PlacementInput.of(bundle, SyntheticSides.SERVICE, table.sides(), Plan.EMPTY, 1_000)));
     }
 
-    /** Both ends over loopback in this process, so it is the cost of the pair. */
+    /** Measures both ends of a poll together, since client and server run in this process. */
     private static StepTable pollMicros() {
         try (ThriftServer server =
                         ThriftServer.bind(new HostPort("127.0.0.1", 0)).serveSide(pollResponder());
@@ -187,7 +187,7 @@
                 });
     }
 
-    /** One server and a client for each connection, as clients keep their connections apart. */
+    /** Opens one server and a client for each connection, since each client keeps connections of its own. */
     private static Object openConnections(int count, List<AutoCloseable> open) {
         ThriftServer server = ThriftServer.bind(new HostPort("127.0.0.1", 0)).serveSide(pollResponder());
         for (int index = 0; index < count; index++) {
@@ -206,11 +206,11 @@
         try {
             resource.close();
         } catch (Exception failure) {
-            throw new IllegalStateException("a connection did not close", failure);
+            throw new IllegalStateException("a connection of the measurement did not close", failure);
         }
     }
 
-    /** Answers polls with as many one-token chunks as the offset says. */
+    /** Returns a side that answers a poll with as many one-token chunks as the offset of the poll. */
     private static SideProtocol pollResponder() {
         return (SideProtocol) Proxy.newProxyInstance(
                 SideProtocol.class.getClassLoader(),
--- a/src/main/java/io/waxwingquay/bench/capacity/GossipCosts.java
+++ b/src/main/java/io/waxwingquay/bench/capacity/GossipCosts.java
@@ -6,7 +6,7 @@
 import java.util.function.ToDoubleFunction;
 import java.util.stream.Stream;
 
-/** Traffic and delay of gossip, by the number of processes. */
+/** Measures the traffic and the propagation delay of gossip by the number of processes. */
 final class GossipCosts {
 
     private static final List<Integer> ALL_RECORDS_PROCESSES = List.of(50, 100, 200, 400);
@@ -19,7 +19,7 @@
 
     private GossipCosts() {}
 
-    static Stream<StepTable> all() {
+    static Stream<StepTable> measureAll() {
         List<StepTable> tables = new ArrayList<>();
         tables.addAll(withRandomSeeds());
         tables.addAll(withAllRecords());
@@ -27,7 +27,7 @@
         return tables.stream();
     }
 
-    /** Processes that know 60 others at random and no side records. */
+    /** Measures processes that each know 60 random others and no side records. */
     private static List<StepTable> withRandomSeeds() {
         List<Measurement> measurements = RANDOM_SEEDS_PROCESSES.stream()
                 .map(count ->
@@ -38,22 +38,22 @@
                 table(
                         "idle gossip, bytes a second sent by a process" + kind,
                         measurements,
-                        found -> found.idle.bytesPerSecond()),
+                        figures -> figures.idle.bytesPerSecond()),
                 table(
                         "idle gossip, messages a second at a process" + kind,
                         measurements,
-                        found -> found.idle.messagesPerSecond()),
+                        figures -> figures.idle.messagesPerSecond()),
                 table(
                         "one bundle in 20 s, bytes a second" + kind,
                         measurements,
-                        found -> found.bundle.bytesPerSecond()),
+                        figures -> figures.bundle.bytesPerSecond()),
                 table(
                         "milliseconds until all know a bundle version" + kind,
                         measurements,
-                        found -> found.bundleMillis));
+                        figures -> figures.bundleMillis));
     }
 
-    /** Processes that know all others and their records. */
+    /** Measures processes that each know all others and their records. */
     private static List<StepTable> withAllRecords() {
         List<Measurement> measurements = ALL_RECORDS_PROCESSES.stream()
                 .map(count -> new Measurement(
@@ -65,17 +65,23 @@
                 table(
                         "idle gossip, bytes a second sent by a process" + kind,
                         measurements,
-                        found -> found.idle.bytesPerSecond()),
-                table("milliseconds until all know a bundle version" + kind, measurements, found -> found.bundleMillis),
-                table("milliseconds until all know a side leaves" + kind, measurements, found -> found.leavingMillis),
+                        figures -> figures.idle.bytesPerSecond()),
+                table(
+                        "milliseconds until all know a bundle version" + kind,
+                        measurements,
+                        figures -> figures.bundleMillis),
+                table(
+                        "milliseconds until all know a side leaves" + kind,
+                        measurements,
+                        figures -> figures.leavingMillis),
                 table(
                         "milliseconds until all know an ordinary change" + kind,
                         measurements,
-                        found -> found.changeMillis),
+                        figures -> figures.changeMillis),
                 table(
                         "bytes a process sends for one ordinary change" + kind,
                         measurements,
-                        found -> found.changeBytes));
+                        figures -> figures.changeBytes));
     }
 
     private static StepTable changeBytesByItems() {
@@ -86,7 +92,7 @@
                 items -> recordFigures(GossipSimulation.withAllRecords(100, (int) items), (int) items).changeBytes);
     }
 
-    /** How long a cut of the first three data centres is still felt after it ends, for the page. */
+    /** Describes how fast state propagates after a partition of the first three data centres has healed. */
     static String partitionedRegions() {
         GossipSimulation simulation = GossipSimulation.withAllRecords(120, ITEMS_PER_RECORD);
         simulation.partition(SyntheticSides.DATA_CENTRES / 2);
--- a/src/main/java/io/waxwingquay/bench/capacity/GossipSimulation.java
+++ b/src/main/java/io/waxwingquay/bench/capacity/GossipSimulation.java
@@ -23,7 +23,7 @@
 import java.util.function.Predicate;
 import java.util.stream.IntStream;
 
-/** The gossip of many processes by direct calls, under one clock that is stepped. */
+/** Simulates the gossip of many processes by direct calls, on one clock that advances in steps. */
 final class GossipSimulation {
 
     private static final long STEP_MILLIS = 25;
@@ -49,31 +49,31 @@
         }
     };
 
-    /** Processes that each know all others' records. */
+    /** Creates processes that each know the records of all others. */
     static GossipSimulation withAllRecords(int count, int items) {
         GossipSimulation simulation = new GossipSimulation(count, 0);
-        List<SideRecord> all = IntStream.range(0, count)
+        List<SideRecord> records = IntStream.range(0, count)
                 .mapToObj(index -> SyntheticSides.record(index, items, 620))
                 .toList();
-        simulation.nodes.forEach(node -> node.table.merge(all));
+        simulation.nodes.forEach(node -> node.table.merge(records));
         simulation.advance(WARM_UP_MILLIS);
         return simulation;
     }
 
-    /** Processes that each know some others at random and no records, so that thousands fit one machine. */
+    /** Creates processes that each know some random others and no records, so that thousands fit on a machine. */
     static GossipSimulation withRandomSeeds(int count, int seedCount) {
         GossipSimulation simulation = new GossipSimulation(count, seedCount);
         simulation.advance(WARM_UP_MILLIS);
         return simulation;
     }
 
-    /** Two processes that know many sides; whichever side the first asks, the second answers. */
+    /** Creates two processes that know many sides. The second answers for each side that the first contacts. */
     static GossipSimulation ofPair(int sides, int items) {
         GossipSimulation simulation = new GossipSimulation(2, 0);
-        List<SideRecord> all = IntStream.range(0, sides)
+        List<SideRecord> records = IntStream.range(0, sides)
                 .mapToObj(index -> SyntheticSides.record(index, items, 620))
                 .toList();
-        simulation.nodes.forEach(node -> node.table.merge(all));
+        simulation.nodes.forEach(node -> node.table.merge(records));
         IntStream.range(0, sides)
                 .forEach(index -> simulation.protocols.put(
                         address(index), simulation.nodes.get(0).connections.proxy(1)));
@@ -84,7 +84,7 @@
         return simulation;
     }
 
-    /** One round of the first process. */
+    /** Runs one gossip round of the first process. */
     void round() {
         nodes.get(0).gossip.round().join();
     }
@@ -100,7 +100,7 @@
         }
     }
 
-    /** From now on the first data centres and the others do not reach each other; nought ends that. */
+    /** Partitions the first data centres from the others until the next call; 0 heals the partition. */
     void partition(int dataCentres) {
         partitionedDataCentres = dataCentres;
     }
@@ -126,7 +126,7 @@
                 node -> node.table.side(SyntheticSides.name(side)).orElseThrow().version() >= version);
     }
 
-    /** Bytes a second that a process sends, on average, while time passes. */
+    /** Returns the average traffic of a process while some work runs and the rest of a duration passes. */
     Traffic trafficDuring(long millis, Runnable work) {
         double bytes = sentBytes();
         double messages = messages();
@@ -171,17 +171,18 @@
         return new HostPort("127.0.0.1", SyntheticSides.BASE_PORT + index);
     }
 
-    private boolean isPartitioned(int from, int to) {
-        boolean fromFirst = from % SyntheticSides.DATA_CENTRES < partitionedDataCentres;
-        boolean toFirst = to % SyntheticSides.DATA_CENTRES < partitionedDataCentres;
+    private boolean isPartitioned(int fromIndex, int toIndex) {
+        boolean fromFirst = fromIndex % SyntheticSides.DATA_CENTRES < partitionedDataCentres;
+        boolean toFirst = toIndex % SyntheticSides.DATA_CENTRES < partitionedDataCentres;
         return partitionedDataCentres > 0 && fromFirst != toFirst;
     }
 
     /**
-     * What one process exchanges.
+     * The gossip traffic of one process.
      *
-     * @param bytesPerSecond sent; on average it receives the same; Thrift's compact protocol without frames.
-     * @param messagesPerSecond requests and answers, both ends counted.
+     * @param bytesPerSecond bytes sent, in Thrift's compact protocol without frames; on average a process
+     *     receives as many.
+     * @param messagesPerSecond requests and answers, counted at both ends.
      */
     record Traffic(double bytesPerSecond, double messagesPerSecond) {}
 
@@ -225,16 +226,16 @@
 
     private final class DirectConnections implements Connections {
 
-        private final int from;
+        private final int fromIndex;
 
-        private DirectConnections(int from) {
-            this.from = from;
+        private DirectConnections(int fromIndex) {
+            this.fromIndex = fromIndex;
         }
 
         @Override
         public SideProtocol to(HostPort address) {
             int index = address.port() - SyntheticSides.BASE_PORT;
-            return isPartitioned(from, index)
+            return isPartitioned(fromIndex, index)
                     ? unreachable()
                     : protocols.computeIfAbsent(address, ignored -> proxy(index));
         }
@@ -251,8 +252,8 @@
             return (SideProtocol) Proxy.newProxyInstance(
                     SideProtocol.class.getClassLoader(),
                     new Class<?>[] {SideProtocol.class},
-                    (proxy, method, arguments) ->
-                            CompletableFuture.failedFuture(new IllegalStateException("regions are parted")));
+                    (proxy, method, arguments) -> CompletableFuture.failedFuture(
+                            new IllegalStateException("the data centres are partitioned from each other")));
         }
 
         @Override
--- a/src/main/java/io/waxwingquay/bench/capacity/LeastSquares.java
+++ b/src/main/java/io/waxwingquay/bench/capacity/LeastSquares.java
@@ -6,17 +6,17 @@
 /**
  * A straight line fitted to measurements by least squares.
  *
- * @param intercept the cost at size nought.
- * @param slope the cost of one more.
- * @param slopeStandardError the standard error of the slope; not a number below three steps.
- * @param maxRelativeError the largest distance of a step from the line, as a share of the step's cost.
+ * @param intercept the cost at size 0.
+ * @param slope the cost of each further unit of size.
+ * @param slopeStandardError the standard error of the slope; not a number for fewer than three measurements.
+ * @param maxRelativeError the largest residual of a measurement, as a share of its cost.
  */
 public record LeastSquares(double intercept, double slope, double slopeStandardError, double maxRelativeError) {
 
     private static final double PERCENT = 100.0;
 
     /**
-     * Fits a line.
+     * Fits a line to measurements.
      *
      * @param steps at least two measurements at different sizes.
      * @return the line.
@@ -44,7 +44,7 @@
     }
 
     /**
-     * The cost at a size, also one that was not measured.
+     * Returns the cost on the line at a size, which need not have been measured.
      *
      * @param size the size.
      * @return the cost on the line.
--- a/src/main/java/io/waxwingquay/bench/capacity/Meter.java
+++ b/src/main/java/io/waxwingquay/bench/capacity/Meter.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.function.IntFunction;
 
-/** Reads processor time and heap of this process. */
+/** Measures processor time and heap use of this process. */
 final class Meter {
 
     private static final double NANOS_PER_MICRO = 1_000.0;
@@ -15,7 +15,7 @@
 
     private Meter() {}
 
-    /** Processor time of this thread for one call, in microseconds: the median of batches after a warm-up. */
+    /** Returns the processor time of this thread for one call: the median of several batches after a warm-up. */
     static double threadMicros(int calls, Runnable work) {
         repeat(calls, work);
         List<Double> batches = new ArrayList<>();
@@ -28,7 +28,7 @@
         return batches.get(BATCHES / 2);
     }
 
-    /** Processor time of the whole process for one call, in microseconds. */
+    /** Returns the processor time of the whole process for one call, after a warm-up. */
     static double processMicros(int calls, Runnable work) {
         repeat(calls, work);
         OperatingSystemMXBean system = (OperatingSystemMXBean) ManagementFactory.getOperatingSystemMXBean();
@@ -37,12 +37,12 @@
         return (system.getProcessCpuTime() - fromNanos) / NANOS_PER_MICRO / calls;
     }
 
-    /** Heap bytes that some number of things hold. */
+    /** Returns the heap bytes that stay in use while the objects made for a count are reachable. */
     static double heapBytes(int count, IntFunction<Object> make) {
         long emptyBytes = usedBytes();
-        Object held = make.apply(count);
+        Object objects = make.apply(count);
         long usedBytes = usedBytes();
-        java.lang.ref.Reference.reachabilityFence(held);
+        java.lang.ref.Reference.reachabilityFence(objects);
         return usedBytes - emptyBytes;
     }
 
--- a/src/main/java/io/waxwingquay/bench/capacity/StepTable.java
+++ b/src/main/java/io/waxwingquay/bench/capacity/StepTable.java
@@ -8,8 +8,8 @@
 /**
  * A cost measured at rising sizes.
  *
- * @param costLabel what was measured, with its unit.
- * @param sizeLabel what was raised.
+ * @param costLabel description of the measured cost, with its unit.
+ * @param sizeLabel description of the size that rises.
  * @param steps the measurements.
  */
 public record StepTable(String costLabel, String sizeLabel, List<Step> steps) {
@@ -17,29 +17,29 @@
     /**
      * Measures a cost at each size.
      *
-     * @param cost what is measured, with its unit.
-     * @param size what is raised.
-     * @param sizes the sizes, rising.
-     * @param measure gives the cost at a size.
+     * @param cost description of the measured cost, with its unit.
+     * @param size description of the size that rises.
+     * @param sizes the sizes, in rising order.
+     * @param measure measures the cost at a size.
      * @return the table.
      */
     public static StepTable measure(String cost, String size, List<Integer> sizes, DoubleUnaryOperator measure) {
         List<Step> steps = new ArrayList<>();
-        sizes.forEach(at -> steps.add(new Step(at, measure.applyAsDouble(at))));
+        sizes.forEach(each -> steps.add(new Step(each, measure.applyAsDouble(each))));
         return new StepTable(cost, size, List.copyOf(steps));
     }
 
     /**
-     * The line through the steps.
+     * Returns the line fitted to the measurements.
      *
-     * @return the fit over the size as it is.
+     * @return the line over the unscaled size.
      */
     public LeastSquares fittedLine() {
         return LeastSquares.fit(steps);
     }
 
     /**
-     * The table, the line through it and the line's error.
+     * Returns the table, the line fitted to it and the error of the line.
      *
      * @return lines of Markdown.
      */
--- a/src/main/java/io/waxwingquay/bench/capacity/SyntheticSides.java
+++ b/src/main/java/io/waxwingquay/bench/capacity/SyntheticSides.java
@@ -14,7 +14,7 @@
 import org.apache.thrift.TSerializer;
 import org.apache.thrift.protocol.TCompactProtocol;
 
-/** Made-up sides and bundles of any size. */
+/** Generates synthetic side records and bundles of any size. */
 final class SyntheticSides {
 
     static final String SERVICE = "models";
@@ -25,9 +25,9 @@
 
     private SyntheticSides() {}
 
-    /** A side with some items resident, each with demand; models are dealt out in turn. */
+    /** Creates a side with resident items, each with some demand. Models are assigned to sides round-robin. */
     static SideRecord record(int index, int items, int models) {
-        List<ItemRecord> held = IntStream.range(0, items)
+        List<ItemRecord> residentItems = IntStream.range(0, items)
                 .mapToObj(item -> new ItemRecord(itemName((index * items + item) % models), true, 3 + item % 5))
                 .toList();
         return new SideRecord(
@@ -42,7 +42,7 @@
                 1,
                 SideState.SERVING,
                 TARGET_CAPACITY_BYTES,
-                held);
+                residentItems);
     }
 
     static MemberTable table(int sides, int items, int models) {
@@ -74,7 +74,7 @@
         try {
             return new TSerializer(new TCompactProtocol.Factory()).serialize(message).length;
         } catch (TException failure) {
-            throw new IllegalStateException("message cannot be written by Thrift", failure);
+            throw new IllegalStateException("the message cannot be serialized by Thrift", failure);
         }
     }
 }
--- a/src/main/java/io/waxwingquay/bench/capacity/TableLoad.java
+++ b/src/main/java/io/waxwingquay/bench/capacity/TableLoad.java
@@ -10,7 +10,7 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.stream.Stream;
 
-/** Transactions that the claims of one entry cost, by the rate of calls that run at most once. */
+/** Measures the table transactions for the claims of one entry by its rate of calls that run at most once. */
 final class TableLoad {
 
     private static final List<Integer> CALLS_PER_SECOND = List.of(1, 2, 5, 10, 20, 50, 100, 200);
@@ -20,7 +20,7 @@
 
     private TableLoad() {}
 
-    static Stream<StepTable> all() {
+    static Stream<StepTable> measureAll() {
         return Stream.of(transactionsPerSecond(20), transactionsPerSecond(100));
     }
 
@@ -50,7 +50,7 @@
         return (double) table.transactions / SIMULATED_SECONDS;
     }
 
-    /** Takes every write, after a fixed time. */
+    /** A table service that commits every write after a fixed delay. */
     private static final class DelayedTable implements TableService {
 
         private final int latencyMillis;
--- a/src/main/java/io/waxwingquay/bench/capacity/package-info.java
+++ b/src/main/java/io/waxwingquay/bench/capacity/package-info.java
@@ -1,2 +1,2 @@
-/** Measures how cost grows with entries, sides, models and residency, for docs/CAPACITY.md. */
+/** Measurements of how costs grow with entries, sides, models and resident items, for docs/CAPACITY.md. */
 package io.waxwingquay.bench.capacity;
--- a/src/main/java/io/waxwingquay/bench/package-info.java
+++ b/src/main/java/io/waxwingquay/bench/package-info.java
@@ -1,4 +1,4 @@
 /**
- * The load and experiment tool: open-loop workloads, baselines, reports and plots.
+ * Benchmarks on local deployments: open-loop workloads, baseline policies, fault injection, reports and plots.
  */
 package io.waxwingquay.bench;
--- a/src/test/java/io/waxwingquay/bench/capacity/StepTableTest.java
+++ b/src/test/java/io/waxwingquay/bench/capacity/StepTableTest.java
@@ -27,7 +27,8 @@
         assertTrue(line.slopeStandardError() > 1);
     }
 
-    // The page's figures rest on this field: news must go to all, and not across a cut.
+    // Guards the figures of docs/CAPACITY.md: in a simulation that lost changes or ignored a partition, the measured
+    // traffic and delays of gossip would be wrong.
     @Test
     void changeReachesEveryProcessButNotAcrossAPartition() {
         GossipSimulation simulation = GossipSimulation.withAllRecords(24, 1);
