--- a/src/main/java/io/waxwingquay/bench/Claywheel.java
+++ b/src/main/java/io/waxwingquay/bench/Claywheel.java
@@ -32,8 +32,8 @@
     private static final double BASE_PER_SECOND = 70;
     private static final double PEAK_PER_SECOND = 110;
     private static final double PEAK_PROGRESS = 0.65;
-    private static final double HOT_WEIGHT = 10;
-    private static final double HOT_WIDTH = 0.8;
+    private static final double HOT_STUDIO_WEIGHT = 10;
+    private static final double HOT_STUDIO_WIDTH = 0.8;
     private static final double HOT_STUDIO_SHIFT = 3;
     private static final double DEPOSITS_PER_SECOND = 6;
     private static final double RESERVATIONS_PER_SECOND = 6;
@@ -101,8 +101,8 @@
 
     /** Returns the relative demand for a studio. Its peak moves from one studio to the next as the run progresses. */
     private static double popularity(int distance, double progress) {
-        double offset = (distance - HOT_STUDIO_SHIFT * progress) / HOT_WIDTH;
-        return 1 + HOT_WEIGHT * Math.exp(-offset * offset / 2);
+        double offset = (distance - HOT_STUDIO_SHIFT * progress) / HOT_STUDIO_WIDTH;
+        return 1 + HOT_STUDIO_WEIGHT * Math.exp(-offset * offset / 2);
     }
 
     private static Arrival completion(RandomGenerator random, long atMicros, String model, Subject subject) {
--- a/src/main/java/io/waxwingquay/bench/Demo.java
+++ b/src/main/java/io/waxwingquay/bench/Demo.java
@@ -38,7 +38,7 @@
     private final PrintWriter out;
     private final Histogram firstTokenMicros = new Histogram(3);
     private int correct;
-    private int wrong;
+    private int incorrect;
     private int failed;
 
     /**
@@ -75,7 +75,7 @@
             boolean withinMemory = summarise(deployment);
             boolean rolledOut = rollOut(deployment, document);
             out.flush();
-            return failed == 0 && wrong == 0 && depositsRanOnce && withinMemory && rolledOut;
+            return failed == 0 && incorrect == 0 && depositsRanOnce && withinMemory && rolledOut;
         }
     }
 
@@ -115,7 +115,7 @@
         if (answer.text().equals(expected)) {
             correct++;
         } else {
-            wrong++;
+            incorrect++;
         }
     }
 
@@ -159,7 +159,7 @@
     private boolean summarise(LocalDeployment deployment) {
         out.printf(
                 "Completions: %d of %d whole and checked word by word; %d wrong; %d not answered.%n",
-                correct, COMPLETIONS, wrong, failed);
+                correct, COMPLETIONS, incorrect, failed);
         out.printf(
                 "First token: median %.1f ms, 99 in 100 within %.1f ms (engines run at %.0f times their speed).%n",
                 firstTokenMicros.getValueAtPercentile(MEDIAN_PERCENTILE) / MICROS_PER_MILLI,
--- a/src/main/java/io/waxwingquay/bench/PolicyBenchmark.java
+++ b/src/main/java/io/waxwingquay/bench/PolicyBenchmark.java
@@ -11,20 +11,20 @@
  * Compares policies: each seed runs under every policy in turn, so that a change in the load of the machine affects
  * all policies alike.
  *
- * @param workload the workload's name.
- * @param policies the policies' names.
+ * @param workloadName the workload's name.
+ * @param policyNames the policies' names.
  * @param seedCount number of seeds; they count from 1.
  * @param secondsPerRun duration of the load of each run.
- * @param fault the fault's name.
+ * @param faultName the fault's name.
  * @param bundleDirectory directory of the bundle files.
  * @param outputDirectory directory that the report is written to.
  */
 public record PolicyBenchmark(
-        String workload,
-        List<String> policies,
+        String workloadName,
+        List<String> policyNames,
         int seedCount,
         int secondsPerRun,
-        String fault,
+        String faultName,
         Path bundleDirectory,
         Path outputDirectory) {
 
@@ -34,14 +34,14 @@
      * @throws IllegalArgumentException if a name is unknown or the workload's bundle file does not exist.
      */
     public PolicyBenchmark {
-        Path bundle = bundleDirectory.resolve(Workload.named(workload).bundleFile());
+        Path bundle = bundleDirectory.resolve(Workload.named(workloadName).bundleFile());
         if (!Files.isRegularFile(bundle)) {
-            throw new IllegalArgumentException("bundle file " + bundle + " of workload " + workload
+            throw new IllegalArgumentException("bundle file " + bundle + " of workload " + workloadName
                     + " is not there; run at the repository's root or give --bundles");
         }
-        Fault.named(fault);
-        policies = List.copyOf(policies);
-        policies.forEach(PolicyPair::named);
+        Fault.named(faultName);
+        policyNames = List.copyOf(policyNames);
+        policyNames.forEach(PolicyPair::named);
     }
 
     /**
@@ -53,25 +53,21 @@
      */
     public void run(PrintWriter out) throws IOException, InterruptedException {
         System.setProperty("java.awt.headless", "true");
-        Workload loadedWorkload = Workload.named(workload);
-        Fault injectedFault = Fault.named(fault);
-        List<PolicyPair> pairs = policies.stream().map(PolicyPair::named).toList();
+        Workload workload = Workload.named(workloadName);
+        Fault fault = Fault.named(faultName);
+        List<PolicyPair> policies = policyNames.stream().map(PolicyPair::named).toList();
         List<RunResult> results = new ArrayList<>();
         for (int seed = 1; seed <= seedCount; seed++) {
-            for (PolicyPair pair : pairs) {
-                results.add(new LoadRun(loadedWorkload, pair, injectedFault, seed, secondsPerRun)
-                        .measure(bundleDirectory, out));
+            for (PolicyPair pair : policies) {
+                results.add(new LoadRun(workload, pair, fault, seed, secondsPerRun).measure(bundleDirectory, out));
             }
         }
         BenchReport report = new BenchReport(results);
-        String name = workload + "-" + injectedFault.title();
+        String name = workloadName + "-" + fault.title();
         report.write(outputDirectory, name);
         BenchPlot.write(
-                outputDirectory.resolve(name + ".png"),
-                workload + ", fault: " + injectedFault.title(),
-                report.byPolicy());
-        out.println(
-                workload + ", fault " + injectedFault.title() + ", " + seedCount + " seeds of " + secondsPerRun + " s");
+                outputDirectory.resolve(name + ".png"), workloadName + ", fault: " + fault.title(), report.byPolicy());
+        out.println(workloadName + ", fault " + fault.title() + ", " + seedCount + " seeds of " + secondsPerRun + " s");
         out.print(report.toTable());
         out.flush();
     }
--- a/src/main/java/io/waxwingquay/bench/capacity/GossipCosts.java
+++ b/src/main/java/io/waxwingquay/bench/capacity/GossipCosts.java
@@ -14,8 +14,8 @@
     private static final int SEED_COUNT = 60;
     private static final int ITEMS_PER_RECORD = 2;
     private static final long IDLE_MILLIS = 20_000;
-    private static final long BETWEEN_BUNDLES_MILLIS = 20_000;
-    private static final int CHANGES = 20;
+    private static final long BUNDLE_INTERVAL_MILLIS = 20_000;
+    private static final int CHANGE_COUNT = 20;
 
     private GossipCosts() {}
 
@@ -111,27 +111,28 @@
         Figures figures = new Figures();
         figures.idle = Rate.of(simulation.trafficDuring(IDLE_MILLIS, () -> {}));
         figures.bundle = Rate.of(simulation.trafficDuring(
-                BETWEEN_BUNDLES_MILLIS, () -> figures.bundleMillis = simulation.millisToSpreadBundle()));
+                BUNDLE_INTERVAL_MILLIS, () -> figures.bundleMillis = simulation.millisToSpreadBundle()));
         return figures;
     }
 
     private static Figures recordFigures(GossipSimulation simulation, int items) {
         Figures figures = bundleFigures(simulation);
         Traffic changing = simulation.trafficDuring(IDLE_MILLIS, () -> {
-            for (int side = 1; side <= CHANGES; side++) {
+            for (int side = 1; side <= CHANGE_COUNT; side++) {
                 simulation.publish(side, 2, items);
             }
-            figures.changeMillis = simulation.millisUntilAllHave(CHANGES, 2);
+            figures.changeMillis = simulation.millisUntilAllHave(CHANGE_COUNT, 2);
         });
         double seconds = IDLE_MILLIS / 1_000.0;
-        figures.changeBytes = (changing.bytesPerSecond() - figures.idle.bytesPerSecond()) * seconds / CHANGES;
-        figures.leavingMillis = simulation.millisToSpreadLeaving(CHANGES + 1);
+        figures.changeBytes = (changing.bytesPerSecond() - figures.idle.bytesPerSecond()) * seconds / CHANGE_COUNT;
+        figures.leavingMillis = simulation.millisToSpreadLeaving(CHANGE_COUNT + 1);
         return figures;
     }
 
     private static StepTable table(String cost, List<Measurement> measurements, ToDoubleFunction<Figures> figure) {
         List<StepTable.Step> steps = measurements.stream()
-                .map(field -> new StepTable.Step(field.processes, figure.applyAsDouble(field.figures)))
+                .map(measurement ->
+                        new StepTable.Step(measurement.processes, figure.applyAsDouble(measurement.figures)))
                 .toList();
         return new StepTable(cost, "processes", steps);
     }
