--- a/src/test/java/io/waxwingquay/engine/HttpModelEngineTest.java
+++ b/src/test/java/io/waxwingquay/engine/HttpModelEngineTest.java
@@ -264,12 +264,12 @@
         Collected collected = listen();
         collected.afterTokens(1, () -> {
             inListener.countDown();
-            released.complete(Await.quietly(closed));
+            released.complete(Await.latch(closed));
         });
         AutoCloseable handle = engine.stream(generation("closing", 1_000), 0, collected);
         assertTrue(inListener.await(30, TimeUnit.SECONDS));
 
-        Await.value(CompletableFuture.runAsync(() -> Await.closing(handle)));
+        Await.value(CompletableFuture.runAsync(() -> Await.closeUnchecked(handle)));
         closed.countDown();
         assertTrue(Await.value(released));
     }
--- a/src/test/java/io/waxwingquay/hosted/GracefulShutdownTest.java
+++ b/src/test/java/io/waxwingquay/hosted/GracefulShutdownTest.java
@@ -58,7 +58,7 @@
     @Test
     void gracePeriodIsCountedFromTheSignal() throws Exception {
         CountDownLatch released = new CountDownLatch(1);
-        loop.execute(() -> Await.quietly(released));
+        loop.execute(() -> Await.latch(released));
         CompletableFuture<Void> done = shutdown.start();
         nowMillis.addAndGet(STALL_MILLIS);
         released.countDown();
--- a/src/test/java/io/waxwingquay/hosted/HostedDeployment.java
+++ b/src/test/java/io/waxwingquay/hosted/HostedDeployment.java
@@ -139,7 +139,7 @@
         CountDownLatch released = new CountDownLatch(1);
         processLoop.execute(() -> {
             stalled.complete(null);
-            Await.quietly(released);
+            Await.latch(released);
         });
         Await.value(stalled);
         try {
--- a/src/test/java/io/waxwingquay/net/ClientPoolTest.java
+++ b/src/test/java/io/waxwingquay/net/ClientPoolTest.java
@@ -125,10 +125,10 @@
         assertEquals("end 200 ok", Await.value(first));
         CompletableFuture<String> second = new CompletableFuture<>();
         loop.execute(() -> {
-            Await.closing(socket);
+            Await.closeUnchecked(socket);
             pool.send(request(false), new RecordingListener(second));
         });
-        CompletableFuture<Void> served = CompletableFuture.runAsync(() -> Await.closing(() -> {
+        CompletableFuture<Void> served = CompletableFuture.runAsync(() -> Await.closeUnchecked(() -> {
             try (Socket newSocket = server.accept()) {
                 reply(newSocket, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok");
             }
--- a/src/test/java/io/waxwingquay/net/ServerConnectionTest.java
+++ b/src/test/java/io/waxwingquay/net/ServerConnectionTest.java
@@ -76,7 +76,8 @@
             ServerConnection connection = Await.value(accepted);
             long laterMillis = EventLoop.nowMillis() + 2 * ServerLimits.DEFAULT.idleTimeoutMillis();
             onLoop(() -> {
-                Await.closing(() -> write(socket, "GET / HTTP/1.1\r\nHost: x.test\r\nConnection: close\r\n\r\n"));
+                Await.closeUnchecked(
+                        () -> write(socket, "GET / HTTP/1.1\r\nHost: x.test\r\nConnection: close\r\n\r\n"));
                 connection.checkTimeouts(laterMillis);
             });
             String answer = new String(socket.getInputStream().readAllBytes(), StandardCharsets.ISO_8859_1);
@@ -93,7 +94,7 @@
             ServerConnection connection = Await.value(accepted);
             long laterMillis = EventLoop.nowMillis() + 2 * ServerLimits.DEFAULT.idleTimeoutMillis();
             onLoop(() -> {
-                Await.closing(() -> write(socket, "GET / HTTP/1.1\r\nHost: x.test\r\n\r\n"));
+                Await.closeUnchecked(() -> write(socket, "GET / HTTP/1.1\r\nHost: x.test\r\n\r\n"));
                 connection.checkTimeouts(laterMillis);
             });
             write(socket, "GET / HTTP/1.1\r\nHost: x.test\r\nConnection: close\r\n\r\n");
@@ -109,7 +110,8 @@
             socket.setSoTimeout(30_000);
             Await.value(accepted);
             onLoop(() -> {
-                Await.closing(() -> write(socket, "GET / HTTP/1.1\r\nHost: x.test\r\nConnection: close\r\n\r\n"));
+                Await.closeUnchecked(
+                        () -> write(socket, "GET / HTTP/1.1\r\nHost: x.test\r\nConnection: close\r\n\r\n"));
                 server.closeIdle();
             });
             String answer = new String(socket.getInputStream().readAllBytes(), StandardCharsets.ISO_8859_1);
@@ -130,7 +132,7 @@
             }
             all.append("GET / HTTP/1.1\r\nHost: x.test\r\nConnection: close\r\n\r\n");
             CompletableFuture<Void> written =
-                    CompletableFuture.runAsync(() -> Await.closing(() -> write(socket, all.toString())));
+                    CompletableFuture.runAsync(() -> Await.closeUnchecked(() -> write(socket, all.toString())));
             ServerExchange first = Await.value(held);
             for (int round = 0; round < 20; round++) {
                 onLoop(() -> {});
--- a/src/test/java/io/waxwingquay/scenario/CallPathWorld.java
+++ b/src/test/java/io/waxwingquay/scenario/CallPathWorld.java
@@ -244,7 +244,7 @@
         plains.values().forEach(PlainServiceStandin::close);
         platform.close();
         caller.close();
-        Await.closing(http::stop);
+        Await.closeUnchecked(http::stop);
     }
 
     private void open() throws Exception {
--- a/src/test/java/io/waxwingquay/scenario/DeploymentWorld.java
+++ b/src/test/java/io/waxwingquay/scenario/DeploymentWorld.java
@@ -202,7 +202,7 @@
     @Override
     public void close() {
         while (!owned.isEmpty()) {
-            Await.closing(owned.pop());
+            Await.closeUnchecked(owned.pop());
         }
     }
 }
--- a/src/test/java/io/waxwingquay/scenario/EngineWorld.java
+++ b/src/test/java/io/waxwingquay/scenario/EngineWorld.java
@@ -162,7 +162,7 @@
     public void close() {
         sides.forEach(SideNode::close);
         engine.close();
-        Await.closing(client::stop);
+        Await.closeUnchecked(client::stop);
     }
 
     /** The time of the sides and of the engine. */
--- a/src/test/java/io/waxwingquay/scenario/ProcessWorld.java
+++ b/src/test/java/io/waxwingquay/scenario/ProcessWorld.java
@@ -176,7 +176,7 @@
                     .join()
                     .containsKey(row);
         } finally {
-            Await.closing(client::stop);
+            Await.closeUnchecked(client::stop);
         }
     }
 
--- a/src/test/java/io/waxwingquay/testing/Await.java
+++ b/src/test/java/io/waxwingquay/testing/Await.java
@@ -79,7 +79,7 @@
      * @param latch the latch.
      * @return whether it opened within the limit.
      */
-    public static boolean quietly(CountDownLatch latch) {
+    public static boolean latch(CountDownLatch latch) {
         try {
             return latch.await(LIMIT_SECONDS, TimeUnit.SECONDS);
         } catch (InterruptedException failure) {
@@ -93,7 +93,7 @@
      *
      * @param closeable what to close.
      */
-    public static void closing(AutoCloseable closeable) {
+    public static void closeUnchecked(AutoCloseable closeable) {
         try {
             closeable.close();
         } catch (Exception failure) {
