--- a/src/test/java/io/waxwingquay/scenario/AnswerSteps.java
+++ b/src/test/java/io/waxwingquay/scenario/AnswerSteps.java
@@ -25,89 +25,93 @@
 /** Steps on whole answers. The scenarios share one path, which each finds without faults. */
 public final class AnswerSteps {
 
-    private static final int TOKENS = 40;
-    private static final int LONG_TOKENS = 4_000;
+    private static final int TOKENS_PER_ANSWER = 40;
+    private static final int LONG_ANSWER_TOKENS = 4_000;
     private static final long FAULT_AFTER_TOKENS = 5;
-    private static final long LATE_MILLIS = 30;
+    private static final long LINK_DELAY_MILLIS = 30;
     private static final List<String> SIDES = List.of("studio-0", "studio-1");
 
     private CallPathWorld world;
-    private List<CompletableFuture<CallerAnswer>> sent;
+    private List<CompletableFuture<CallerAnswer>> pendingAnswers;
 
     /** Takes the path, healed. */
     @Given("answers: a path of two engines")
-    public void path() throws Exception {
-        world = SharedPath.take(2, 1);
+    public void takeSharedPath() throws Exception {
+        world = SharedCallPaths.take(2, 1);
     }
 
     /** Sends the requests and lets the faults hit in the middle of their streams. */
     @When("answers: {int} completions are streamed through two entries with {string} and {string}")
-    public void stream(int count, String fault, String other) throws Exception {
-        before(fault);
-        before(other);
-        long tokensBefore = tokens();
-        sent = IntStream.range(0, count)
-                .mapToObj(number -> world.complete(world.entry(number % 2), prompt(number), TOKENS))
+    public void streamCompletions(int count, String fault, String otherFault) throws Exception {
+        injectBeforeSending(fault);
+        injectBeforeSending(otherFault);
+        long tokensBefore = generatedTokens();
+        pendingAnswers = IntStream.range(0, count)
+                .mapToObj(number ->
+                        world.sendCompletion(world.entryAddress(number % 2), prompt(number), TOKENS_PER_ANSWER))
                 .toList();
-        Await.until(() -> tokens() >= tokensBefore + (long) count * FAULT_AFTER_TOKENS);
-        during(fault);
-        during(other);
+        Await.until(() -> generatedTokens() >= tokensBefore + (long) count * FAULT_AFTER_TOKENS);
+        injectDuringStreams(fault);
+        injectDuringStreams(otherFault);
     }
 
     /** Compares every text. */
     @Then("answers: each caller has the whole answer to its own request")
-    public void whole() throws Exception {
-        for (int number = 0; number < sent.size(); number++) {
-            CallerAnswer answer = Await.value(sent.get(number));
+    public void verifyAnswersWhole() throws Exception {
+        for (int number = 0; number < pendingAnswers.size(); number++) {
+            CallerAnswer answer = Await.value(pendingAnswers.get(number));
             assertTrue(answer.isWhole(), answer.toString());
-            assertEquals(CallPathWorld.expected(prompt(number), TOKENS), answer.text());
+            assertEquals(CallPathWorld.expectedText(prompt(number), TOKENS_PER_ANSWER), answer.text());
         }
     }
 
     /** Reads the first event of a long stream and closes the connection. */
     @When("answers: a caller reads the start of a long answer and goes")
-    public void go() throws Exception {
-        HostPort entry = world.entry(0);
-        String body = "{\"model\":\"throwing\",\"prompt\":\"long\",\"max_tokens\":" + LONG_TOKENS + ",\"stream\":true}";
+    public void disconnectMidStream() throws Exception {
+        HostPort entry = world.entryAddress(0);
+        String body = "{\"model\":\"throwing\",\"prompt\":\"long\",\"max_tokens\":" + LONG_ANSWER_TOKENS
+                + ",\"stream\":true}";
         String head =
                 "POST /v1/completions HTTP/1.1\r\nHost: entry\r\nContent-Type: application/json\r\nContent-Length: "
                         + body.length() + "\r\n\r\n";
-        long tokensBefore = tokens();
+        long tokensBefore = generatedTokens();
         try (Socket socket = new Socket(entry.host(), entry.port())) {
             socket.getOutputStream().write((head + body).getBytes(StandardCharsets.US_ASCII));
             assertTrue(socket.getInputStream().read() > 0);
-            Await.until(() -> tokens() > tokensBefore + FAULT_AFTER_TOKENS);
+            Await.until(() -> generatedTokens() > tokensBefore + FAULT_AFTER_TOKENS);
         }
     }
 
     /** Waits until no engine runs anything, long before the answer could have been whole. */
     @Then("answers: no engine goes on with it")
-    public void cancelled() throws Exception {
-        long tokensAtLeaving = tokens();
+    public void verifyNoEngineContinues() throws Exception {
+        long tokensAtDisconnect = generatedTokens();
         HttpClient client = HttpCalls.startClient(4, 1_000L);
         try {
             for (ModelEngineStandin engine : world.engines()) {
-                HttpModelEngine seen =
+                HttpModelEngine engineClient =
                         new HttpModelEngine(client, new HostPort("127.0.0.1", engine.port()), 1_000L, 1_000L);
-                Await.until(() -> Await.value(seen.load()).running() == 0);
+                Await.until(() -> Await.value(engineClient.load()).running() == 0);
             }
         } finally {
             client.stop();
         }
-        assertTrue(tokens() < tokensAtLeaving + LONG_TOKENS / 2, "the engine went on to " + tokens());
+        assertTrue(
+                generatedTokens() < tokensAtDisconnect + LONG_ANSWER_TOKENS / 2,
+                "the engine went on to " + generatedTokens());
     }
 
-    private void before(String fault) {
+    private void injectBeforeSending(String fault) {
         switch (fault) {
-            case "late answers" -> links(link -> link.delayMillis(LATE_MILLIS));
-            case "engine repeats tokens" -> engines(Faults.Kind.DUPLICATE_STREAM);
-            case "engine streams cut short" -> engines(Faults.Kind.TRUNCATE_STREAM);
-            case "engine streams go silent" -> engines(Faults.Kind.SILENT_STREAM);
+            case "late answers" -> changeLinks(link -> link.delayMillis(LINK_DELAY_MILLIS));
+            case "engine repeats tokens" -> injectEngineFault(Faults.Kind.DUPLICATE_STREAM);
+            case "engine streams cut short" -> injectEngineFault(Faults.Kind.TRUNCATE_STREAM);
+            case "engine streams go silent" -> injectEngineFault(Faults.Kind.SILENT_STREAM);
             default -> {}
         }
     }
 
-    private void during(String fault) {
+    private void injectDuringStreams(String fault) {
         switch (fault) {
             case "side connections go silent" -> SIDES.forEach(
                     side -> world.sideLink(side).silenceOpen());
@@ -119,21 +123,21 @@
         }
     }
 
-    private void engines(Faults.Kind fault) {
+    private void injectEngineFault(Faults.Kind fault) {
         world.engines().forEach(engine -> {
             engine.faults().set(Faults.Settings.NONE.withStreamTokens(FAULT_AFTER_TOKENS));
             engine.faults().next(fault, SIDES.size());
         });
     }
 
-    private void links(Consumer<LinkStandin> change) {
+    private void changeLinks(Consumer<LinkStandin> change) {
         SIDES.forEach(side -> {
             change.accept(world.sideLink(side));
             change.accept(world.targetLink(side));
         });
     }
 
-    private long tokens() {
+    private long generatedTokens() {
         return world.engines().stream()
                 .mapToLong(engine -> engine.stats().batch().tokens())
                 .sum();
--- a/src/test/java/io/waxwingquay/scenario/BundleSteps.java
+++ b/src/test/java/io/waxwingquay/scenario/BundleSteps.java
@@ -21,29 +21,29 @@
 /** Steps on bundles in force. */
 public final class BundleSteps {
 
-    private static final int RUNNERS = 4;
-    private static final long LARGER_BYTES = 18_000L;
+    private static final int MIN_ROGUE_FETCHES = 4;
+    private static final long LARGER_MODEL_BYTES = 18_000L;
 
     private final DeploymentWorld world = DeploymentWorld.current();
-    private final VersionRecord record = new VersionRecord(world);
+    private final VersionRecorder versionRecorder = new VersionRecorder(world);
     private List<Outcome> outcomes = List.of();
-    private RoguePeer rogue;
+    private RoguePeer roguePeer;
 
     /** Stops the recording before the deployment goes. */
     @After(order = 20_000)
     public void close() {
-        record.close();
+        versionRecorder.close();
     }
 
     /** Records each process's version from now on. */
     @Given("each process's version is recorded")
-    public void recorded() {
-        record.start();
+    public void startRecording() {
+        versionRecorder.start();
     }
 
     /** Two operators submit different bundles of one version at once. */
     @When("two operators submit different bundles of version {int} at once")
-    public void race(int version) {
+    public void submitTwoBundlesAtOnce(int version) {
         CompletableFuture<Outcome> first =
                 CompletableFuture.supplyAsync(() -> submit(version, UnaryOperator.identity()));
         CompletableFuture<Outcome> second = CompletableFuture.supplyAsync(
@@ -53,77 +53,78 @@
 
     /** The platform loses its answers to writes; the operator submits, and submits again once answers come. */
     @When("an operator submits version {int} and its answers are lost, then again")
-    public void lostAnswer(int version) {
+    public void submitAgainAfterLostAnswers(int version) {
         Faults faults = world.deployment().platform().faults();
         faults.next(Faults.Kind.LOSE_ANSWER, 2);
-        Outcome lost = submit(version, UnaryOperator.identity());
+        Outcome unansweredOutcome = submit(version, UnaryOperator.identity());
         faults.next(Faults.Kind.LOSE_ANSWER, 0);
-        outcomes = List.of(lost, submit(version, UnaryOperator.identity()));
+        outcomes = List.of(unansweredOutcome, submit(version, UnaryOperator.identity()));
     }
 
     /** An operator submits a bundle. */
     @When("an operator submits version {int}")
-    public void submitted(int version) {
+    public void submitOnce(int version) {
         outcomes = List.of(submit(version, UnaryOperator.identity()));
     }
 
     /** An operator rolls out larger versions of every model, which do not fit beside the old ones. */
     @When("an operator rolls out larger versions of every model as version {int}")
-    public void rollOut(int version) {
+    public void rollOutLargerModels(int version) {
         outcomes = List.of(submit(version, text -> text.replace("version = \"1\"", "version = \"2\"")
-                .replace("size_bytes = 14_000", "size_bytes = " + LARGER_BYTES)));
+                .replace("size_bytes = 14_000", "size_bytes = " + LARGER_MODEL_BYTES)));
     }
 
     /** A peer tells of a far higher version and hands out what no operator signed. */
     @When("a peer offers {word} bundles as version {int}")
-    public void rogueOffers(String kind, int version) {
-        rogue = world.own(RoguePeer.start(world, kind, version));
-        rogue.tellAll();
+    public void startRoguePeer(String kind, int version) {
+        roguePeer = world.closeAtEnd(RoguePeer.start(world, kind, version));
+        roguePeer.sendUpdateToAll();
     }
 
     /** Waits until the offers were fetched. */
     @When("its offers have been fetched")
-    public void fetched() throws Exception {
+    public void awaitRogueFetches() throws Exception {
         Await.until(() -> {
-            rogue.tellAll();
-            return rogue.fetches() >= RUNNERS;
+            roguePeer.sendUpdateToAll();
+            return roguePeer.fetchCount() >= MIN_ROGUE_FETCHES;
         });
     }
 
     /** Restarts a side that reaches the platform no more. */
     @When("the side {int} is restarted and knows {word}")
-    public void restart(int replica, String peers) {
+    public void restartSide(int replica, String knownProcesses) {
         LocalDeployment deployment = world.deployment();
-        HostPort known = world.studio((replica + 1) % 3).address();
-        world.studio(replica).close();
-        deployment.startSide(world.studioService(), replica, "nobody".equals(peers) ? List.of() : List.of(known));
+        HostPort knownPeer = world.modelSide((replica + 1) % 3).address();
+        world.modelSide(replica).close();
+        deployment.startSide(
+                world.modelService(), replica, "nobody".equals(knownProcesses) ? List.of() : List.of(knownPeer));
     }
 
     /** A process that reaches nobody has no bundle. */
     @Then("the side {int} is not ready and has no bundle")
-    public void notReady(int replica) {
-        SideProcess side = world.studio(replica);
+    public void verifyNotReady(int replica) {
+        SideProcess side = world.modelSide(replica);
         assertFalse(side.isReady());
         assertEquals(0L, side.bundleVersion());
     }
 
     /** A process that reaches a peer takes the bundle from it. */
     @Then("the side {int} becomes ready with version {int}")
-    public void ready(int replica, int version) throws Exception {
-        SideProcess side = world.studio(replica);
+    public void awaitReady(int replica, int version) throws Exception {
+        SideProcess side = world.modelSide(replica);
         Await.until(side::isReady);
         assertEquals(version, side.bundleVersion());
     }
 
     /** Lets the platform answer again. */
     @When("the platform answers again")
-    public void platformBack() {
+    public void restorePlatform() {
         world.deployment().platform().faults().next(Faults.Kind.OUT, 0);
     }
 
     /** Checks the verdicts. */
     @Then("exactly one of them is accepted")
-    public void oneAccepted() {
+    public void verifyOneAccepted() {
         assertEquals(
                 List.of(Verdict.ACCEPTED, Verdict.REFUSED),
                 outcomes.stream().map(Outcome::verdict).sorted().toList());
@@ -131,20 +132,20 @@
 
     /** Checks the last verdict. */
     @Then("the operator is told that it is accepted")
-    public void accepted() {
+    public void verifyAccepted() {
         assertEquals(Verdict.ACCEPTED, outcomes.get(outcomes.size() - 1).verdict());
     }
 
     /** Waits for the version everywhere, and looks through the record. */
     @Then("version {int} is in force in every process and no version ever went down")
-    public void inForce(int version) throws Exception {
-        Await.until(() -> world.versions().values().stream().allMatch(found -> found == version));
-        assertEquals(List.of(), record.reversions());
+    public void awaitVersionEverywhere(int version) throws Exception {
+        Await.until(() -> world.bundleVersions().values().stream().allMatch(found -> found == version));
+        assertEquals(List.of(), versionRecorder.processesWithDecrease());
     }
 
     /** Waits until the engines hold the larger versions only. */
     @Then("every model answers in its larger version")
-    public void larger() throws Exception {
+    public void awaitLargerModels() throws Exception {
         List<String> items =
                 world.models().stream().map(model -> "model:" + model + "@2").toList();
         Await.until(() -> {
@@ -154,10 +155,10 @@
             return resident.containsAll(items);
         });
         world.awaitEveryModel();
-        assertEquals(0L, world.overcommits());
+        assertEquals(0L, world.overcommitCount());
     }
 
     private Outcome submit(long version, UnaryOperator<String> change) {
-        return world.deployment().submit(DeploymentWorld.document(version, change));
+        return world.deployment().submit(DeploymentWorld.bundleDocument(version, change));
     }
 }
--- a/src/test/java/io/waxwingquay/scenario/CallPathWorld.java
+++ b/src/test/java/io/waxwingquay/scenario/CallPathWorld.java
@@ -65,28 +65,32 @@
     private static final int ENTRIES = 2;
     private static final long SEED = 11L;
     private static final long TABLE_TIMEOUT_MILLIS = 1_000L;
-    private static final long LEASE_MILLIS = 500L;
+    private static final long PERMIT_LEASE_MILLIS = 500L;
     private static final List<Integer> ANY_PORTS = List.of(0, 0, 0);
 
     /** These scenarios need a choice of targets for each model; which target holds what is not their subject. */
-    private static final SideProcess.Decisions EVERYTHING_EVERYWHERE =
-            new SideProcess.Decisions(CallPathWorld::planEverything, AdmissionRule.WITH_RUN_TIME);
+    private static final SideProcess.Decisions EVERY_MODEL_ON_EVERY_SIDE =
+            new SideProcess.Decisions(CallPathWorld::planEveryModelEverywhere, AdmissionRule.WITH_RUN_TIME);
 
     private final String document;
     private final Bundle bundle;
     private final PlatformStandin platform = PlatformStandin.builder().start();
     private final KeyPair operatorKey = KeyCodec.generate();
-    private final SettingsText texts = new SettingsText(
-            new HostPort(LOOPBACK, platform.port()), KeyCodec.text(operatorKey.getPublic()), 1, LEASE_MILLIS, 0L);
-    private final HttpClient http = HttpCalls.startClient(16, TABLE_TIMEOUT_MILLIS);
+    private final SettingsText settingsTexts = new SettingsText(
+            new HostPort(LOOPBACK, platform.port()),
+            KeyCodec.text(operatorKey.getPublic()),
+            1,
+            PERMIT_LEASE_MILLIS,
+            0L);
+    private final HttpClient httpClient = HttpCalls.startClient(16, TABLE_TIMEOUT_MILLIS);
     private final Caller caller = new Caller();
     private final Map<String, ModelEngineStandin> engines = new LinkedHashMap<>();
-    private final Map<String, PlainServiceStandin> plains = new LinkedHashMap<>();
+    private final Map<String, PlainServiceStandin> plainServices = new LinkedHashMap<>();
     private final Map<String, LinkStandin> targetLinks = new LinkedHashMap<>();
     private final Map<String, SideProcess> sides = new LinkedHashMap<>();
     private final Map<HostPort, LinkStandin> sideLinks = new ConcurrentHashMap<>();
-    private final List<EntryProcess> processes = new ArrayList<>();
-    private final List<EntryNode> entries = new ArrayList<>();
+    private final List<EntryProcess> entryProcesses = new ArrayList<>();
+    private final List<EntryNode> entryNodes = new ArrayList<>();
     private final List<ThriftConnections> connections = new ArrayList<>();
     private final List<MeterRegistry> meters = new ArrayList<>();
 
@@ -100,7 +104,7 @@
     static CallPathWorld start(int engineCount, int plainCount) throws Exception {
         CallPathWorld world = new CallPathWorld(engineCount, plainCount);
         try {
-            world.open();
+            world.startAll();
             return world;
         } catch (Exception | AssertionError failure) {
             world.close();
@@ -120,8 +124,8 @@
         return List.copyOf(engines.values());
     }
 
-    PlainServiceStandin plain(int replica) {
-        return plains.get("booking-" + replica);
+    PlainServiceStandin plainService(int replica) {
+        return plainServices.get("booking-" + replica);
     }
 
     SideProcess side(String name) {
@@ -138,26 +142,26 @@
     }
 
     /** The address for callers of an entry whose way to the sides leads over links. */
-    HostPort entry(int number) {
-        return entries.get(number).address();
+    HostPort entryAddress(int number) {
+        return entryNodes.get(number).address();
     }
 
-    HostPort process(int number) {
-        return processes.get(number).callerAddress();
+    HostPort entryProcessAddress(int number) {
+        return entryProcesses.get(number).callerAddress();
     }
 
     /** Ends every fault of stand-ins and links, and waits until all sides take work. */
     void heal() throws Exception {
         platform.faults().clear();
         engines.values().forEach(engine -> engine.faults().clear());
-        plains.values().forEach(plain -> plain.faults().clear());
+        plainServices.values().forEach(plain -> plain.faults().clear());
         Stream.concat(targetLinks.values().stream(), sideLinks.values().stream())
                 .forEach(link -> {
                     link.heal();
                     link.delayMillis(0);
                 });
-        for (EntryProcess process : processes) {
-            Await.until(() -> knowsAll(process));
+        for (EntryProcess process : entryProcesses) {
+            Await.until(() -> seesEverySideServing(process));
         }
     }
 
@@ -168,13 +172,13 @@
 
     void reopenTarget(String name) {
         int port = targetLinks.get(name).port();
-        int target = plains.get(name).port();
+        int target = plainServices.get(name).port();
         targetLinks.put(name, LinkStandin.between(new HostPort(LOOPBACK, port), new HostPort(LOOPBACK, target)));
     }
 
     /** Ends an entry at once, as a process that dies: what it had in flight is dropped. */
     void closeEntry(int number) {
-        entries.get(number).close();
+        entryNodes.get(number).close();
     }
 
     void stopSide(String name) {
@@ -192,40 +196,40 @@
     /** Puts a plain service without memory of any call behind the address of the old one. */
     void replacePlain(int replica) {
         String name = "booking-" + replica;
-        HostPort address = new HostPort(LOOPBACK, plains.get(name).port());
-        plains.get(name).close();
-        plains.put(name, PlainServiceStandin.builder().address(address).start());
+        HostPort address = new HostPort(LOOPBACK, plainServices.get(name).port());
+        plainServices.get(name).close();
+        plainServices.put(name, PlainServiceStandin.builder().address(address).start());
     }
 
-    CompletableFuture<CallerAnswer> complete(HostPort entry, String prompt, int tokens) {
+    CompletableFuture<CallerAnswer> sendCompletion(HostPort entry, String prompt, int tokens) {
         return caller.complete(
                 entry, new Caller.Completion("throwing", Optional.empty(), prompt, tokens, 0, DEADLINE_MILLIS));
     }
 
-    CompletableFuture<CallerAnswer> deposit(HostPort entry, String key) {
-        return deposit(entry, key, DEADLINE_MILLIS);
+    CompletableFuture<CallerAnswer> sendDeposit(HostPort entry, String key) {
+        return sendDeposit(entry, key, DEADLINE_MILLIS);
     }
 
-    CompletableFuture<CallerAnswer> deposit(HostPort entry, String key, long deadlineMillis) {
+    CompletableFuture<CallerAnswer> sendDeposit(HostPort entry, String key, long deadlineMillis) {
         return caller.call(
                 entry,
                 new Caller.ServiceCall(
                         "booking", "pay-deposit", Optional.of(key), "{\"key\":\"" + key + "\"}", deadlineMillis));
     }
 
-    static String expected(String prompt, int tokens) {
+    static String expectedText(String prompt, int tokens) {
         return StandinText.answer("model:throwing@1", Optional.empty(), prompt, tokens);
     }
 
     /** Runs of a key over all plain services that are there now. */
-    int runs(String key) {
-        return plains.values().stream()
+    int runCount(String key) {
+        return plainServices.values().stream()
                 .mapToInt(plain -> plain.stats().runsByKey().getOrDefault(key, 0))
                 .sum();
     }
 
     /** How often an entry took an attempt up again after a lost connection. */
-    double resumes(int entry) {
+    double resumeCount(int entry) {
         return meters.get(entry).find("waxwingquay.resumes").counters().stream()
                 .mapToDouble(counter -> counter.count())
                 .sum();
@@ -234,21 +238,21 @@
     /** {@inheritDoc} */
     @Override
     public void close() {
-        entries.forEach(EntryNode::close);
+        entryNodes.forEach(EntryNode::close);
         connections.forEach(ThriftConnections::close);
-        processes.forEach(EntryProcess::close);
+        entryProcesses.forEach(EntryProcess::close);
         sides.values().forEach(SideProcess::close);
         sideLinks.values().forEach(LinkStandin::close);
         targetLinks.values().forEach(LinkStandin::close);
         engines.values().forEach(ModelEngineStandin::close);
-        plains.values().forEach(PlainServiceStandin::close);
+        plainServices.values().forEach(PlainServiceStandin::close);
         platform.close();
         caller.close();
-        Await.closeUnchecked(http::stop);
+        Await.closeUnchecked(httpClient::stop);
     }
 
-    private void open() throws Exception {
-        submit();
+    private void startAll() throws Exception {
+        submitBundle();
         for (Bundle.Service service : bundle.services()) {
             for (int replica = 0; replica < service.replicas(); replica++) {
                 startTarget(service, replica);
@@ -256,18 +260,18 @@
             }
         }
         for (int number = 0; number < ENTRIES; number++) {
-            String text = texts.entry(number, "waxwingquay", ANY_PORTS);
-            processes.add(EntryProcess.start(EntrySettings.parse("entry", text.getBytes(StandardCharsets.UTF_8))));
+            String text = settingsTexts.entry(number, "waxwingquay", ANY_PORTS);
+            entryProcesses.add(EntryProcess.start(EntrySettings.parse("entry", text.getBytes(StandardCharsets.UTF_8))));
         }
-        for (EntryProcess process : processes) {
-            Await.until(() -> knowsAll(process));
+        for (EntryProcess process : entryProcesses) {
+            Await.until(() -> seesEverySideServing(process));
         }
         for (int number = 0; number < ENTRIES; number++) {
-            startEntry();
+            startLinkedEntry();
         }
     }
 
-    private boolean knowsAll(EntryProcess process) {
+    private boolean seesEverySideServing(EntryProcess process) {
         return process.bundleVersion() == 1
                 && process.membership().sides().size() == sides.size()
                 && process.membership().sides().stream()
@@ -276,11 +280,11 @@
                                         || side.residentItems().contains("model:throwing@1")));
     }
 
-    private void submit() {
+    private void submitBundle() {
         HostPort address = new HostPort(LOOPBACK, platform.port());
         BundleArchive archive = new BundleArchive(
-                new HttpTableService(http, address, TABLE_TIMEOUT_MILLIS),
-                new HttpObjectStore(http, address, TABLE_TIMEOUT_MILLIS));
+                new HttpTableService(httpClient, address, TABLE_TIMEOUT_MILLIS),
+                new HttpObjectStore(httpClient, address, TABLE_TIMEOUT_MILLIS));
         BundleSigner signer = BundleSigner.of(operatorKey.getPrivate(), operatorKey.getPublic());
         BundleAcceptance.Outcome outcome = new BundleAcceptance(
                         archive, TrustedKeys.ofRoots(List.of(KeyCodec.text(operatorKey.getPublic()))))
@@ -293,8 +297,8 @@
         String name = SettingsText.sideName(service.name(), replica);
         int port;
         if (service.kind() == Bundle.Kind.PLAIN) {
-            plains.put(name, PlainServiceStandin.builder().start());
-            port = plains.get(name).port();
+            plainServices.put(name, PlainServiceStandin.builder().start());
+            port = plainServices.get(name).port();
         } else {
             engines.put(
                     name,
@@ -311,36 +315,36 @@
     private void startSide(Bundle.Service service, int replica) {
         String name = SettingsText.sideName(service.name(), replica);
         HostPort target = new HostPort(LOOPBACK, targetLinks.get(name).port());
-        String text = texts.side(service, replica, target, ANY_PORTS);
+        String text = settingsTexts.side(service, replica, target, ANY_PORTS);
         SideSettings settings = SideSettings.parse(name, text.getBytes(StandardCharsets.UTF_8));
-        sides.put(name, SideProcess.start(settings, EVERYTHING_EVERYWHERE));
+        sides.put(name, SideProcess.start(settings, EVERY_MODEL_ON_EVERY_SIDE));
     }
 
-    private void startEntry() {
-        ThriftConnections direct = ThriftConnections.builder().build();
+    private void startLinkedEntry() {
+        ThriftConnections directConnections = ThriftConnections.builder().build();
         MeterRegistry registry = new SimpleMeterRegistry();
-        connections.add(direct);
+        connections.add(directConnections);
         meters.add(registry);
-        entries.add(EntryNode.builder()
+        entryNodes.add(EntryNode.builder()
                 .settings(new io.waxwingquay.entry.EntryLimits(
                         LOOPBACK, 0, "dc-1", "round-robin", 30_000, 600_000, 1 << 20, 64 << 10, 250, 1.0, 64))
                 .bundles(new FixedBundle())
-                .membership(processes.get(0).membership())
-                .connections(new OverLinks(direct))
-                .table(new HttpTableService(http, new HostPort(LOOPBACK, platform.port()), TABLE_TIMEOUT_MILLIS))
+                .membership(entryProcesses.get(0).membership())
+                .connections(new LinkedConnections(directConnections))
+                .table(new HttpTableService(httpClient, new HostPort(LOOPBACK, platform.port()), TABLE_TIMEOUT_MILLIS))
                 .meters(registry)
                 .random(new Random(SEED))
                 .build()
                 .start());
     }
 
-    private static Plan planEverything(PlacementInput view) {
-        List<String> items = view.bundle().models().stream()
-                .filter(model -> model.service().equals(view.service()))
+    private static Plan planEveryModelEverywhere(PlacementInput input) {
+        List<String> items = input.bundle().models().stream()
+                .filter(model -> model.service().equals(input.service()))
                 .map(Bundle.Model::item)
                 .toList();
-        Map<String, Plan.Share> shares = view.sides().stream()
-                .collect(Collectors.toMap(PlacementInput.LiveSide::id, holder -> new Plan.Share(items, Set.of())));
+        Map<String, Plan.Share> shares = input.sides().stream()
+                .collect(Collectors.toMap(PlacementInput.LiveSide::id, side -> new Plan.Share(items, Set.of())));
         return new Plan(shares, Map.of(), List.of());
     }
 
@@ -363,11 +367,11 @@
     }
 
     /** Connections that lead over this world's links. */
-    private final class OverLinks implements Connections {
+    private final class LinkedConnections implements Connections {
 
         private final Connections direct;
 
-        private OverLinks(Connections direct) {
+        private LinkedConnections(Connections direct) {
             this.direct = direct;
         }
 
--- a/src/test/java/io/waxwingquay/scenario/ClaimSteps.java
+++ b/src/test/java/io/waxwingquay/scenario/ClaimSteps.java
@@ -27,136 +27,139 @@
     private static final int LOST_ANSWERS = 4;
     private static final String IN_PROGRESS = "in_progress";
 
-    private final Map<String, Integer> earlierRuns = new TreeMap<>();
-    private final List<String> first = new ArrayList<>();
-    private final List<String> resent = new ArrayList<>();
-    private final String run = UUID.randomUUID().toString();
+    private final Map<String, Integer> runsBeforeReplacement = new TreeMap<>();
+    private final List<String> firstOutcomes = new ArrayList<>();
+    private final List<String> resendOutcomes = new ArrayList<>();
+    private final String keyPrefix = UUID.randomUUID().toString();
     private Optional<CallPathWorld> world = Optional.empty();
-    private boolean broken;
+    private boolean pathBroken;
 
     /** Ends a path that lost a process for good. */
     @After
-    public void discardBroken() {
-        if (broken) {
-            world.ifPresent(SharedPath::discard);
+    public void discardBrokenPath() {
+        if (pathBroken) {
+            world.ifPresent(SharedCallPaths::discard);
         }
     }
 
     /** Starts a path. */
     @Given("claims: a path of two plain services")
-    public void startPath() throws Exception {
-        world = Optional.of(SharedPath.take(1, 2));
+    public void takeSharedPath() throws Exception {
+        world = Optional.of(SharedCallPaths.take(1, 2));
     }
 
     /** Sends the first tries. */
     @When("claims: {int} deposits are sent through entry 0 with {string} and {string}")
-    public void send(int count, String fault, String other) throws Exception {
-        before(fault);
-        before(other);
+    public void sendDeposits(int count, String fault, String otherFault) throws Exception {
+        injectBeforeSending(fault);
+        injectBeforeSending(otherFault);
         List<CompletableFuture<CallerAnswer>> sent = IntStream.range(0, count)
-                .mapToObj(number -> path().deposit(path().entry(0), key(number)))
+                .mapToObj(number -> path().sendDeposit(path().entryAddress(0), key(number)))
                 .toList();
-        during(fault, count);
-        during(other, count);
+        injectWhileInFlight(fault, count);
+        injectWhileInFlight(otherFault, count);
         for (int number = 0; number < count; number++) {
-            first.add(RefusalSteps.told(Await.value(sent.get(number))));
-            judge(number, first.get(number));
+            firstOutcomes.add(RefusalSteps.outcomeOf(Await.value(sent.get(number))));
+            verifyRunCount(number, firstOutcomes.get(number));
         }
-        after(fault);
-        after(other);
+        applyAfterAnswers(fault);
+        applyAfterAnswers(otherFault);
     }
 
     /** Heals everything and sends the same calls again, as long as they are told to come back. */
     @When("claims: the faults end and the same deposits are sent through entry 1 until told for good")
-    public void resend() throws Exception {
+    public void resendUntilFinal() throws Exception {
         path().platform().faults().clear();
-        path().plain(0).faults().clear();
-        path().plain(1).faults().clear();
+        path().plainService(0).faults().clear();
+        path().plainService(1).faults().clear();
         SIDES.forEach(side -> path().targetLink(side).heal());
         SIDES.forEach(side -> path().sideLink(side).heal());
-        for (int number = 0; number < first.size(); number++) {
-            resent.add(resend(number));
-            judge(number, resent.get(number));
+        for (int number = 0; number < firstOutcomes.size(); number++) {
+            resendOutcomes.add(resendUntilFinal(number));
+            verifyRunCount(number, resendOutcomes.get(number));
         }
     }
 
     /** Counts once more at the end. */
     @Then("claims: no deposit ran twice and what was told is true")
-    public void atMostOnce() {
-        for (int number = 0; number < first.size(); number++) {
-            assertTrue(runs(number) <= 1, key(number) + " ran " + runs(number) + " times");
-            if (first.get(number).equals("answered")) {
-                assertEquals(1, runs(number));
+    public void verifyAtMostOnce() {
+        for (int number = 0; number < firstOutcomes.size(); number++) {
+            assertTrue(runCount(number) <= 1, key(number) + " ran " + runCount(number) + " times");
+            if (firstOutcomes.get(number).equals("answered")) {
+                assertEquals(1, runCount(number));
             }
         }
     }
 
     /** Keeps the judge from being met by refusing for ever. */
     @Then("claims: every resend was told {string}")
-    public void everyResend(String told) {
-        resent.forEach(answer -> assertEquals(told, answer, first + " then " + resent));
+    public void verifyResendOutcomes(String expectedOutcome) {
+        resendOutcomes.forEach(
+                outcome -> assertEquals(expectedOutcome, outcome, firstOutcomes + " then " + resendOutcomes));
     }
 
-    private String resend(int number) throws Exception {
-        List<CallerAnswer> last = new ArrayList<>();
+    private String resendUntilFinal(int number) throws Exception {
+        List<CallerAnswer> answers = new ArrayList<>();
         Await.until(() -> {
-            CallerAnswer answer = Await.value(path().deposit(path().entry(1), key(number)));
-            last.add(answer);
+            CallerAnswer answer = Await.value(path().sendDeposit(path().entryAddress(1), key(number)));
+            answers.add(answer);
             return !answer.error().map(CallerAnswer.Error::code).orElse("").equals(IN_PROGRESS);
         });
-        return RefusalSteps.told(last.get(last.size() - 1));
+        return RefusalSteps.outcomeOf(answers.get(answers.size() - 1));
     }
 
     /** Told at this moment, so a later run under a resend does not make it untrue. */
-    private void judge(int number, String told) {
-        int runs = runs(number);
-        assertTrue(runs <= 1, key(number) + " ran " + runs + " times");
-        if (told.equals("did_not_run")) {
-            assertEquals(0, runs, key(number) + " ran although its caller was told that it did not");
+    private void verifyRunCount(int number, String outcome) {
+        int runCount = runCount(number);
+        assertTrue(runCount <= 1, key(number) + " ran " + runCount + " times");
+        if (outcome.equals("did_not_run")) {
+            assertEquals(0, runCount, key(number) + " ran although its caller was told that it did not");
         }
-        if (told.equals("answered")) {
-            assertEquals(1, runs, key(number) + " was answered without a run");
+        if (outcome.equals("answered")) {
+            assertEquals(1, runCount, key(number) + " was answered without a run");
         }
     }
 
     /** Sides of a new path have no pooled connection, on which a call might get lost instead of being refused. */
-    private void freshPath() throws Exception {
-        SharedPath.discard(path());
-        startPath();
+    private void replacePath() throws Exception {
+        SharedCallPaths.discard(path());
+        takeSharedPath();
     }
 
-    private void before(String fault) throws Exception {
+    private void injectBeforeSending(String fault) throws Exception {
         switch (fault) {
             case "entry dies after its claim" -> SIDES.forEach(
                     side -> path().sideLink(side).silenceAll());
             case "store answer lost" -> path().platform().faults().next(Faults.Kind.LOSE_ANSWER, 1);
             case "store out" -> path().platform().faults().next(Faults.Kind.OUT, Faults.FOREVER);
             case "target not reachable" -> {
-                freshPath();
+                replacePath();
                 SIDES.forEach(path()::closeTarget);
             }
             case "target drops connections" -> SIDES.forEach(
                     side -> path().targetLink(side).cut());
             case "answer lost after the run", "target replaced after the run" -> IntStream.range(0, SIDES.size())
-                    .forEach(replica -> path().plain(replica).faults().next(Faults.Kind.LOSE_ANSWER, LOST_ANSWERS));
+                    .forEach(replica ->
+                            path().plainService(replica).faults().next(Faults.Kind.LOSE_ANSWER, LOST_ANSWERS));
             default -> {}
         }
     }
 
-    private void during(String fault, int count) throws Exception {
+    private void injectWhileInFlight(String fault, int count) throws Exception {
         if (fault.equals("entry dies after its claim")) {
             Await.until(() -> IntStream.range(0, count).allMatch(this::isClaimed));
             path().closeEntry(0);
-            broken = true;
+            pathBroken = true;
         }
     }
 
-    private void after(String fault) {
+    private void applyAfterAnswers(String fault) {
         if (fault.equals("target not reachable")) {
             SIDES.forEach(path()::reopenTarget);
         }
         if (fault.equals("target replaced after the run")) {
-            IntStream.range(0, first.size()).forEach(number -> earlierRuns.put(key(number), path().runs(key(number))));
+            IntStream.range(0, firstOutcomes.size())
+                    .forEach(number -> runsBeforeReplacement.put(key(number), path().runCount(key(number))));
             path().replacePlain(0);
             path().replacePlain(1);
         }
@@ -166,8 +169,8 @@
         return path().platform().row(ClaimStore.rowKey("booking", key(number))).isPresent();
     }
 
-    private int runs(int number) {
-        return path().runs(key(number)) + earlierRuns.getOrDefault(key(number), 0);
+    private int runCount(int number) {
+        return path().runCount(key(number)) + runsBeforeReplacement.getOrDefault(key(number), 0);
     }
 
     private CallPathWorld path() {
@@ -175,6 +178,6 @@
     }
 
     private String key(int number) {
-        return run + number;
+        return keyPrefix + number;
     }
 }
--- a/src/test/java/io/waxwingquay/scenario/DeploymentWorld.java
+++ b/src/test/java/io/waxwingquay/scenario/DeploymentWorld.java
@@ -30,20 +30,20 @@
  */
 final class DeploymentWorld implements AutoCloseable {
 
-    static final int TOKENS = 6;
+    static final int TOKENS_PER_ANSWER = 6;
     static final long DEADLINE_MILLIS = 20_000L;
-    private static final String BUNDLE = "/scenarios/bundle.toml";
+    private static final String BUNDLE_RESOURCE = "/scenarios/bundle.toml";
     private static final double TIME_SCALE = 0.05;
-    private static final long SERVING_LIMIT_MILLIS = 30_000L;
-    private static final String STUDIO = "studio";
+    private static final long START_TIMEOUT_MILLIS = 30_000L;
+    private static final String MODEL_SERVICE = "studio";
 
     private static Optional<DeploymentWorld> current = Optional.empty();
 
-    private final Deque<AutoCloseable> owned = new ArrayDeque<>();
+    private final Deque<AutoCloseable> resources = new ArrayDeque<>();
     private Optional<LocalDeployment> deployment = Optional.empty();
     private Optional<Caller> caller = Optional.empty();
-    private final AtomicInteger asked = new AtomicInteger();
-    private final AtomicInteger wrong = new AtomicInteger();
+    private final AtomicInteger questionCount = new AtomicInteger();
+    private final AtomicInteger wrongAnswers = new AtomicInteger();
 
     /** The scenario's world, which all step classes share; scenarios run one after another. */
     static synchronized DeploymentWorld current() {
@@ -53,20 +53,22 @@
         return current.get();
     }
 
-    static synchronized void end() {
+    static synchronized void closeCurrent() {
         current.ifPresent(DeploymentWorld::close);
         current = Optional.empty();
     }
 
     /** Starts a deployment and waits until it serves every model. */
-    void start(UnaryOperator<LocalDeploymentBuilder> choices) throws InterruptedException {
-        LocalDeployment started = own(choices.apply(
-                        LocalDeployment.of(document()).timeScale(TIME_SCALE).entries(2))
+    void start(UnaryOperator<LocalDeploymentBuilder> configure) throws InterruptedException {
+        LocalDeployment startedDeployment = closeAtEnd(configure
+                .apply(LocalDeployment.of(bundleDocument())
+                        .timeScale(TIME_SCALE)
+                        .entries(2))
                 .start());
-        deployment = Optional.of(started);
-        caller = Optional.of(own(new Caller()));
-        if (!started.awaitServing(SERVING_LIMIT_MILLIS)) {
-            throw new AssertionError("not served: " + started.unserved(entry(0)));
+        deployment = Optional.of(startedDeployment);
+        caller = Optional.of(closeAtEnd(new Caller()));
+        if (!startedDeployment.awaitServing(START_TIMEOUT_MILLIS)) {
+            throw new AssertionError("not served: " + startedDeployment.unserved(entry(0)));
         }
     }
 
@@ -79,21 +81,21 @@
     }
 
     /** A side of the model service. */
-    SideProcess studio(int replica) {
-        return deployment().sides().get(studioName(replica));
+    SideProcess modelSide(int replica) {
+        return deployment().sides().get(modelSideName(replica));
     }
 
     /** The engine behind a side of the model service. */
     ModelEngineStandin engine(int replica) {
-        return deployment().targets().engines().get(studioName(replica));
+        return deployment().targets().engines().get(modelSideName(replica));
     }
 
-    static String studioName(int replica) {
-        return STUDIO + "-" + replica;
+    static String modelSideName(int replica) {
+        return MODEL_SERVICE + "-" + replica;
     }
 
-    Bundle.Service studioService() {
-        return deployment().bundle().service(STUDIO).orElseThrow();
+    Bundle.Service modelService() {
+        return deployment().bundle().service(MODEL_SERVICE).orElseThrow();
     }
 
     List<String> models() {
@@ -101,35 +103,36 @@
     }
 
     /** Asks one entry for some tokens of a model; a whole answer with a wrong text counts as wrong. */
-    CompletableFuture<CallerAnswer> ask(int entry, String model, int tokens) {
-        String prompt = "question " + asked.incrementAndGet();
+    CompletableFuture<CallerAnswer> sendCompletion(int entry, String model, int tokens) {
+        String prompt = "question " + questionCount.incrementAndGet();
         Caller.Completion completion =
                 new Caller.Completion(model, Optional.empty(), prompt, tokens, 50, DEADLINE_MILLIS);
         return caller.orElseThrow()
                 .complete(entry(entry).callerAddress(), completion)
-                .thenApply(answer -> check(answer, model, prompt, tokens));
+                .thenApply(answer -> countIfWrong(answer, model, prompt, tokens));
     }
 
     /** Asks both entries in turn, one after another, and tells what each answered. */
-    List<CallerAnswer> askInTurn(String model, int times) throws Exception {
+    List<CallerAnswer> sendSequentially(String model, int times) throws Exception {
         List<CallerAnswer> answers = new ArrayList<>();
         for (int number = 0; number < times; number++) {
-            answers.add(Await.value(ask(number % deployment().entries().size(), model, TOKENS)));
+            answers.add(
+                    Await.value(sendCompletion(number % deployment().entries().size(), model, TOKENS_PER_ANSWER)));
         }
         return answers;
     }
 
     /** Answers that were whole but not what the engines wrote. */
-    int wrong() {
-        return wrong.get();
+    int wrongAnswerCount() {
+        return wrongAnswers.get();
     }
 
-    private CallerAnswer check(CallerAnswer answer, String model, String prompt, int tokens) {
+    private CallerAnswer countIfWrong(CallerAnswer answer, String model, String prompt, int tokens) {
         long version = entry(0).bundleVersion();
-        boolean same = version > 1
+        boolean textMatches = version > 1
                 || answer.text().equals(StandinText.answer(itemOf(model), Optional.empty(), prompt, tokens));
-        if (answer.isWhole() && !same) {
-            wrong.incrementAndGet();
+        if (answer.isWhole() && !textMatches) {
+            wrongAnswers.incrementAndGet();
         }
         return answer;
     }
@@ -143,27 +146,28 @@
     }
 
     /** Generations that each engine of the model service has started. */
-    long started(int replica) {
+    long startedGenerations(int replica) {
         return engine(replica).stats().batch().started();
     }
 
     /** Waits until a model answers whole through every entry that is left. */
-    void awaitAnswer(String model) throws Exception {
+    void awaitWholeAnswer(String model) throws Exception {
         for (int entry = 0; entry < deployment().entries().size(); entry++) {
-            int through = entry;
-            Await.until(() -> Await.value(ask(through, model, TOKENS)).isWhole());
+            int entryNumber = entry;
+            Await.until(() -> Await.value(sendCompletion(entryNumber, model, TOKENS_PER_ANSWER))
+                    .isWhole());
         }
     }
 
     /** Waits until every model answers whole through every entry that is left. */
     void awaitEveryModel() throws Exception {
         for (String model : models()) {
-            awaitAnswer(model);
+            awaitWholeAnswer(model);
         }
     }
 
     /** The version in force in each process. */
-    Map<String, Long> versions() {
+    Map<String, Long> bundleVersions() {
         Map<String, Long> versions = new LinkedHashMap<>();
         deployment().entries().forEach(entry -> versions.put("entry at " + entry.address(), entry.bundleVersion()));
         Map.copyOf(deployment().sides())
@@ -172,26 +176,26 @@
     }
 
     /** Moments at which any engine's memory was overcommitted. */
-    long overcommits() {
+    long overcommitCount() {
         return deployment().targets().engines().values().stream()
                 .mapToLong(engine -> engine.stats().memory().overcommits())
                 .sum();
     }
 
-    <T extends AutoCloseable> T own(T closeable) {
-        owned.push(closeable);
+    <T extends AutoCloseable> T closeAtEnd(T closeable) {
+        resources.push(closeable);
         return closeable;
     }
 
     /** The bundle of the scenarios with another version and perhaps other text. */
-    static byte[] document(long version, UnaryOperator<String> change) {
-        String text = new String(document(), StandardCharsets.UTF_8)
+    static byte[] bundleDocument(long version, UnaryOperator<String> change) {
+        String text = new String(bundleDocument(), StandardCharsets.UTF_8)
                 .replace("version = 1\n\n", "version = " + version + "\n\n");
         return change.apply(text).getBytes(StandardCharsets.UTF_8);
     }
 
-    static byte[] document() {
-        try (InputStream stream = DeploymentWorld.class.getResourceAsStream(BUNDLE)) {
+    static byte[] bundleDocument() {
+        try (InputStream stream = DeploymentWorld.class.getResourceAsStream(BUNDLE_RESOURCE)) {
             return stream.readAllBytes();
         } catch (IOException failure) {
             throw new IllegalStateException("the bundle of the scenarios cannot be read", failure);
@@ -201,8 +205,8 @@
     /** {@inheritDoc} */
     @Override
     public void close() {
-        while (!owned.isEmpty()) {
-            Await.closeUnchecked(owned.pop());
+        while (!resources.isEmpty()) {
+            Await.closeUnchecked(resources.pop());
         }
     }
 }
--- a/src/test/java/io/waxwingquay/scenario/EndToEndProcessesTest.java
+++ b/src/test/java/io/waxwingquay/scenario/EndToEndProcessesTest.java
@@ -17,7 +17,7 @@
 /** The whole path over processes that were started one by one. */
 class EndToEndProcessesTest {
 
-    private static final int TOKENS = 8;
+    private static final int TOKENS_PER_ANSWER = 8;
     private static final int COMPLETIONS = 12;
 
     @TempDir
@@ -29,14 +29,14 @@
         // request sent afterwards through the entry that is left is answered whole: its first choice may still
         // be the dead side, which refuses the connection, so the request did not run and moves on.
         try (ProcessWorld world = ProcessWorld.start(folder)) {
-            completeThrough(world, List.of(0, 1), "before");
-            paidOnce(world, "deposit-1", 0, 1);
-            paidOnceThoughItsHolderIsPaused(world, "deposit-paused");
+            verifyCompletions(world, List.of(0, 1), "before");
+            verifyDepositRunsOnce(world, "deposit-1", 0, 1);
+            verifyDepositRunsOnceWhileEntryPaused(world, "deposit-paused");
             world.process("studio-0").kill();
-            completeThrough(world, List.of(0, 1), "side gone");
+            verifyCompletions(world, List.of(0, 1), "side gone");
             world.process("entry-0").kill();
-            completeThrough(world, List.of(1), "entry gone");
-            paidOnce(world, "deposit-2", 1, 1);
+            verifyCompletions(world, List.of(1), "entry gone");
+            verifyDepositRunsOnce(world, "deposit-2", 1, 1);
         }
     }
 
@@ -45,52 +45,54 @@
      * in the table but is stopped (SIGSTOP) before it reads the answer; the resend withdraws that attempt at its side
      * and runs its own; the first entry goes on (SIGCONT) and may not run what it still believes to hold.
      */
-    private static void paidOnceThoughItsHolderIsPaused(ProcessWorld world, String key) throws Exception {
-        world.fault("platform", "{\"slowMillis\":800}");
-        CompletableFuture<CallerAnswer> first = world.caller().call(world.entry(0), world.deposit(key));
-        Await.until(() -> world.inFlight("entry-0") > 0);
+    private static void verifyDepositRunsOnceWhileEntryPaused(ProcessWorld world, String key) throws Exception {
+        world.setFaults("platform", "{\"slowMillis\":800}");
+        CompletableFuture<CallerAnswer> first = world.caller().call(world.entryAddress(0), world.deposit(key));
+        Await.until(() -> world.inFlightRequests("entry-0") > 0);
         world.process("entry-0").pause();
         Await.until(() -> world.isClaimed(key));
-        world.fault("platform", "{\"slowMillis\":0}");
+        world.setFaults("platform", "{\"slowMillis\":0}");
         CallerAnswer second =
-                world.caller().call(world.entry(1), world.deposit(key)).join();
+                world.caller().call(world.entryAddress(1), world.deposit(key)).join();
         world.process("entry-0").resume();
         assertTrue(second.isWhole(), second.toString());
         assertEquals(second.text(), first.join().text());
-        assertEquals(1, world.runs(key));
+        assertEquals(1, world.runCount(key));
     }
 
-    private static void completeThrough(ProcessWorld world, List<Integer> entries, String prefix) throws Exception {
+    private static void verifyCompletions(ProcessWorld world, List<Integer> entries, String prefix) throws Exception {
         List<CompletableFuture<CallerAnswer>> streams = IntStream.range(0, COMPLETIONS)
                 .mapToObj(number -> world.caller()
                         .complete(
-                                world.entry(entries.get(number % entries.size())),
-                                world.completion("throwing", prefix + number, TOKENS)))
+                                world.entryAddress(entries.get(number % entries.size())),
+                                world.completion("throwing", prefix + number, TOKENS_PER_ANSWER)))
                 .toList();
         for (int number = 0; number < COMPLETIONS; number++) {
             CallerAnswer answer = streams.get(number).join();
             assertTrue(answer.isWhole(), answer.toString());
-            assertEquals(expected("throwing", prefix + number), answer.text());
+            assertEquals(expectedText("throwing", prefix + number), answer.text());
         }
         for (int entry : entries) {
-            String text = world.wholeCompletion(world.entry(entry), "glazing", prefix, TOKENS);
-            assertEquals(expected("glazing", prefix), text);
+            String text = world.unstreamedCompletion(world.entryAddress(entry), "glazing", prefix, TOKENS_PER_ANSWER);
+            assertEquals(expectedText("glazing", prefix), text);
         }
     }
 
-    private static void paidOnce(ProcessWorld world, String key, int firstEntry, int secondEntry) throws Exception {
-        CallerAnswer first =
-                world.caller().call(world.entry(firstEntry), world.deposit(key)).join();
+    private static void verifyDepositRunsOnce(ProcessWorld world, String key, int firstEntry, int secondEntry)
+            throws Exception {
+        CallerAnswer first = world.caller()
+                .call(world.entryAddress(firstEntry), world.deposit(key))
+                .join();
         CallerAnswer second = world.caller()
-                .call(world.entry(secondEntry), world.deposit(key))
+                .call(world.entryAddress(secondEntry), world.deposit(key))
                 .join();
         assertTrue(first.isWhole(), first.toString());
         assertTrue(second.isWhole(), second.toString());
         assertEquals(first.text(), second.text());
-        assertEquals(1, world.runs(key));
+        assertEquals(1, world.runCount(key));
     }
 
-    private static String expected(String model, String prompt) {
-        return StandinText.answer("model:" + model + "@1", Optional.empty(), prompt, TOKENS);
+    private static String expectedText(String model, String prompt) {
+        return StandinText.answer("model:" + model + "@1", Optional.empty(), prompt, TOKENS_PER_ANSWER);
     }
 }
--- a/src/test/java/io/waxwingquay/scenario/EngineWorld.java
+++ b/src/test/java/io/waxwingquay/scenario/EngineWorld.java
@@ -41,24 +41,24 @@
 final class EngineWorld implements AutoCloseable {
 
     static final long CAPACITY_BYTES = 100L;
-    private static final long SIZE_BYTES = 60L;
+    private static final long MODEL_BYTES = 60L;
     private static final long LOAD_MICROS = 300_000L;
-    private static final long STEP_MILLIS = 500L;
-    private static final long WAIT_MILLIS = 5_000L;
+    private static final long TICK_MILLIS = 500L;
+    private static final long TIMEOUT_MILLIS = 5_000L;
     private static final long MICROS_PER_MILLI = 1_000L;
-    private static final SideLimits LIMITS = SideLimits.defaults();
+    private static final SideLimits SIDE_LIMITS = SideLimits.defaults();
 
-    private final Time time = new Time();
-    private final HttpClient client = HttpCalls.startClient(8, WAIT_MILLIS);
-    private final MemberTable members = new MemberTable(time, MemberTable.Timing.DEFAULT);
-    private final List<CompletableFuture<?>> orders = new CopyOnWriteArrayList<>();
+    private final VirtualTime time = new VirtualTime();
+    private final HttpClient client = HttpCalls.startClient(8, TIMEOUT_MILLIS);
+    private final MemberTable memberTable = new MemberTable(time, MemberTable.Timing.DEFAULT);
+    private final List<CompletableFuture<?>> pendingOrders = new CopyOnWriteArrayList<>();
     private final List<SideNode> sides = new ArrayList<>();
-    private final List<SideNode> ticking = new ArrayList<>();
+    private final List<SideNode> activeSides = new ArrayList<>();
     private final boolean fenced;
     private final ModelEngineStandin engine;
-    private long nextOrderWaitMillis;
+    private long nextOrderDelayMillis;
     private long epoch;
-    private String[] newestWanted = {};
+    private String[] newestWantedItems = {};
 
     EngineWorld(boolean fenced) {
         this.fenced = fenced;
@@ -74,86 +74,86 @@
     }
 
     /** The newest side's ledger. */
-    MemoryLedger.Snapshot memory() {
+    MemoryLedger.Snapshot newestSideMemory() {
         return sides.get(sides.size() - 1).memory().orElseThrow();
     }
 
     /** Starts a side with a higher boot epoch, which wants one model. */
     void startSide(String model) throws Exception {
         epoch++;
-        HttpModelEngine real =
-                new HttpModelEngine(client, new HostPort("127.0.0.1", engine.port()), WAIT_MILLIS, WAIT_MILLIS);
+        HttpModelEngine engineClient =
+                new HttpModelEngine(client, new HostPort("127.0.0.1", engine.port()), TIMEOUT_MILLIS, TIMEOUT_MILLIS);
         MemoryLedger ledger = fenced
-                ? MemoryLedger.forFencedEngine(CAPACITY_BYTES, time, LIMITS.quarantineMillis())
-                : MemoryLedger.forUnfencedEngine(CAPACITY_BYTES, time, LIMITS.quarantineMillis());
-        SideNode node = builder(model).forModelEngine(new Watched(real), ledger);
+                ? MemoryLedger.forFencedEngine(CAPACITY_BYTES, time, SIDE_LIMITS.quarantineMillis())
+                : MemoryLedger.forUnfencedEngine(CAPACITY_BYTES, time, SIDE_LIMITS.quarantineMillis());
+        SideNode node = sideBuilder(model).forModelEngine(new TrackingEngine(engineClient), ledger);
         sides.add(node);
-        ticking.add(node);
+        activeSides.add(node);
         tick();
     }
 
     /** Changes what the newest side wants. */
-    void want(String model) throws Exception {
-        newestWanted[0] = item(model);
+    void changeWantedModel(String model) throws Exception {
+        newestWantedItems[0] = itemOf(model);
         tick();
     }
 
-    static String item(String model) {
+    static String itemOf(String model) {
         return "model:" + model + "@1";
     }
 
     /** Kills the newest side; nothing of it runs on. */
-    void killSide() {
-        pauseSide().close();
+    void killNewestSide() {
+        pauseNewestSide().close();
     }
 
     /** Pauses the newest side. */
-    SideNode pauseSide() {
-        return ticking.remove(ticking.size() - 1);
+    SideNode pauseNewestSide() {
+        return activeSides.remove(activeSides.size() - 1);
     }
 
     /** Lets the oldest side go on. */
-    void resumeOldest() throws Exception {
-        ticking.add(sides.get(0));
+    void resumeOldestSide() throws Exception {
+        activeSides.add(sides.get(0));
         tick();
     }
 
     /** The next order of any side reaches the engine only after so long, while older orders land meanwhile. */
-    void holdNextOrder(long millis) {
-        nextOrderWaitMillis = millis;
+    void delayNextOrder(long millis) {
+        nextOrderDelayMillis = millis;
     }
 
-    void pass(long millis) throws Exception {
-        for (long done = 0; done < millis; done += STEP_MILLIS) {
-            time.advance(STEP_MILLIS);
+    void advance(long millis) throws Exception {
+        for (long passedMillis = 0; passedMillis < millis; passedMillis += TICK_MILLIS) {
+            time.advance(TICK_MILLIS);
             tick();
         }
     }
 
     private void tick() throws Exception {
-        for (SideNode node : ticking) {
+        for (SideNode node : activeSides) {
             Await.value(node.tick());
-            for (CompletableFuture<?> order : orders) {
+            for (CompletableFuture<?> order : pendingOrders) {
                 Await.until(order::isDone);
             }
-            orders.clear();
+            pendingOrders.clear();
         }
     }
 
-    private SideNodeBuilder builder(String model) {
-        String[] wanted = {item(model)};
-        newestWanted = wanted;
+    private SideNodeBuilder sideBuilder(String model) {
+        String[] wantedItems = {itemOf(model)};
+        newestWantedItems = wantedItems;
         return new SideNodeBuilder(
                         new SideIdentity("studio-0", new HostPort("127.0.0.1", 1), "dc-1", "studio", 0, epoch))
-                .limits(LIMITS)
+                .limits(SIDE_LIMITS)
                 .clock(time)
                 .random(RandomGenerator.of("L64X128MixRandom"))
-                .bundles(new OneBundle())
-                .membership(members)
-                .suspects(new SuspectTable(time, WAIT_MILLIS, 1))
+                .bundles(new FixedBundle())
+                .membership(memberTable)
+                .suspects(new SuspectTable(time, TIMEOUT_MILLIS, 1))
                 .connections(new NoConnections())
                 .permits(limit -> CompletableFuture.completedFuture(Optional.of((Permits.Permit) () -> {})))
-                .wantedItems(bundle -> new Wanted(List.of(wanted), Set.of()))
+                .wantedItems(bundle -> new Wanted(List.of(wantedItems), Set.of()))
                 .meters(new SimpleMeterRegistry());
     }
 
@@ -166,12 +166,12 @@
     }
 
     /** The time of the sides and of the engine. */
-    private static final class Time implements Clock, StandinTimer {
+    private static final class VirtualTime implements Clock, StandinTimer {
 
-        private final PriorityQueue<Step> steps =
-                new PriorityQueue<>(Comparator.comparingLong(Step::dueMicros).thenComparingLong(Step::number));
+        private final PriorityQueue<ScheduledTask> tasks = new PriorityQueue<>(
+                Comparator.comparingLong(ScheduledTask::dueMicros).thenComparingLong(ScheduledTask::sequence));
         private long nowMicros = 1_000_000_000L;
-        private long count;
+        private long scheduledCount;
 
         @Override
         public synchronized long nowMicros() {
@@ -179,8 +179,8 @@
         }
 
         @Override
-        public synchronized void after(long delayMicros, Runnable step) {
-            steps.add(new Step(nowMicros + delayMicros, count++, step));
+        public synchronized void after(long delayMicros, Runnable task) {
+            tasks.add(new ScheduledTask(nowMicros + delayMicros, scheduledCount++, task));
         }
 
         @Override
@@ -195,69 +195,69 @@
 
         void advance(long millis) {
             long endMicros = nowMicros() + millis * MICROS_PER_MILLI;
-            Optional<Step> next = takeDue(endMicros);
+            Optional<ScheduledTask> next = pollDue(endMicros);
             while (next.isPresent()) {
-                next.get().step().run();
-                next = takeDue(endMicros);
+                next.get().task().run();
+                next = pollDue(endMicros);
             }
             synchronized (this) {
                 nowMicros = endMicros;
             }
         }
 
-        private synchronized Optional<Step> takeDue(long endMicros) {
-            if (steps.isEmpty() || steps.peek().dueMicros() > endMicros) {
+        private synchronized Optional<ScheduledTask> pollDue(long endMicros) {
+            if (tasks.isEmpty() || tasks.peek().dueMicros() > endMicros) {
                 return Optional.empty();
             }
-            Step next = steps.poll();
+            ScheduledTask next = tasks.poll();
             nowMicros = Math.max(nowMicros, next.dueMicros());
             return Optional.of(next);
         }
 
-        private record Step(long dueMicros, long number, Runnable step) {}
+        private record ScheduledTask(long dueMicros, long sequence, Runnable task) {}
     }
 
     /** The real client, whose orders can be waited for. */
-    private final class Watched implements ModelEngine {
+    private final class TrackingEngine implements ModelEngine {
 
-        private final ModelEngine real;
+        private final ModelEngine delegate;
 
-        private Watched(ModelEngine real) {
-            this.real = real;
+        private TrackingEngine(ModelEngine delegate) {
+            this.delegate = delegate;
         }
 
         @Override
         public CompletableFuture<OrderAnswer> order(Order order) {
-            long waitMillis = nextOrderWaitMillis;
-            nextOrderWaitMillis = 0L;
-            time.advance(waitMillis);
-            CompletableFuture<OrderAnswer> answer = real.order(order);
-            orders.add(answer);
+            long delayMillis = nextOrderDelayMillis;
+            nextOrderDelayMillis = 0L;
+            time.advance(delayMillis);
+            CompletableFuture<OrderAnswer> answer = delegate.order(order);
+            pendingOrders.add(answer);
             return answer;
         }
 
         @Override
         public AutoCloseable stream(Generation generation, long fromOffset, Listener listener) {
-            return real.stream(generation, fromOffset, listener);
+            return delegate.stream(generation, fromOffset, listener);
         }
 
         @Override
         public CompletableFuture<Void> cancel(String generationId) {
-            return real.cancel(generationId);
+            return delegate.cancel(generationId);
         }
 
         @Override
         public CompletableFuture<Residency> residency() {
-            return real.residency();
+            return delegate.residency();
         }
 
         @Override
         public CompletableFuture<EngineLoad> load() {
-            return real.load();
+            return delegate.load();
         }
     }
 
-    private final class OneBundle implements BundleSource {
+    private final class FixedBundle implements BundleSource {
 
         @Override
         public Optional<Bundle> current() {
@@ -267,8 +267,8 @@
                     List.of(new Bundle.Service(
                             "studio", Bundle.Kind.MODEL, 1, CAPACITY_BYTES, 1, fenced, 2, 1.0, 2, 4)),
                     List.of(
-                            new Bundle.Model("a", "studio", "1", SIZE_BYTES, 1),
-                            new Bundle.Model("b", "studio", "1", SIZE_BYTES, 1)),
+                            new Bundle.Model("a", "studio", "1", MODEL_BYTES, 1),
+                            new Bundle.Model("b", "studio", "1", MODEL_BYTES, 1)),
                     List.of(),
                     List.of()));
         }
--- a/src/test/java/io/waxwingquay/scenario/MemorySteps.java
+++ b/src/test/java/io/waxwingquay/scenario/MemorySteps.java
@@ -15,35 +15,35 @@
 
     private static final long MILLIS_PER_SECOND = 1_000L;
 
-    private Optional<EngineWorld> opened = Optional.empty();
+    private Optional<EngineWorld> engineWorld = Optional.empty();
 
     /** Closes what the scenario opened. */
     @After
     public void close() {
-        opened.ifPresent(EngineWorld::close);
+        engineWorld.ifPresent(EngineWorld::close);
     }
 
     /** Starts an engine that takes one model of two. */
     @Given("an engine that {word} fencing numbers and holds one model")
-    public void engine(String heeds) {
-        opened = Optional.of(new EngineWorld("heeds".equals(heeds)));
+    public void startEngine(String fencing) {
+        engineWorld = Optional.of(new EngineWorld("heeds".equals(fencing)));
     }
 
     /** Starts a side. */
     @When("a side starts that wants model {string}")
-    public void start(String model) throws Exception {
+    public void startSide(String model) throws Exception {
         world().startSide(model);
     }
 
     /** Loses orders on their way. */
     @When("the next order is lost")
-    public void loseOrder() {
+    public void loseNextOrder() {
         world().engine().faults().next(Faults.Kind.LOSE_ORDER, 1);
     }
 
     /** Delays an order whose sender sees a time-out. */
     @When("the next order lands {int} s after its time-out")
-    public void delayOrder(int seconds) {
+    public void delayNextOrder(int seconds) {
         world().engine().faults().set(Faults.Settings.NONE.withOrderDelayMillis(seconds * MILLIS_PER_SECOND));
         world().engine().faults().next(Faults.Kind.DELAY_ORDER, 1);
     }
@@ -56,61 +56,61 @@
 
     /** Ends the forgetting. */
     @When("the engine does its orders again")
-    public void doOrders() {
+    public void executeOrdersAgain() {
         world().engine().faults().next(Faults.Kind.FORGET_ORDER, 0);
     }
 
     /** Holds the next order between the side and the engine. */
     @When("the next order is under way for {int} s")
-    public void holdOrder(int seconds) {
-        world().holdNextOrder(seconds * MILLIS_PER_SECOND);
+    public void delayOrderInTransit(int seconds) {
+        world().delayNextOrder(seconds * MILLIS_PER_SECOND);
     }
 
     /** Changes what placement wants. */
     @When("the side wants model {string} instead")
-    public void want(String model) throws Exception {
-        world().want(model);
+    public void changeWantedModel(String model) throws Exception {
+        world().changeWantedModel(model);
     }
 
     /** Kills the side. */
     @When("the side dies")
-    public void die() {
-        world().killSide();
+    public void killSide() {
+        world().killNewestSide();
     }
 
     /** Pauses the side. */
     @When("the side is paused")
-    public void pause() {
-        world().pauseSide();
+    public void pauseSide() {
+        world().pauseNewestSide();
     }
 
     /** Lets the paused side go on. */
     @When("the paused side goes on")
-    public void resume() throws Exception {
-        world().resumeOldest();
+    public void resumeSide() throws Exception {
+        world().resumeOldestSide();
     }
 
     /** Lets time pass. */
     @When("{int} s pass")
-    public void pass(int seconds) throws Exception {
-        world().pass(seconds * MILLIS_PER_SECOND);
+    public void advance(int seconds) throws Exception {
+        world().advance(seconds * MILLIS_PER_SECOND);
     }
 
     /** Asks the engine. */
     @Then("the engine's memory was never overcommitted")
-    public void neverOvercommitted() {
+    public void verifyNeverOvercommitted() {
         assertEquals(0L, world().engine().stats().memory().overcommits());
         assertTrue(world().engine().stats().memory().maxUsedBytes() <= EngineWorld.CAPACITY_BYTES);
     }
 
     /** Asks the side. */
     @Then("model {string} is in memory")
-    public void inMemory(String model) {
-        assertTrue(world().memory().isResident(EngineWorld.item(model)), () -> world().memory()
+    public void verifyInMemory(String model) {
+        assertTrue(world().newestSideMemory().isResident(EngineWorld.itemOf(model)), () -> world().newestSideMemory()
                 .toString());
     }
 
     private EngineWorld world() {
-        return opened.orElseThrow();
+        return engineWorld.orElseThrow();
     }
 }
--- a/src/test/java/io/waxwingquay/scenario/PoisonSteps.java
+++ b/src/test/java/io/waxwingquay/scenario/PoisonSteps.java
@@ -19,15 +19,15 @@
 /** Steps on requests that crash their targets. They go through whole entry processes. */
 public final class PoisonSteps {
 
-    private static final String POISON = "poison pill";
-    private static final int TOKENS = 30;
-    private static final int RESENDS = 12;
-    private static final long AWAY_MILLIS = 300;
-    private static final int QUARANTINED = 422;
+    private static final String POISON_PROMPT = "poison pill";
+    private static final int TOKENS_PER_ANSWER = 30;
+    private static final int MAX_RESENDS = 12;
+    private static final long RESTART_MILLIS = 300;
+    private static final int QUARANTINED_STATUS = 422;
     private static final int ENTRIES = 2;
 
     private Optional<CallPathWorld> world = Optional.empty();
-    private List<CompletableFuture<CallerAnswer>> innocent = List.of();
+    private List<CompletableFuture<CallerAnswer>> otherAnswers = List.of();
 
     /** Ends the path, which holds crashed engines. */
     @After
@@ -37,31 +37,34 @@
 
     /** Starts a path whose engines crash on the marked prompt. */
     @Given("poison: a path of four engines with the store {word}")
-    public void startPath(String store) throws Exception {
+    public void startPath(String storeState) throws Exception {
         CallPathWorld started = CallPathWorld.start(4, 1);
         world = Optional.of(started);
-        started.engines().forEach(engine -> engine.faults().set(Faults.Settings.NONE.withCrash(POISON, AWAY_MILLIS)));
-        if (store.equals("out")) {
+        started.engines()
+                .forEach(engine -> engine.faults().set(Faults.Settings.NONE.withCrash(POISON_PROMPT, RESTART_MILLIS)));
+        if (storeState.equals("out")) {
             started.platform().faults().next(Faults.Kind.OUT, Faults.FOREVER);
         }
     }
 
     /** Sends it through one entry after the other. */
     @When("poison: {int} completions run while a poison request is sent {int} times, one after the other")
-    public void sendInTurn(int others, int times) throws Exception {
-        startOthers(others);
+    public void sendSequentially(int others, int times) throws Exception {
+        startOtherCompletions(others);
         for (int number = 0; number < times; number++) {
-            Await.value(path().complete(path().process(number % ENTRIES), POISON, TOKENS));
+            Await.value(path().sendCompletion(
+                            path().entryProcessAddress(number % ENTRIES), POISON_PROMPT, TOKENS_PER_ANSWER));
         }
     }
 
     /** Sends copies at once, and each again when it has failed. */
     @When("poison: {int} completions run while {int} copies of a poison request are sent at once and then again")
     public void sendAtOnce(int others, int copies) throws Exception {
-        startOthers(others);
+        startOtherCompletions(others);
         for (int round = 0; round < ENTRIES; round++) {
             List<CompletableFuture<CallerAnswer>> sent = IntStream.range(0, copies)
-                    .mapToObj(number -> path().complete(path().process(number % ENTRIES), POISON, TOKENS))
+                    .mapToObj(number -> path().sendCompletion(
+                                    path().entryProcessAddress(number % ENTRIES), POISON_PROMPT, TOKENS_PER_ANSWER))
                     .toList();
             for (CompletableFuture<CallerAnswer> answer : sent) {
                 Await.value(answer);
@@ -71,7 +74,7 @@
 
     /** Counts crashes over all engines. */
     @Then("poison: at most {int} targets crashed")
-    public void atMost(int targets) {
+    public void verifyCrashes(int targets) {
         int crashes = path().engines().stream()
                 .mapToInt(engine -> engine.stats().crashes())
                 .sum();
@@ -81,10 +84,11 @@
 
     /** Asks once more; entries that have not heard of the second crash yet are told by the side they ask. */
     @Then("poison: the poison request is refused with status 422 through every entry")
-    public void refused() throws Exception {
+    public void verifyQuarantined() throws Exception {
         for (int number = 0; number < ENTRIES; number++) {
-            CallerAnswer answer = Await.value(path().complete(path().process(number), POISON, TOKENS));
-            assertEquals(QUARANTINED, answer.statusCode(), answer.toString());
+            CallerAnswer answer = Await.value(
+                    path().sendCompletion(path().entryProcessAddress(number), POISON_PROMPT, TOKENS_PER_ANSWER));
+            assertEquals(QUARANTINED_STATUS, answer.statusCode(), answer.toString());
         }
     }
 
@@ -93,34 +97,36 @@
      * loads its model again; resends that don't wait are all over before that, on a machine that is busy.
      */
     @Then("poison: every other caller got its whole answer, sending again where it was told to")
-    public void othersWhole() throws Exception {
-        for (int number = 0; number < innocent.size(); number++) {
-            CallerAnswer answer = Await.value(innocent.get(number));
-            for (int resend = 0; !answer.isWhole() && resend < RESENDS; resend++) {
-                assertTrue(answer.statusCode() != QUARANTINED, answer.toString());
-                awaitComeBack(answer);
-                answer = Await.value(path().complete(path().process(resend % ENTRIES), prompt(number), TOKENS));
+    public void verifyOthersWhole() throws Exception {
+        for (int number = 0; number < otherAnswers.size(); number++) {
+            CallerAnswer answer = Await.value(otherAnswers.get(number));
+            for (int resend = 0; !answer.isWhole() && resend < MAX_RESENDS; resend++) {
+                assertTrue(answer.statusCode() != QUARANTINED_STATUS, answer.toString());
+                awaitRetryAfter(answer);
+                answer = Await.value(path().sendCompletion(
+                                path().entryProcessAddress(resend % ENTRIES), prompt(number), TOKENS_PER_ANSWER));
             }
             assertTrue(answer.isWhole(), answer.toString());
-            assertEquals(CallPathWorld.expected(prompt(number), TOKENS), answer.text());
+            assertEquals(CallPathWorld.expectedText(prompt(number), TOKENS_PER_ANSWER), answer.text());
         }
     }
 
-    private static void awaitComeBack(CallerAnswer answer) throws Exception {
-        long comeBackMillis =
+    private static void awaitRetryAfter(CallerAnswer answer) throws Exception {
+        long retryAfterMillis =
                 answer.error().map(CallerAnswer.Error::retryAfterMillis).orElse(0L);
-        Await.value(new CompletableFuture<Void>().completeOnTimeout(null, comeBackMillis, TimeUnit.MILLISECONDS));
+        Await.value(new CompletableFuture<Void>().completeOnTimeout(null, retryAfterMillis, TimeUnit.MILLISECONDS));
     }
 
-    private void startOthers(int count) throws Exception {
-        long tokensBefore = tokens();
-        innocent = IntStream.range(0, count)
-                .mapToObj(number -> path().complete(path().process(number % ENTRIES), prompt(number), TOKENS))
+    private void startOtherCompletions(int count) throws Exception {
+        long tokensBefore = generatedTokens();
+        otherAnswers = IntStream.range(0, count)
+                .mapToObj(number -> path().sendCompletion(
+                                path().entryProcessAddress(number % ENTRIES), prompt(number), TOKENS_PER_ANSWER))
                 .toList();
-        Await.until(() -> tokens() > tokensBefore + count);
+        Await.until(() -> generatedTokens() > tokensBefore + count);
     }
 
-    private long tokens() {
+    private long generatedTokens() {
         return path().engines().stream()
                 .mapToLong(engine -> engine.stats().batch().tokens())
                 .sum();
--- a/src/test/java/io/waxwingquay/scenario/ProcessWorld.java
+++ b/src/test/java/io/waxwingquay/scenario/ProcessWorld.java
@@ -83,9 +83,9 @@
     private static final int ENTRIES = 2;
 
     /** For the other roles, administration and callers. */
-    private static final int PORTS = 3;
+    private static final int PORTS_PER_PROCESS = 3;
 
-    private static final long LEASE_MILLIS = 1_000L;
+    private static final long PERMIT_LEASE_MILLIS = 1_000L;
     private static final long DEADLINE_MILLIS = 15_000L;
 
     private final HttpClient http = HttpClient.newHttpClient();
@@ -95,7 +95,7 @@
     private final Map<String, StartedProcess> processes = new LinkedHashMap<>();
     private static final long TABLE_TIMEOUT_MILLIS = 5_000L;
 
-    private final Map<String, HostPort> targets = new LinkedHashMap<>();
+    private final Map<String, HostPort> standinAddresses = new LinkedHashMap<>();
     private final Map<String, Integer> callerPorts = new LinkedHashMap<>();
     private final Map<String, Integer> adminPorts = new LinkedHashMap<>();
 
@@ -106,7 +106,7 @@
     static ProcessWorld start(Path folder) throws Exception {
         ProcessWorld world = new ProcessWorld(folder);
         try {
-            world.open();
+            world.startAll();
             return world;
         } catch (Exception | AssertionError failure) {
             world.close();
@@ -118,7 +118,7 @@
         return caller;
     }
 
-    HostPort entry(int number) {
+    HostPort entryAddress(int number) {
         return new HostPort(LOOPBACK, callerPorts.get("entry-" + number));
     }
 
@@ -136,7 +136,7 @@
     }
 
     /** The text of an answer asked for in one piece, or the whole body of an error. */
-    String wholeCompletion(HostPort entry, String model, String prompt, int tokens) throws Exception {
+    String unstreamedCompletion(HostPort entry, String model, String prompt, int tokens) throws Exception {
         String body = Json.MAPPER
                 .createObjectNode()
                 .put("model", model)
@@ -155,14 +155,14 @@
     }
 
     /** How often the plain service ran a key. */
-    int runs(String key) throws Exception {
-        JsonNode stats = Json.MAPPER.readTree(get("http://" + targets.get("booking-0") + "/stats"));
+    int runCount(String key) throws Exception {
+        JsonNode stats = Json.MAPPER.readTree(httpGet("http://" + standinAddresses.get("booking-0") + "/stats"));
         return stats.path("runsByKey").path(key).asInt();
     }
 
     /** Requests in flight at an entry, by its state dump. */
-    long inFlight(String entry) throws Exception {
-        JsonNode dump = Json.MAPPER.readTree(get("http://" + LOOPBACK + ":" + adminPorts.get(entry) + "/dump"));
+    long inFlightRequests(String entry) throws Exception {
+        JsonNode dump = Json.MAPPER.readTree(httpGet("http://" + LOOPBACK + ":" + adminPorts.get(entry) + "/dump"));
         return dump.path("sections").path("entry").path("inFlight").asLong();
     }
 
@@ -171,7 +171,7 @@
         String row = ClaimStore.rowKey("booking", key);
         org.eclipse.jetty.client.HttpClient client = HttpCalls.startClient(1, TABLE_TIMEOUT_MILLIS);
         try {
-            return new HttpTableService(client, targets.get("platform"), TABLE_TIMEOUT_MILLIS)
+            return new HttpTableService(client, standinAddresses.get("platform"), TABLE_TIMEOUT_MILLIS)
                     .read(List.of(row))
                     .join()
                     .containsKey(row);
@@ -181,8 +181,8 @@
     }
 
     /** Makes a stand-in show faults. */
-    void fault(String standin, String settings) throws Exception {
-        HttpRequest request = HttpRequest.newBuilder(URI.create("http://" + targets.get(standin) + "/faults"))
+    void setFaults(String standin, String settings) throws Exception {
+        HttpRequest request = HttpRequest.newBuilder(URI.create("http://" + standinAddresses.get(standin) + "/faults"))
                 .POST(HttpRequest.BodyPublishers.ofString(settings))
                 .build();
         http.send(request, HttpResponse.BodyHandlers.discarding());
@@ -195,19 +195,19 @@
         caller.close();
     }
 
-    private void open() throws Exception {
-        standin("platform", List.of());
-        standin("weights", List.of("--load-millis", "100", "--loads-at-once", "4", "--loads-per-second", "50"));
-        String weights = targets.get("weights").toString();
-        standin("engine", "studio-0", List.of("--weights", weights, "--capacity-bytes", "40000000000"));
-        standin("engine", "studio-1", List.of("--weights", weights, "--capacity-bytes", "40000000000"));
-        standin("plain", "booking-0", List.of());
+    private void startAll() throws Exception {
+        startStandin("platform", List.of());
+        startStandin("weights", List.of("--load-millis", "100", "--loads-at-once", "4", "--loads-per-second", "50"));
+        String weights = standinAddresses.get("weights").toString();
+        startStandin("engine", "studio-0", List.of("--weights", weights, "--capacity-bytes", "40000000000"));
+        startStandin("engine", "studio-1", List.of("--weights", weights, "--capacity-bytes", "40000000000"));
+        startStandin("plain", "booking-0", List.of());
         Path key = folder.resolve("operator.key");
         Path document = Files.writeString(folder.resolve("bundle.toml"), BUNDLE);
-        command("bundle", "keygen", key.toString());
-        command("bundle", "sign", "--key", key.toString(), document.toString());
-        submit(key, document);
-        startProduct(Files.readString(Path.of(key + ".pub")).strip());
+        runCommand("bundle", "keygen", key.toString());
+        runCommand("bundle", "sign", "--key", key.toString(), document.toString());
+        submitBundle(key, document);
+        startSidesAndEntries(Files.readString(Path.of(key + ".pub")).strip());
         for (String name : adminPorts.keySet()) {
             awaitServing(name);
         }
@@ -222,32 +222,33 @@
                 return isServing(name);
             });
         } catch (AssertionError failure) {
-            throw new AssertionError(name + " is not serving, it logged: " + process.logged(), failure);
+            throw new AssertionError(name + " is not serving, it logged: " + process.logText(), failure);
         }
     }
 
-    private void submit(Path key, Path document) throws Exception {
-        String platform = "http://" + targets.get("platform");
-        command("bundle", "submit", "--platform", platform, "--trusted-key", key + ".pub", document.toString());
+    private void submitBundle(Path key, Path document) throws Exception {
+        String platform = "http://" + standinAddresses.get("platform");
+        runCommand("bundle", "submit", "--platform", platform, "--trusted-key", key + ".pub", document.toString());
     }
 
-    private void startProduct(String publicKey) throws Exception {
-        SettingsText texts = new SettingsText(targets.get("platform"), publicKey, 2, LEASE_MILLIS, 0L);
+    private void startSidesAndEntries(String publicKey) throws Exception {
+        SettingsText settingsTexts =
+                new SettingsText(standinAddresses.get("platform"), publicKey, 2, PERMIT_LEASE_MILLIS, 0L);
         for (Bundle.Service service : bundle.services()) {
             for (int replica = 0; replica < service.replicas(); replica++) {
                 String name = SettingsText.sideName(service.name(), replica);
                 List<Integer> ports = freePorts();
-                role("side", name, texts.side(service, replica, targets.get(name), ports), ports);
+                startRole("side", name, settingsTexts.side(service, replica, standinAddresses.get(name), ports), ports);
             }
         }
         for (int number = 0; number < ENTRIES; number++) {
             List<Integer> ports = freePorts();
             callerPorts.put("entry-" + number, ports.get(2));
-            role("entry", "entry-" + number, texts.entry(number, "waxwingquay", ports), ports);
+            startRole("entry", "entry-" + number, settingsTexts.entry(number, "waxwingquay", ports), ports);
         }
     }
 
-    private void role(String role, String name, String settings, List<Integer> ports) throws IOException {
+    private void startRole(String role, String name, String settings, List<Integer> ports) throws IOException {
         adminPorts.put(name, ports.get(1));
         Path file = Files.writeString(folder.resolve(name + ".toml"), settings);
         processes.put(
@@ -255,20 +256,20 @@
                 StartedProcess.start(folder.resolve(name + ".log"), List.of(role, "--settings", file.toString())));
     }
 
-    private void standin(String kind, List<String> options) throws Exception {
-        standin(kind, kind, options);
+    private void startStandin(String kind, List<String> options) throws Exception {
+        startStandin(kind, kind, options);
     }
 
-    private void standin(String kind, String name, List<String> options) throws Exception {
+    private void startStandin(String kind, String name, List<String> options) throws Exception {
         List<String> arguments = new ArrayList<>(List.of("standin", kind, "--port", "0"));
         arguments.addAll(options);
         StartedProcess started = StartedProcess.start(folder.resolve(name + "-standin.log"), arguments);
         processes.put(name + "-standin", started);
-        targets.put(name, new HostPort(LOOPBACK, started.awaitPort()));
+        standinAddresses.put(name, new HostPort(LOOPBACK, started.awaitPort()));
     }
 
-    private void command(String... arguments) throws Exception {
-        StartedProcess.run(folder.resolve("command-" + arguments[1] + ".log"), List.of(arguments));
+    private void runCommand(String... arguments) throws Exception {
+        StartedProcess.runToEnd(folder.resolve("command-" + arguments[1] + ".log"), List.of(arguments));
     }
 
     /** Whether a completion of each model and a deposit get through each entry. */
@@ -279,17 +280,20 @@
         int number = Integer.parseInt(name.substring("entry-".length()));
         return isReady(name)
                 && knowsSides(name)
-                && caller.complete(entry(number), completion("throwing", "ready?", 1))
+                && caller.complete(entryAddress(number), completion("throwing", "ready?", 1))
                         .join()
                         .isWhole()
-                && caller.complete(entry(number), completion("glazing", "ready?", 1))
+                && caller.complete(entryAddress(number), completion("glazing", "ready?", 1))
                         .join()
                         .isWhole()
-                && caller.call(entry(number), deposit("ready-" + number)).join().isWhole();
+                && caller.call(entryAddress(number), deposit("ready-" + number))
+                        .join()
+                        .isWhole();
     }
 
     private boolean knowsSides(String name) throws Exception {
-        return get("http://" + LOOPBACK + ":" + adminPorts.get(name) + "/dump").contains("studio-1");
+        return httpGet("http://" + LOOPBACK + ":" + adminPorts.get(name) + "/dump")
+                .contains("studio-1");
     }
 
     private boolean isReady(String name) throws Exception {
@@ -303,13 +307,13 @@
         }
     }
 
-    private String get(String url) throws Exception {
+    private String httpGet(String url) throws Exception {
         return http.send(HttpRequest.newBuilder(URI.create(url)).build(), HttpResponse.BodyHandlers.ofString())
                 .body();
     }
 
     private static List<Integer> freePorts() {
-        int first = FreePorts.adjacent(PORTS, List.of(LOOPBACK));
-        return IntStream.range(first, first + PORTS).boxed().toList();
+        int first = FreePorts.adjacent(PORTS_PER_PROCESS, List.of(LOOPBACK));
+        return IntStream.range(first, first + PORTS_PER_PROCESS).boxed().toList();
     }
 }
--- a/src/test/java/io/waxwingquay/scenario/ReachSteps.java
+++ b/src/test/java/io/waxwingquay/scenario/ReachSteps.java
@@ -19,61 +19,61 @@
 public final class ReachSteps {
 
     private static final int WAVES = 6;
-    private static final int WAVE = 40;
-    private static final int ASKS = 20;
+    private static final int REQUESTS_PER_WAVE = 40;
+    private static final int REQUESTS_PER_MODEL = 20;
 
     private final DeploymentWorld world = DeploymentWorld.current();
 
     /** Closes what the scenario opened. */
     @After
     public void close() {
-        DeploymentWorld.end();
+        DeploymentWorld.closeCurrent();
     }
 
     /** Starts a deployment. */
     @Given("a deployment that serves every model")
-    public void serving() throws InterruptedException {
-        world.start(choices -> choices);
+    public void startDeployment() throws InterruptedException {
+        world.start(builder -> builder);
     }
 
     /** Starts a deployment that hears from the platform late. */
     @Given("a deployment whose VM list is {int} s late")
-    public void lateList(int seconds) throws InterruptedException {
-        world.start(choices -> choices.listLagMillis(1_000L * seconds));
+    public void startDeploymentWithLateList(int seconds) throws InterruptedException {
+        world.start(builder -> builder.listLagMillis(1_000L * seconds));
     }
 
     /** Ends a side and its engine at once. */
     @When("the target {int} dies with its side")
-    public void dies(int replica) {
-        world.studio(replica).close();
+    public void killTargetAndSide(int replica) {
+        world.modelSide(replica).close();
         world.engine(replica).close();
     }
 
     /** Ends everything in a data centre at once: the first entry, a model target and a plain one. */
     @When("the first data centre is lost")
-    public void dataCentreDies() {
+    public void loseFirstDataCentre() {
         world.deployment().entries().remove(0).close();
         world.deployment().sides().get("booking-0").close();
-        dies(0);
+        killTargetAndSide(0);
     }
 
     /** Takes the platform out. */
     @When("the platform is out")
-    public void platformOut() {
+    public void failPlatform() {
         world.deployment().platform().faults().next(Faults.Kind.OUT, Faults.FOREVER);
     }
 
     /** Asks far more for one model than for any other, in waves. */
     @When("demand for one model is tenfold")
-    public void tenfold() throws Exception {
+    public void sendTenfoldDemand() throws Exception {
         String model = world.models().get(0);
-        world.askInTurn(model, WAVE / 10);
+        world.sendSequentially(model, REQUESTS_PER_WAVE / 10);
         for (int wave = 0; wave < WAVES; wave++) {
-            List<CompletableFuture<CallerAnswer>> asked = new ArrayList<>();
-            for (int number = 0; number < WAVE; number++) {
-                asked.add(world.ask(number % 2, model, DeploymentWorld.TOKENS));
+            List<CompletableFuture<CallerAnswer>> answers = new ArrayList<>();
+            for (int number = 0; number < REQUESTS_PER_WAVE; number++) {
+                answers.add(world.sendCompletion(number % 2, model, DeploymentWorld.TOKENS_PER_ANSWER));
             }
-            for (CompletableFuture<CallerAnswer> answer : asked) {
+            for (CompletableFuture<CallerAnswer> answer : answers) {
                 answer.join();
             }
             for (EntryProcess entry : world.deployment().entries()) {
@@ -84,32 +84,33 @@
 
     /** A model with two homes answers while one of them dies. */
     @When("a target dies, each model with a second home answers every request")
-    public void secondHomes() throws Exception {
+    public void verifySecondCopiesAnswer() throws Exception {
         EntryProcess entry = world.entry(0);
-        Set<String> doomed = entry.membership()
-                .side(DeploymentWorld.studioName(1))
+        Set<String> itemsOfLostSide = entry.membership()
+                .side(DeploymentWorld.modelSideName(1))
                 .orElseThrow()
                 .residentItems();
-        List<String> twice = world.models().stream()
-                .filter(model -> doomed.contains(world.itemOf(model)))
-                .filter(model -> homes(entry, world.itemOf(model)) > 1)
+        List<String> modelsWithTwoCopies = world.models().stream()
+                .filter(model -> itemsOfLostSide.contains(world.itemOf(model)))
+                .filter(model -> copyCount(entry, world.itemOf(model)) > 1)
                 .toList();
-        assertTrue(!twice.isEmpty(), "no model of the target has a second home");
-        dies(1);
-        for (String model : twice) {
-            world.askInTurn(model, ASKS).forEach(answer -> assertTrue(answer.isWhole(), answer::toString));
+        assertTrue(!modelsWithTwoCopies.isEmpty(), "no model of the target has a second home");
+        killTargetAndSide(1);
+        for (String model : modelsWithTwoCopies) {
+            world.sendSequentially(model, REQUESTS_PER_MODEL)
+                    .forEach(answer -> assertTrue(answer.isWhole(), answer::toString));
         }
     }
 
     /** Asks for every model through every entry. */
     @Then("every model answers through every entry")
-    public void everyModel() throws Exception {
+    public void verifyEveryModel() throws Exception {
         world.awaitEveryModel();
-        assertEquals(0L, world.overcommits());
-        assertEquals(0, world.wrong(), "whole answers with a wrong text");
+        assertEquals(0L, world.overcommitCount());
+        assertEquals(0, world.wrongAnswerCount(), "whole answers with a wrong text");
     }
 
-    private static long homes(EntryProcess entry, String item) {
+    private static long copyCount(EntryProcess entry, String item) {
         return entry.membership().sides().stream()
                 .filter(side -> side.residentItems().contains(item))
                 .count();
--- a/src/test/java/io/waxwingquay/scenario/RefusalSteps.java
+++ b/src/test/java/io/waxwingquay/scenario/RefusalSteps.java
@@ -22,53 +22,53 @@
 public final class RefusalSteps {
 
     /** Calls reach their targets one table answer apart, a lost one included; the first still runs when the last does. */
-    private static final long SLOW_MILLIS = 2_500;
+    private static final long SLOW_RUN_MILLIS = 2_500;
 
-    private static final int TABLE_ANSWERS = 1;
+    private static final int LOST_TABLE_ANSWERS = 1;
     private static final List<String> SIDES = List.of("booking-0", "booking-1");
 
-    private final String run = UUID.randomUUID().toString();
+    private final String keyPrefix = UUID.randomUUID().toString();
     private Optional<CallPathWorld> world = Optional.empty();
-    private boolean broken;
-    private List<CompletableFuture<CallerAnswer>> sent;
+    private boolean pathBroken;
+    private List<CompletableFuture<CallerAnswer>> pendingAnswers;
 
     /** Ends a path that lost a process for good. */
     @After
-    public void discardBroken() {
-        if (broken) {
-            world.ifPresent(SharedPath::discard);
+    public void discardBrokenPath() {
+        if (pathBroken) {
+            world.ifPresent(SharedCallPaths::discard);
         }
     }
 
     /** Starts a path. */
     @Given("refusals: a path of two plain services")
-    public void startPath() throws Exception {
-        world = Optional.of(SharedPath.take(1, 2));
+    public void takeSharedPath() throws Exception {
+        world = Optional.of(SharedCallPaths.take(1, 2));
     }
 
     /** Sends the calls, each with a key of its own. */
     @When("refusals: {int} deposits are sent with {string} and {string}")
-    public void send(int count, String fault, String other) throws Exception {
-        before(fault);
-        before(other);
-        sent = IntStream.range(0, count)
-                .mapToObj(number -> path().deposit(path().entry(number % 2), key(number)))
+    public void sendDeposits(int count, String fault, String otherFault) throws Exception {
+        injectBeforeSending(fault);
+        injectBeforeSending(otherFault);
+        pendingAnswers = IntStream.range(0, count)
+                .mapToObj(number -> path().sendDeposit(path().entryAddress(number % 2), key(number)))
                 .toList();
-        during(fault);
-        during(other);
+        injectBetweenTakeAndRun(fault);
+        injectBetweenTakeAndRun(otherFault);
     }
 
     /** Compares the runs, after everything that was slow has had its turn, with what was told. */
     @Then("refusals: what each caller was told is true of the runs")
-    public void isTrue() throws Exception {
-        for (int number = 0; number < sent.size(); number++) {
-            String told = told(Await.value(sent.get(number)));
-            int runs = path().runs(key(number));
+    public void verifyOutcomesTrue() throws Exception {
+        for (int number = 0; number < pendingAnswers.size(); number++) {
+            String outcome = outcomeOf(Await.value(pendingAnswers.get(number)));
+            int runs = path().runCount(key(number));
             assertTrue(runs <= 1, key(number) + " ran " + runs + " times");
-            if (told.equals("did_not_run")) {
+            if (outcome.equals("did_not_run")) {
                 assertEquals(0, runs, key(number) + " ran although its caller was told that it did not");
             }
-            if (told.equals("answered") || told.equals("ran")) {
+            if (outcome.equals("answered") || outcome.equals("ran")) {
                 assertEquals(1, runs, key(number) + " was told as run");
             }
         }
@@ -76,46 +76,49 @@
 
     /** Keeps the judge from being met by telling "unknown" every time. */
     @Then("refusals: every caller was told {string}")
-    public void everyCaller(String told) throws Exception {
-        for (CompletableFuture<CallerAnswer> answer : sent) {
-            assertEquals(told, told(Await.value(answer)), answer.join().toString());
+    public void verifyOutcomes(String expectedOutcome) throws Exception {
+        for (CompletableFuture<CallerAnswer> answer : pendingAnswers) {
+            assertEquals(
+                    expectedOutcome,
+                    outcomeOf(Await.value(answer)),
+                    answer.join().toString());
         }
     }
 
     /** Sides of a new path have no pooled connection, on which a call might get lost instead of being refused. */
-    private void freshPath() throws Exception {
-        SharedPath.discard(path());
-        startPath();
+    private void replacePath() throws Exception {
+        SharedCallPaths.discard(path());
+        takeSharedPath();
     }
 
-    private void before(String fault) throws Exception {
+    private void injectBeforeSending(String fault) throws Exception {
         switch (fault) {
-            case "answer lost after the run" -> plains(
+            case "answer lost after the run" -> forEachPlainService(
                     plain -> plain.faults().next(Faults.Kind.LOSE_ANSWER, Faults.FOREVER));
             case "target not reachable" -> {
-                freshPath();
-                broken = true;
+                replacePath();
+                pathBroken = true;
                 SIDES.forEach(path()::closeTarget);
             }
             case "table out" -> path().platform().faults().next(Faults.Kind.OUT, Faults.FOREVER);
-            case "table answer lost" -> path().platform().faults().next(Faults.Kind.LOSE_ANSWER, TABLE_ANSWERS);
+            case "table answer lost" -> path().platform().faults().next(Faults.Kind.LOSE_ANSWER, LOST_TABLE_ANSWERS);
             case "side ends between take and run",
                     "link cut between take and run",
-                    "link silent between take and run" -> plains(
-                    plain -> plain.faults().set(Faults.Settings.NONE.withSlowMillis(SLOW_MILLIS)));
+                    "link silent between take and run" -> forEachPlainService(
+                    plain -> plain.faults().set(Faults.Settings.NONE.withSlowMillis(SLOW_RUN_MILLIS)));
             default -> {}
         }
     }
 
-    private void during(String fault) throws Exception {
+    private void injectBetweenTakeAndRun(String fault) throws Exception {
         if (!fault.endsWith("between take and run")) {
             return;
         }
         Await.until(() ->
-                SIDES.stream().mapToInt(side -> path().targetLink(side).open()).sum() >= sent.size());
+                SIDES.stream().mapToInt(side -> path().targetLink(side).open()).sum() >= pendingAnswers.size());
         switch (fault) {
             case "side ends between take and run" -> {
-                broken = true;
+                pathBroken = true;
                 SIDES.forEach(side -> path().stopSide(side));
             }
             case "link cut between take and run" -> SIDES.forEach(
@@ -124,9 +127,9 @@
         }
     }
 
-    private void plains(Consumer<PlainServiceStandin> change) {
-        change.accept(path().plain(0));
-        change.accept(path().plain(1));
+    private void forEachPlainService(Consumer<PlainServiceStandin> action) {
+        action.accept(path().plainService(0));
+        action.accept(path().plainService(1));
     }
 
     private CallPathWorld path() {
@@ -134,10 +137,10 @@
     }
 
     private String key(int number) {
-        return run + number;
+        return keyPrefix + number;
     }
 
-    static String told(CallerAnswer answer) {
+    static String outcomeOf(CallerAnswer answer) {
         return answer.isWhole()
                 ? "answered"
                 : answer.error().map(CallerAnswer.Error::execution).orElse("unknown");
--- a/src/test/java/io/waxwingquay/scenario/ReplacementSteps.java
+++ b/src/test/java/io/waxwingquay/scenario/ReplacementSteps.java
@@ -15,32 +15,34 @@
 /** Steps on a second process for one target, while the first lives on. */
 public final class ReplacementSteps {
 
-    private static final long LEASE_MILLIS = 1_000L;
+    private static final long PERMIT_LEASE_MILLIS = 1_000L;
 
     private final DeploymentWorld world = DeploymentWorld.current();
-    private final AtomicInteger asked = new AtomicInteger();
-    private SideProcess first;
+    private final AtomicInteger permitCount = new AtomicInteger();
+    private SideProcess firstSide;
 
     /** Starts another process of the same name. */
     @When("a second side starts for target {int} while the first lives on")
-    public void second(int replica) {
-        first = world.own(world.studio(replica));
-        world.deployment().startSide(world.studioService(), replica);
+    public void startSecondSide(int replica) {
+        firstSide = world.closeAtEnd(world.modelSide(replica));
+        world.deployment().startSide(world.modelService(), replica);
     }
 
     /** A superseded home always tells to come back after a whole lease. */
     @Then("the first steps down and lends no permits of the shared limits")
-    public void stepsDown() throws Exception {
-        Await.until(first::isLeaving);
-        ThriftConnections connections = world.own(ThriftConnections.builder().build());
+    public void verifyFirstSuperseded() throws Exception {
+        Await.until(firstSide::isLeaving);
+        ThriftConnections connections =
+                world.closeAtEnd(ThriftConnections.builder().build());
         Await.until(() -> {
-            PermitAnswer answer = Await.value(connections.to(first.address()).borrowPermit(request()));
-            return !answer.isGranted() && answer.getRetryAfterMillis() == LEASE_MILLIS;
+            PermitAnswer answer =
+                    Await.value(connections.to(firstSide.address()).borrowPermit(permitRequest()));
+            return !answer.isGranted() && answer.getRetryAfterMillis() == PERMIT_LEASE_MILLIS;
         });
-        assertEquals(0L, world.overcommits());
+        assertEquals(0L, world.overcommitCount());
     }
 
-    private PermitRequest request() {
-        return new PermitRequest(Limit.WEIGHT_LOADS.name(), "test", "permit-" + asked.incrementAndGet(), 1L);
+    private PermitRequest permitRequest() {
+        return new PermitRequest(Limit.WEIGHT_LOADS.name(), "test", "permit-" + permitCount.incrementAndGet(), 1L);
     }
 }
--- a/src/test/java/io/waxwingquay/scenario/RoguePeer.java
+++ b/src/test/java/io/waxwingquay/scenario/RoguePeer.java
@@ -27,21 +27,21 @@
 /** A process that tells of a far higher version, and hands out an old bundle or one that no operator signed. */
 final class RoguePeer implements PeerProtocol, AutoCloseable {
 
-    private static final long BOASTED_VERSION = 99L;
+    private static final long ANNOUNCED_VERSION = 99L;
 
     private final ThriftServer server = ThriftServer.bind(new HostPort("127.0.0.1", 0));
     private final ThriftConnections connections = ThriftConnections.builder().build();
-    private final AtomicInteger fetches = new AtomicInteger();
+    private final AtomicInteger fetchCount = new AtomicInteger();
     private final DeploymentWorld world;
-    private final SignedBundle offered;
+    private final SignedBundle offeredBundle;
 
     private RoguePeer(DeploymentWorld world, SignedBundle offered) {
         this.world = world;
-        this.offered = offered;
+        this.offeredBundle = offered;
     }
 
     static RoguePeer start(DeploymentWorld world, String kind, long version) {
-        byte[] document = DeploymentWorld.document(version, text -> text);
+        byte[] document = DeploymentWorld.bundleDocument(version, text -> text);
         SignedBundle offered =
                 switch (kind) {
                     case "forged" -> forged(document);
@@ -53,50 +53,52 @@
         return peer;
     }
 
-    int fetches() {
-        return fetches.get();
+    int fetchCount() {
+        return fetchCount.get();
     }
 
     /** Tells every process of the version it does not have. */
-    void tellAll() {
+    void sendUpdateToAll() {
         HostPort self = server.address();
-        GossipRequest news =
-                new GossipRequest("rogue", self.host(), self.port(), BOASTED_VERSION, List.of(), List.of(), List.of());
+        GossipRequest update = new GossipRequest(
+                "rogue", self.host(), self.port(), ANNOUNCED_VERSION, List.of(), List.of(), List.of());
         Stream.concat(
                         world.deployment().entries().stream().map(EntryProcess::address),
                         world.deployment().sides().values().stream().map(SideProcess::address))
-                .forEach(address -> connections.to(address).gossip(news));
+                .forEach(address -> connections.to(address).gossip(update));
     }
 
     /** Signed by a stranger. */
     private static SignedBundle forged(byte[] document) {
-        KeyPair stranger = KeyCodec.generate();
-        return BundleSigner.of(stranger.getPrivate(), stranger.getPublic()).sign(document);
+        KeyPair untrustedKeys = KeyCodec.generate();
+        return BundleSigner.of(untrustedKeys.getPrivate(), untrustedKeys.getPublic())
+                .sign(document);
     }
 
     /** Another document under the signature of the bundle in force. */
     private static SignedBundle altered(DeploymentWorld world, byte[] document, long version) {
-        BundleAnswer genuine;
-        try (ThriftConnections asking = ThriftConnections.builder().build()) {
-            genuine = asking.to(world.entry(0).address())
+        BundleAnswer bundleInForce;
+        try (ThriftConnections fetchConnections = ThriftConnections.builder().build()) {
+            bundleInForce = fetchConnections
+                    .to(world.entry(0).address())
                     .fetchBundle(new BundleRequest(0L))
                     .join();
         }
-        return new SignedBundle(version, document, genuine.getSignature(), genuine.getKeyId());
+        return new SignedBundle(version, document, bundleInForce.getSignature(), bundleInForce.getKeyId());
     }
 
     @Override
     public CompletableFuture<GossipAnswer> gossip(GossipRequest request) {
-        return CompletableFuture.completedFuture(new GossipAnswer(BOASTED_VERSION, List.of(), List.of(), List.of()));
+        return CompletableFuture.completedFuture(new GossipAnswer(ANNOUNCED_VERSION, List.of(), List.of(), List.of()));
     }
 
     @Override
     public CompletableFuture<BundleAnswer> fetchBundle(BundleRequest request) {
-        fetches.incrementAndGet();
-        return CompletableFuture.completedFuture(new BundleAnswer(offered.version())
-                .setDocument(ByteBuffer.wrap(offered.document()))
-                .setSignature(offered.signature())
-                .setKeyId(offered.keyId()));
+        fetchCount.incrementAndGet();
+        return CompletableFuture.completedFuture(new BundleAnswer(offeredBundle.version())
+                .setDocument(ByteBuffer.wrap(offeredBundle.document()))
+                .setSignature(offeredBundle.signature())
+                .setKeyId(offeredBundle.keyId()));
     }
 
     @Override
--- a/src/test/java/io/waxwingquay/scenario/SettingsSteps.java
+++ b/src/test/java/io/waxwingquay/scenario/SettingsSteps.java
@@ -16,28 +16,28 @@
 /** Steps on settings files. */
 public final class SettingsSteps {
 
-    private static final Path REFERENCE = Path.of("docs", "settings", "entry.toml");
+    private static final Path REFERENCE_FILE = Path.of("docs", "settings", "entry.toml");
 
-    private String text = "";
-    private SettingsException refusal;
+    private String settingsText = "";
+    private SettingsException rejection;
 
     /** Takes the reference file and adds a line. */
     @Given("the settings of an entry with {string} added")
-    public void settingsWith(String line) throws IOException {
-        text = Files.readString(REFERENCE) + "\n" + line + "\n";
+    public void addLine(String line) throws IOException {
+        settingsText = Files.readString(REFERENCE_FILE) + "\n" + line + "\n";
     }
 
     /** Reads them. */
     @When("the settings are read")
-    public void read() {
-        refusal = assertThrows(
+    public void readSettings() {
+        rejection = assertThrows(
                 SettingsException.class,
-                () -> EntrySettings.parse("entry.toml", text.getBytes(StandardCharsets.UTF_8)));
+                () -> EntrySettings.parse("entry.toml", settingsText.getBytes(StandardCharsets.UTF_8)));
     }
 
     /** Looks for the sentence. */
     @Then("they are refused with {string}")
-    public void refusedWith(String sentence) {
-        assertTrue(refusal.getMessage().contains(sentence), refusal.getMessage());
+    public void verifyMessage(String sentence) {
+        assertTrue(rejection.getMessage().contains(sentence), rejection.getMessage());
     }
 }
--- a/src/test/java/io/waxwingquay/scenario/SharedPath.java
+++ b/src/test/java/io/waxwingquay/scenario/SharedCallPaths.java
@@ -5,21 +5,21 @@
 import java.util.TreeMap;
 
 /** Paths that scenarios share one after the other, as a start takes seconds; each scenario gets one without faults. */
-public final class SharedPath {
+public final class SharedCallPaths {
 
     private static final Map<String, CallPathWorld> WORLDS = new TreeMap<>();
 
-    private SharedPath() {}
+    private SharedCallPaths() {}
 
     static CallPathWorld take(int engines, int plains) throws Exception {
-        String size = engines + "/" + plains;
-        CallPathWorld known = WORLDS.get(size);
-        if (known == null) {
-            known = CallPathWorld.start(engines, plains);
-            WORLDS.put(size, known);
+        String key = engines + "/" + plains;
+        CallPathWorld world = WORLDS.get(key);
+        if (world == null) {
+            world = CallPathWorld.start(engines, plains);
+            WORLDS.put(key, world);
         }
-        known.heal();
-        return known;
+        world.heal();
+        return world;
     }
 
     /** Ends a path that a scenario has broken for good. */
--- a/src/test/java/io/waxwingquay/scenario/SilenceSteps.java
+++ b/src/test/java/io/waxwingquay/scenario/SilenceSteps.java
@@ -15,25 +15,25 @@
 /** Steps on silent connections. The bound is counted in polls lost, not in time. */
 public final class SilenceSteps {
 
-    private static final int TOKENS = 60;
-    private static final int TOKENS_BEFORE = 5;
+    private static final int TOKENS_PER_ANSWER = 60;
+    private static final int TOKENS_BEFORE_SILENCE = 5;
     private static final List<String> SIDES = List.of("studio-0", "studio-1");
 
     private CallPathWorld world;
-    private List<CompletableFuture<CallerAnswer>> sent;
+    private List<CompletableFuture<CallerAnswer>> pendingAnswers;
     private double resumesBefore;
     private long startedBefore;
 
     /** Takes the path. */
     @Given("silence: a path of two engines")
-    public void path() throws Exception {
-        world = SharedPath.take(2, 1);
+    public void takeSharedPath() throws Exception {
+        world = SharedCallPaths.take(2, 1);
     }
 
     /** Silences what leads to the sides. */
     @When("silence: every open connection to the sides goes silent while {int} completions are streamed")
     public void silenceSides(int count) throws Exception {
-        send(count);
+        streamCompletions(count);
         SIDES.forEach(side -> world.sideLink(side).silenceOpen());
     }
 
@@ -41,76 +41,79 @@
     @When("silence: every open connection to the sides goes silent twice while {int} completions are streamed")
     public void silenceSidesTwice(int count) throws Exception {
         silenceSides(count);
-        Await.until(() -> resumes() >= count);
+        Await.until(() -> resumeCount() >= count);
         SIDES.forEach(side -> world.sideLink(side).silenceOpen());
     }
 
     /** Silences what leads to the engines. */
     @When("silence: every open connection to the engines goes silent while {int} completions are streamed")
     public void silenceEngines(int count) throws Exception {
-        send(count);
+        streamCompletions(count);
         SIDES.forEach(side -> world.targetLink(side).silenceOpen());
     }
 
     /** Silences all. */
     @When("silence: every open connection goes silent while {int} completions are streamed")
     public void silenceAll(int count) throws Exception {
-        send(count);
+        streamCompletions(count);
         SIDES.forEach(side -> world.targetLink(side).silenceOpen());
         SIDES.forEach(side -> world.sideLink(side).silenceOpen());
     }
 
     /** Compares every text. */
     @Then("silence: all {int} are answered whole")
-    public void whole(int count) throws Exception {
+    public void verifyAnswersWhole(int count) throws Exception {
         for (int number = 0; number < count; number++) {
-            CallerAnswer answer = Await.value(sent.get(number));
+            CallerAnswer answer = Await.value(pendingAnswers.get(number));
             assertTrue(answer.isWhole(), answer.toString());
-            assertEquals(CallPathWorld.expected("silent " + number, TOKENS), answer.text());
+            assertEquals(CallPathWorld.expectedText("silent " + number, TOKENS_PER_ANSWER), answer.text());
         }
     }
 
     /** Counts. */
     @Then("silence: each was taken up again at most once")
-    public void atMostOnce() {
-        atMost(1);
+    public void verifyResumedAtMostOnce() {
+        verifyResumes(1);
     }
 
     /** Counts. */
     @Then("silence: each was taken up again at most {int} times")
-    public void atMost(int times) {
-        double resumes = resumes();
+    public void verifyResumes(int times) {
+        double resumes = resumeCount();
         assertTrue(resumes > 0, "no connection was noticed");
-        assertTrue(resumes <= (double) times * sent.size(), resumes + " resumes of " + sent.size() + " requests");
+        assertTrue(
+                resumes <= (double) times * pendingAnswers.size(),
+                resumes + " resumes of " + pendingAnswers.size() + " requests");
     }
 
     /** Counts. */
     @Then("silence: the engines ran {int} generations")
-    public void ran(int count) {
-        assertEquals(count, started() - startedBefore);
+    public void verifyGenerations(int count) {
+        assertEquals(count, startedGenerations() - startedBefore);
     }
 
-    private void send(int count) throws Exception {
-        resumesBefore = world.resumes(0) + world.resumes(1);
-        startedBefore = started();
-        long tokensBefore = tokens();
-        sent = IntStream.range(0, count)
-                .mapToObj(number -> world.complete(world.entry(number % 2), "silent " + number, TOKENS))
+    private void streamCompletions(int count) throws Exception {
+        resumesBefore = world.resumeCount(0) + world.resumeCount(1);
+        startedBefore = startedGenerations();
+        long tokensBefore = generatedTokens();
+        pendingAnswers = IntStream.range(0, count)
+                .mapToObj(number ->
+                        world.sendCompletion(world.entryAddress(number % 2), "silent " + number, TOKENS_PER_ANSWER))
                 .toList();
-        Await.until(() -> tokens() >= tokensBefore + (long) count * TOKENS_BEFORE);
+        Await.until(() -> generatedTokens() >= tokensBefore + (long) count * TOKENS_BEFORE_SILENCE);
     }
 
-    private double resumes() {
-        return world.resumes(0) + world.resumes(1) - resumesBefore;
+    private double resumeCount() {
+        return world.resumeCount(0) + world.resumeCount(1) - resumesBefore;
     }
 
-    private long started() {
+    private long startedGenerations() {
         return world.engines().stream()
                 .mapToLong(engine -> engine.stats().batch().started())
                 .sum();
     }
 
-    private long tokens() {
+    private long generatedTokens() {
         return world.engines().stream()
                 .mapToLong(engine -> engine.stats().batch().tokens())
                 .sum();
--- a/src/test/java/io/waxwingquay/scenario/StartedProcess.java
+++ b/src/test/java/io/waxwingquay/scenario/StartedProcess.java
@@ -18,8 +18,8 @@
 /** One process of the jar's main class, started on the test's own class path and ended by its handle. */
 final class StartedProcess implements AutoCloseable {
 
-    private static final Pattern PORT = Pattern.compile("listens on port (\\d+)");
-    private static final long END_SECONDS = 20;
+    private static final Pattern PORT_LOG_LINE = Pattern.compile("listens on port (\\d+)");
+    private static final long EXIT_TIMEOUT_SECONDS = 20;
 
     private final Process process;
     private final Path log;
@@ -45,10 +45,10 @@
         return new StartedProcess(started, log);
     }
 
-    static void run(Path log, List<String> arguments) throws Exception {
+    static void runToEnd(Path log, List<String> arguments) throws Exception {
         try (StartedProcess command = start(log, arguments)) {
-            assertTrue(command.process.waitFor(END_SECONDS, TimeUnit.SECONDS), "did not end: " + arguments);
-            assertEquals(0, command.process.exitValue(), arguments + "\n" + command.logged());
+            assertTrue(command.process.waitFor(EXIT_TIMEOUT_SECONDS, TimeUnit.SECONDS), "did not end: " + arguments);
+            assertEquals(0, command.process.exitValue(), arguments + "\n" + command.logText());
         }
     }
 
@@ -56,8 +56,8 @@
     int awaitPort() throws Exception {
         List<Integer> found = Collections.synchronizedList(new ArrayList<>());
         Await.until(() -> {
-            assertTrue(isAlive(), logged());
-            Matcher matcher = PORT.matcher(logged());
+            assertTrue(isAlive(), logText());
+            Matcher matcher = PORT_LOG_LINE.matcher(logText());
             if (matcher.find()) {
                 found.add(Integer.valueOf(matcher.group(1)));
             }
@@ -70,14 +70,14 @@
         return process.isAlive();
     }
 
-    String logged() throws IOException {
+    String logText() throws IOException {
         return Files.readString(log);
     }
 
     /** SIGKILL, as a machine that loses its power. */
     void kill() throws InterruptedException {
         process.destroyForcibly();
-        assertTrue(process.waitFor(END_SECONDS, TimeUnit.SECONDS), "a killed process did not end");
+        assertTrue(process.waitFor(EXIT_TIMEOUT_SECONDS, TimeUnit.SECONDS), "a killed process did not end");
     }
 
     void pause() throws Exception {
@@ -95,8 +95,8 @@
     }
 
     private void signal(String name) throws Exception {
-        Process sent = new ProcessBuilder("kill", name, Long.toString(process.pid())).start();
-        assertTrue(sent.waitFor(END_SECONDS, TimeUnit.SECONDS), "kill did not end");
-        assertEquals(0, sent.exitValue());
+        Process killCommand = new ProcessBuilder("kill", name, Long.toString(process.pid())).start();
+        assertTrue(killCommand.waitFor(EXIT_TIMEOUT_SECONDS, TimeUnit.SECONDS), "kill did not end");
+        assertEquals(0, killCommand.exitValue());
     }
 }
--- a/src/test/java/io/waxwingquay/scenario/VersionRecord.java
+++ b/src/test/java/io/waxwingquay/scenario/VersionRecorder.java
@@ -10,27 +10,27 @@
 import java.util.stream.IntStream;
 
 /** The versions that each process was seen to have in force, one after another. */
-final class VersionRecord implements AutoCloseable {
+final class VersionRecorder implements AutoCloseable {
 
-    private static final long STEP_MILLIS = 2L;
+    private static final long SAMPLE_INTERVAL_MILLIS = 2L;
 
     private final DeploymentWorld world;
-    private final Map<String, List<Long>> seen = new LinkedHashMap<>();
-    private final Thread watcher = new Thread(this::watch, "version-record");
+    private final Map<String, List<Long>> versionsByProcess = new LinkedHashMap<>();
+    private final Thread sampler = new Thread(this::sampleUntilClosed, "version-record");
     private volatile boolean closed;
 
-    VersionRecord(DeploymentWorld world) {
+    VersionRecorder(DeploymentWorld world) {
         this.world = world;
     }
 
     void start() {
-        watcher.setDaemon(true);
-        watcher.start();
+        sampler.setDaemon(true);
+        sampler.start();
     }
 
     /** Processes whose version went down, with the versions seen. */
-    synchronized List<String> reversions() {
-        return seen.entrySet().stream()
+    synchronized List<String> processesWithDecrease() {
+        return versionsByProcess.entrySet().stream()
                 .filter(entry -> IntStream.range(1, entry.getValue().size())
                         .anyMatch(at ->
                                 entry.getValue().get(at) < entry.getValue().get(at - 1)))
@@ -38,18 +38,18 @@
                 .collect(Collectors.toList());
     }
 
-    private void watch() {
+    private void sampleUntilClosed() {
         while (!closed) {
-            note(world.versions());
-            LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(STEP_MILLIS));
+            append(world.bundleVersions());
+            LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(SAMPLE_INTERVAL_MILLIS));
         }
     }
 
-    private synchronized void note(Map<String, Long> versions) {
+    private synchronized void append(Map<String, Long> versions) {
         versions.forEach((process, version) -> {
-            List<Long> before = seen.computeIfAbsent(process, name -> new ArrayList<>());
-            if (before.isEmpty() || !before.get(before.size() - 1).equals(version)) {
-                before.add(version);
+            List<Long> history = versionsByProcess.computeIfAbsent(process, name -> new ArrayList<>());
+            if (history.isEmpty() || !history.get(history.size() - 1).equals(version)) {
+                history.add(version);
             }
         });
     }
--- a/src/test/java/io/waxwingquay/testing/FreePorts.java
+++ b/src/test/java/io/waxwingquay/testing/FreePorts.java
@@ -13,13 +13,14 @@
  */
 public final class FreePorts {
 
-    private static final int LOWEST = 10_000;
-    private static final int HIGHEST = 30_000;
+    private static final int FIRST_PORT = 10_000;
+    private static final int END_PORT = 30_000;
 
     /** Processes that run at the same time begin this many ports apart. */
     private static final int PORTS_PER_PROCESS = 101;
 
-    private static int next = wrapped(LOWEST + ProcessHandle.current().pid() * PORTS_PER_PROCESS);
+    private static int nextPort =
+            wrapIntoRange(FIRST_PORT + ProcessHandle.current().pid() * PORTS_PER_PROCESS);
 
     private FreePorts() {}
 
@@ -31,18 +32,18 @@
      * @return the first of them.
      */
     public static synchronized int adjacent(int count, List<String> hosts) {
-        for (int searched = 0; searched < HIGHEST - LOWEST; searched += count) {
-            int base = next;
-            next = wrapped(base + count);
+        for (int searched = 0; searched < END_PORT - FIRST_PORT; searched += count) {
+            int base = nextPort;
+            nextPort = wrapIntoRange(base + count);
             if (areFree(base, count, hosts)) {
                 return base;
             }
         }
-        throw new IllegalStateException("no " + count + " free ports between " + LOWEST + " and " + HIGHEST);
+        throw new IllegalStateException("no " + count + " free ports between " + FIRST_PORT + " and " + END_PORT);
     }
 
-    private static int wrapped(long port) {
-        return (int) (LOWEST + (port - LOWEST) % (HIGHEST - LOWEST));
+    private static int wrapIntoRange(long port) {
+        return (int) (FIRST_PORT + (port - FIRST_PORT) % (END_PORT - FIRST_PORT));
     }
 
     private static boolean areFree(int base, int count, List<String> hosts) {
