--- a/src/test/java/io/waxwingquay/scenario/AnswerSteps.java
+++ b/src/test/java/io/waxwingquay/scenario/AnswerSteps.java
@@ -22,7 +22,7 @@
 import java.util.stream.IntStream;
 import org.eclipse.jetty.client.HttpClient;
 
-/** Steps on whole answers. The scenarios share one path, which each finds without faults. */
+/** Steps on whole answers. The scenarios share one call path, which is free of faults when a scenario takes it. */
 public final class AnswerSteps {
 
     private static final int TOKENS_PER_ANSWER = 40;
@@ -34,13 +34,13 @@
     private CallPathWorld world;
     private List<CompletableFuture<CallerAnswer>> pendingAnswers;
 
-    /** Takes the path, healed. */
+    /** Takes the shared call path and clears its faults. */
     @Given("answers: a path of two engines")
     public void takeSharedPath() throws Exception {
         world = SharedCallPaths.take(2, 1);
     }
 
-    /** Sends the requests and lets the faults hit in the middle of their streams. */
+    /** Sends the requests and injects the faults in the middle of their streams. */
     @When("answers: {int} completions are streamed through two entries with {string} and {string}")
     public void streamCompletions(int count, String fault, String otherFault) throws Exception {
         injectBeforeSending(fault);
@@ -55,7 +55,7 @@
         injectDuringStreams(otherFault);
     }
 
-    /** Compares every text. */
+    /** Compares the text of every answer with the text that the engines generate for its prompt. */
     @Then("answers: each caller has the whole answer to its own request")
     public void verifyAnswersWhole() throws Exception {
         for (int number = 0; number < pendingAnswers.size(); number++) {
@@ -65,7 +65,7 @@
         }
     }
 
-    /** Reads the first event of a long stream and closes the connection. */
+    /** Reads the first bytes of a long stream and closes the connection while the engine still generates. */
     @When("answers: a caller reads the start of a long answer and goes")
     public void disconnectMidStream() throws Exception {
         HostPort entry = world.entryAddress(0);
@@ -82,7 +82,7 @@
         }
     }
 
-    /** Waits until no engine runs anything, long before the answer could have been whole. */
+    /** Waits until no engine runs a generation, and checks that under half of the long answer was generated since. */
     @Then("answers: no engine goes on with it")
     public void verifyNoEngineContinues() throws Exception {
         long tokensAtDisconnect = generatedTokens();
@@ -98,7 +98,7 @@
         }
         assertTrue(
                 generatedTokens() < tokensAtDisconnect + LONG_ANSWER_TOKENS / 2,
-                "the engine went on to " + generatedTokens());
+                "the engine went on after the disconnect, tokens generated: " + generatedTokens());
     }
 
     private void injectBeforeSending(String fault) {
--- a/src/test/java/io/waxwingquay/scenario/BundleSteps.java
+++ b/src/test/java/io/waxwingquay/scenario/BundleSteps.java
@@ -18,7 +18,7 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.function.UnaryOperator;
 
-/** Steps on bundles in force. */
+/** Steps on the bundle version in force. */
 public final class BundleSteps {
 
     private static final int MIN_ROGUE_FETCHES = 4;
@@ -29,19 +29,19 @@
     private List<Outcome> outcomes = List.of();
     private RoguePeer roguePeer;
 
-    /** Stops the recording before the deployment goes. */
+    /** Stops the recording before the deployment is closed. */
     @After(order = 20_000)
     public void close() {
         versionRecorder.close();
     }
 
-    /** Records each process's version from now on. */
+    /** Starts to record the bundle version of each process. */
     @Given("each process's version is recorded")
     public void startRecording() {
         versionRecorder.start();
     }
 
-    /** Two operators submit different bundles of one version at once. */
+    /** Submits two different bundles of one version concurrently. */
     @When("two operators submit different bundles of version {int} at once")
     public void submitTwoBundlesAtOnce(int version) {
         CompletableFuture<Outcome> first =
@@ -51,7 +51,7 @@
         outcomes = List.of(first.join(), second.join());
     }
 
-    /** The platform loses its answers to writes; the operator submits, and submits again once answers come. */
+    /** Submits a bundle while the platform's answers are lost, and submits it again once they arrive. */
     @When("an operator submits version {int} and its answers are lost, then again")
     public void submitAgainAfterLostAnswers(int version) {
         Faults faults = world.deployment().platform().faults();
@@ -61,27 +61,27 @@
         outcomes = List.of(unansweredOutcome, submit(version, UnaryOperator.identity()));
     }
 
-    /** An operator submits a bundle. */
+    /** Submits a bundle that differs from the one in force by its version only. */
     @When("an operator submits version {int}")
     public void submitOnce(int version) {
         outcomes = List.of(submit(version, UnaryOperator.identity()));
     }
 
-    /** An operator rolls out larger versions of every model, which do not fit beside the old ones. */
+    /** Rolls out larger versions of every model, which do not fit into memory beside the old ones. */
     @When("an operator rolls out larger versions of every model as version {int}")
     public void rollOutLargerModels(int version) {
         outcomes = List.of(submit(version, text -> text.replace("version = \"1\"", "version = \"2\"")
                 .replace("size_bytes = 14_000", "size_bytes = " + LARGER_MODEL_BYTES)));
     }
 
-    /** A peer tells of a far higher version and hands out what no operator signed. */
+    /** Starts a peer that announces a far higher version and serves a bundle that must not be adopted. */
     @When("a peer offers {word} bundles as version {int}")
     public void startRoguePeer(String kind, int version) {
         roguePeer = world.closeAtEnd(RoguePeer.start(world, kind, version));
         roguePeer.sendUpdateToAll();
     }
 
-    /** Waits until the offers were fetched. */
+    /** Waits until the rogue peer's bundle has been fetched often enough. */
     @When("its offers have been fetched")
     public void awaitRogueFetches() throws Exception {
         Await.until(() -> {
@@ -90,7 +90,7 @@
         });
     }
 
-    /** Restarts a side that reaches the platform no more. */
+    /** Restarts a side during the outage of the platform, either with one peer as its seed or with none. */
     @When("the side {int} is restarted and knows {word}")
     public void restartSide(int replica, String knownProcesses) {
         LocalDeployment deployment = world.deployment();
@@ -100,7 +100,7 @@
                 world.modelService(), replica, "nobody".equals(knownProcesses) ? List.of() : List.of(knownPeer));
     }
 
-    /** A process that reaches nobody has no bundle. */
+    /** Checks that a process that reaches neither the platform nor a peer has no bundle and is not ready. */
     @Then("the side {int} is not ready and has no bundle")
     public void verifyNotReady(int replica) {
         SideProcess side = world.modelSide(replica);
@@ -108,7 +108,7 @@
         assertEquals(0L, side.bundleVersion());
     }
 
-    /** A process that reaches a peer takes the bundle from it. */
+    /** Waits until a process has taken the bundle from a reachable peer. */
     @Then("the side {int} becomes ready with version {int}")
     public void awaitReady(int replica, int version) throws Exception {
         SideProcess side = world.modelSide(replica);
@@ -116,13 +116,13 @@
         assertEquals(version, side.bundleVersion());
     }
 
-    /** Lets the platform answer again. */
+    /** Ends the platform's outage. */
     @When("the platform answers again")
     public void restorePlatform() {
         world.deployment().platform().faults().next(Faults.Kind.OUT, 0);
     }
 
-    /** Checks the verdicts. */
+    /** Checks that one of two competing submissions was accepted and the other refused. */
     @Then("exactly one of them is accepted")
     public void verifyOneAccepted() {
         assertEquals(
@@ -130,20 +130,20 @@
                 outcomes.stream().map(Outcome::verdict).sorted().toList());
     }
 
-    /** Checks the last verdict. */
+    /** Checks the verdict of the last submission. */
     @Then("the operator is told that it is accepted")
     public void verifyAccepted() {
         assertEquals(Verdict.ACCEPTED, outcomes.get(outcomes.size() - 1).verdict());
     }
 
-    /** Waits for the version everywhere, and looks through the record. */
+    /** Waits until every process has the version in force, and checks that no recorded version ever decreased. */
     @Then("version {int} is in force in every process and no version ever went down")
     public void awaitVersionEverywhere(int version) throws Exception {
         Await.until(() -> world.bundleVersions().values().stream().allMatch(found -> found == version));
         assertEquals(List.of(), versionRecorder.processesWithDecrease());
     }
 
-    /** Waits until the engines hold the larger versions only. */
+    /** Waits until every larger version is resident and answers, and checks that no engine was overcommitted. */
     @Then("every model answers in its larger version")
     public void awaitLargerModels() throws Exception {
         List<String> items =
--- a/src/test/java/io/waxwingquay/scenario/CallPathWorld.java
+++ b/src/test/java/io/waxwingquay/scenario/CallPathWorld.java
@@ -53,10 +53,10 @@
 import org.eclipse.jetty.client.HttpClient;
 
 /**
- * Real sides and entries in this JVM with a link that can fail in front of every target and of every side.
+ * Sides and entries in this JVM, with a link for fault injection in front of every target and of every side.
  *
- * <p>Entries 0 and 1 reach the sides over links. Processes 0 and 1 are whole entry processes without links; the
- * membership that entries use is that of process 0. The random seed of the entries is 11.
+ * <p>Entry nodes 0 and 1 reach the sides over links. Entry processes 0 and 1 are complete and connect to the sides
+ * directly; the entry nodes use the membership of entry process 0. The random seed of the entry nodes is 11.
  */
 final class CallPathWorld implements AutoCloseable {
 
@@ -68,7 +68,7 @@
     private static final long PERMIT_LEASE_MILLIS = 500L;
     private static final List<Integer> ANY_PORTS = List.of(0, 0, 0);
 
-    /** These scenarios need a choice of targets for each model; which target holds what is not their subject. */
+    /** Gives each model a choice of targets; placement is not what these scenarios test. */
     private static final SideProcess.Decisions EVERY_MODEL_ON_EVERY_SIDE =
             new SideProcess.Decisions(CallPathWorld::planEveryModelEverywhere, AdmissionRule.WITH_RUN_TIME);
 
@@ -136,12 +136,12 @@
         return targetLinks.get(name);
     }
 
-    /** The link over which entries 0 and 1 reach a side. */
+    /** Returns the link over which entry nodes 0 and 1 reach a side. */
     LinkStandin sideLink(String name) {
         return linkTo(sides.get(name).address());
     }
 
-    /** The address for callers of an entry whose way to the sides leads over links. */
+    /** Returns the address for callers of an entry node that reaches the sides over links. */
     HostPort entryAddress(int number) {
         return entryNodes.get(number).address();
     }
@@ -150,7 +150,7 @@
         return entryProcesses.get(number).callerAddress();
     }
 
-    /** Ends every fault of stand-ins and links, and waits until all sides take work. */
+    /** Clears every fault of stand-ins and links, and waits until all sides accept work. */
     void heal() throws Exception {
         platform.faults().clear();
         engines.values().forEach(engine -> engine.faults().clear());
@@ -176,7 +176,7 @@
         targetLinks.put(name, LinkStandin.between(new HostPort(LOOPBACK, port), new HostPort(LOOPBACK, target)));
     }
 
-    /** Ends an entry at once, as a process that dies: what it had in flight is dropped. */
+    /** Closes an entry abruptly, as when its process dies: its requests in flight are dropped. */
     void closeEntry(int number) {
         entryNodes.get(number).close();
     }
@@ -185,7 +185,7 @@
         sides.get(name).close();
     }
 
-    /** Starts a side again in its next epoch. */
+    /** Starts a side again, in its next epoch, and waits until it is ready. */
     void restartSide(String name) throws Exception {
         String service = name.substring(0, name.lastIndexOf('-'));
         int replica = Integer.parseInt(name.substring(name.lastIndexOf('-') + 1));
@@ -193,7 +193,7 @@
         Await.until(() -> sides.get(name).isReady());
     }
 
-    /** Puts a plain service without memory of any call behind the address of the old one. */
+    /** Replaces a plain service with one at the same address that remembers no earlier call. */
     void replacePlain(int replica) {
         String name = "booking-" + replica;
         HostPort address = new HostPort(LOOPBACK, plainServices.get(name).port());
@@ -221,14 +221,14 @@
         return StandinText.answer("model:throwing@1", Optional.empty(), prompt, tokens);
     }
 
-    /** Runs of a key over all plain services that are there now. */
+    /** Counts the runs of a key over all current plain services. */
     int runCount(String key) {
         return plainServices.values().stream()
                 .mapToInt(plain -> plain.stats().runsByKey().getOrDefault(key, 0))
                 .sum();
     }
 
-    /** How often an entry took an attempt up again after a lost connection. */
+    /** Returns how often an entry node resumed an attempt after a lost connection. */
     double resumeCount(int entry) {
         return meters.get(entry).find("waxwingquay.resumes").counters().stream()
                 .mapToDouble(counter -> counter.count())
@@ -352,7 +352,7 @@
         return sideLinks.computeIfAbsent(address, LinkStandin::to);
     }
 
-    /** The bundle that every process of this world serves. */
+    /** Bundle source that always returns the bundle of this world. */
     private final class FixedBundle implements BundleSource {
 
         @Override
@@ -366,7 +366,7 @@
         }
     }
 
-    /** Connections that lead over this world's links. */
+    /** Connections that reach every side over its link. */
     private final class LinkedConnections implements Connections {
 
         private final Connections direct;
--- a/src/test/java/io/waxwingquay/scenario/ClaimSteps.java
+++ b/src/test/java/io/waxwingquay/scenario/ClaimSteps.java
@@ -20,7 +20,7 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.stream.IntStream;
 
-/** Steps on calls that may run at most once. */
+/** Steps on calls that must run at most once. */
 public final class ClaimSteps {
 
     private static final List<String> SIDES = List.of("booking-0", "booking-1");
@@ -34,7 +34,7 @@
     private Optional<CallPathWorld> world = Optional.empty();
     private boolean pathBroken;
 
-    /** Ends a path that lost a process for good. */
+    /** Discards a call path that has permanently lost a process. */
     @After
     public void discardBrokenPath() {
         if (pathBroken) {
@@ -42,13 +42,13 @@
         }
     }
 
-    /** Starts a path. */
+    /** Takes the shared call path and clears its faults. */
     @Given("claims: a path of two plain services")
     public void takeSharedPath() throws Exception {
         world = Optional.of(SharedCallPaths.take(1, 2));
     }
 
-    /** Sends the first tries. */
+    /** Sends the deposits for the first time and checks each outcome against the runs. */
     @When("claims: {int} deposits are sent through entry 0 with {string} and {string}")
     public void sendDeposits(int count, String fault, String otherFault) throws Exception {
         injectBeforeSending(fault);
@@ -66,7 +66,7 @@
         applyAfterAnswers(otherFault);
     }
 
-    /** Heals everything and sends the same calls again, as long as they are told to come back. */
+    /** Clears all faults and resends each deposit until its outcome is no longer that a claim is in progress. */
     @When("claims: the faults end and the same deposits are sent through entry 1 until told for good")
     public void resendUntilFinal() throws Exception {
         path().platform().faults().clear();
@@ -80,7 +80,7 @@
         }
     }
 
-    /** Counts once more at the end. */
+    /** Counts the runs again at the end, when no resend is left that could run. */
     @Then("claims: no deposit ran twice and what was told is true")
     public void verifyAtMostOnce() {
         for (int number = 0; number < firstOutcomes.size(); number++) {
@@ -91,7 +91,7 @@
         }
     }
 
-    /** Keeps the judge from being met by refusing for ever. */
+    /** Checks the outcomes, as a system that refuses every call would pass the checks on runs alone. */
     @Then("claims: every resend was told {string}")
     public void verifyResendOutcomes(String expectedOutcome) {
         resendOutcomes.forEach(
@@ -108,7 +108,7 @@
         return RefusalSteps.outcomeOf(answers.get(answers.size() - 1));
     }
 
-    /** Told at this moment, so a later run under a resend does not make it untrue. */
+    /** Compares an outcome with the runs so far; a resend may run later without making the outcome wrong. */
     private void verifyRunCount(int number, String outcome) {
         int runCount = runCount(number);
         assertTrue(runCount <= 1, key(number) + " ran " + runCount + " times");
@@ -120,7 +120,7 @@
         }
     }
 
-    /** Sides of a new path have no pooled connection, on which a call might get lost instead of being refused. */
+    /** Starts a new path, whose sides have no pooled connection on which a call might get lost instead of refused. */
     private void replacePath() throws Exception {
         SharedCallPaths.discard(path());
         takeSharedPath();
--- a/src/test/java/io/waxwingquay/scenario/DeploymentWorld.java
+++ b/src/test/java/io/waxwingquay/scenario/DeploymentWorld.java
@@ -25,8 +25,8 @@
 import java.util.function.UnaryOperator;
 
 /**
- * One scenario's deployment: 2 entries, 3 model engines, 2 plain targets, and a caller. Everything that a scenario
- * opens is closed with it, the newest first.
+ * Deployment of one scenario: 2 entries, 3 model engines, 2 plain targets, and a caller. Closing it closes everything
+ * that the scenario opened, the newest first.
  */
 final class DeploymentWorld implements AutoCloseable {
 
@@ -45,7 +45,7 @@
     private final AtomicInteger questionCount = new AtomicInteger();
     private final AtomicInteger wrongAnswers = new AtomicInteger();
 
-    /** The scenario's world, which all step classes share; scenarios run one after another. */
+    /** Returns the world that all step classes of a scenario share; scenarios run one after another. */
     static synchronized DeploymentWorld current() {
         if (current.isEmpty()) {
             current = Optional.of(new DeploymentWorld());
@@ -68,7 +68,7 @@
         deployment = Optional.of(startedDeployment);
         caller = Optional.of(closeAtEnd(new Caller()));
         if (!startedDeployment.awaitServing(START_TIMEOUT_MILLIS)) {
-            throw new AssertionError("not served: " + startedDeployment.unserved(entry(0)));
+            throw new AssertionError("models not served: " + startedDeployment.unserved(entry(0)));
         }
     }
 
@@ -80,12 +80,12 @@
         return deployment().entries().get(number);
     }
 
-    /** A side of the model service. */
+    /** Returns a side of the model service. */
     SideProcess modelSide(int replica) {
         return deployment().sides().get(modelSideName(replica));
     }
 
-    /** The engine behind a side of the model service. */
+    /** Returns the engine behind a side of the model service. */
     ModelEngineStandin engine(int replica) {
         return deployment().targets().engines().get(modelSideName(replica));
     }
@@ -102,7 +102,7 @@
         return deployment().bundle().models().stream().map(Bundle.Model::name).toList();
     }
 
-    /** Asks one entry for some tokens of a model; a whole answer with a wrong text counts as wrong. */
+    /** Sends a completion to one entry; a whole answer with an unexpected text is counted as wrong. */
     CompletableFuture<CallerAnswer> sendCompletion(int entry, String model, int tokens) {
         String prompt = "question " + questionCount.incrementAndGet();
         Caller.Completion completion =
@@ -112,7 +112,7 @@
                 .thenApply(answer -> countIfWrong(answer, model, prompt, tokens));
     }
 
-    /** Asks both entries in turn, one after another, and tells what each answered. */
+    /** Sends completions one after another, through the entries in turn, and returns the answers. */
     List<CallerAnswer> sendSequentially(String model, int times) throws Exception {
         List<CallerAnswer> answers = new ArrayList<>();
         for (int number = 0; number < times; number++) {
@@ -122,7 +122,7 @@
         return answers;
     }
 
-    /** Answers that were whole but not what the engines wrote. */
+    /** Returns how many answers were whole but differed from what the engines generate. */
     int wrongAnswerCount() {
         return wrongAnswers.get();
     }
@@ -145,12 +145,12 @@
                 .orElseThrow();
     }
 
-    /** Generations that each engine of the model service has started. */
+    /** Returns how many generations an engine of the model service has started. */
     long startedGenerations(int replica) {
         return engine(replica).stats().batch().started();
     }
 
-    /** Waits until a model answers whole through every entry that is left. */
+    /** Waits until a model gives a whole answer through every remaining entry. */
     void awaitWholeAnswer(String model) throws Exception {
         for (int entry = 0; entry < deployment().entries().size(); entry++) {
             int entryNumber = entry;
@@ -159,14 +159,14 @@
         }
     }
 
-    /** Waits until every model answers whole through every entry that is left. */
+    /** Waits until every model gives a whole answer through every remaining entry. */
     void awaitEveryModel() throws Exception {
         for (String model : models()) {
             awaitWholeAnswer(model);
         }
     }
 
-    /** The version in force in each process. */
+    /** Returns the bundle version in force in each process. */
     Map<String, Long> bundleVersions() {
         Map<String, Long> versions = new LinkedHashMap<>();
         deployment().entries().forEach(entry -> versions.put("entry at " + entry.address(), entry.bundleVersion()));
@@ -175,7 +175,7 @@
         return versions;
     }
 
-    /** Moments at which any engine's memory was overcommitted. */
+    /** Returns how often the memory of any engine was overcommitted. */
     long overcommitCount() {
         return deployment().targets().engines().values().stream()
                 .mapToLong(engine -> engine.stats().memory().overcommits())
@@ -187,7 +187,7 @@
         return closeable;
     }
 
-    /** The bundle of the scenarios with another version and perhaps other text. */
+    /** Returns the bundle document of the scenarios with another version and further changes to its text. */
     static byte[] bundleDocument(long version, UnaryOperator<String> change) {
         String text = new String(bundleDocument(), StandardCharsets.UTF_8)
                 .replace("version = 1\n\n", "version = " + version + "\n\n");
@@ -198,7 +198,7 @@
         try (InputStream stream = DeploymentWorld.class.getResourceAsStream(BUNDLE_RESOURCE)) {
             return stream.readAllBytes();
         } catch (IOException failure) {
-            throw new IllegalStateException("the bundle of the scenarios cannot be read", failure);
+            throw new IllegalStateException("the bundle document of the scenarios cannot be read", failure);
         }
     }
 
--- a/src/test/java/io/waxwingquay/scenario/EndToEndProcessesTest.java
+++ b/src/test/java/io/waxwingquay/scenario/EndToEndProcessesTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The whole path over processes that were started one by one. */
+/** End-to-end test of the call path over separate processes. */
 class EndToEndProcessesTest {
 
     private static final int TOKENS_PER_ANSWER = 8;
@@ -25,9 +25,10 @@
 
     @Test
     void callersGetWholeAnswersBeforeAndAfterASideAndAnEntryAreKilled() throws Exception {
-        // A side and then an entry lose their machine (SIGKILL). What was in flight there may break, but every
-        // request sent afterwards through the entry that is left is answered whole: its first choice may still
-        // be the dead side, which refuses the connection, so the request did not run and moves on.
+        // Guards against requests lost after a side and then an entry are killed with SIGKILL, as when their
+        // machine fails. Requests in flight there may fail, but every later request through the remaining entry
+        // gets a whole answer: if the entry still selects the dead side, the connection is refused, so the request
+        // has not run and can be retried on another side.
         try (ProcessWorld world = ProcessWorld.start(folder)) {
             verifyCompletions(world, List.of(0, 1), "before");
             verifyDepositRunsOnce(world, "deposit-1", 0, 1);
@@ -41,9 +42,10 @@
     }
 
     /**
-     * The caller sends a deposit, hears nothing, and sends it again through the other entry. The first entry has its claim
-     * in the table but is stopped (SIGSTOP) before it reads the answer; the resend withdraws that attempt at its side
-     * and runs its own; the first entry goes on (SIGCONT) and may not run what it still believes to hold.
+     * Guards against a second run by an entry that was paused while it held a claim. The caller resends an unanswered
+     * deposit through the other entry. The first entry has its claim in the table but is paused (SIGSTOP) before it
+     * reads the answer. The resend withdraws the first attempt at its side and runs its own. The first entry then
+     * continues (SIGCONT) and must not run the attempt whose claim it still believes to hold.
      */
     private static void verifyDepositRunsOnceWhileEntryPaused(ProcessWorld world, String key) throws Exception {
         world.setFaults("platform", "{\"slowMillis\":800}");
--- a/src/test/java/io/waxwingquay/scenario/EngineWorld.java
+++ b/src/test/java/io/waxwingquay/scenario/EngineWorld.java
@@ -36,7 +36,7 @@
 import org.eclipse.jetty.client.HttpClient;
 
 /**
- * One engine stand-in over HTTP and the real sides before it, old and new, on one time that moves when told to.
+ * One engine stand-in over HTTP with its current and earlier sides, all on one virtual clock that advances on request.
  */
 final class EngineWorld implements AutoCloseable {
 
@@ -73,12 +73,12 @@
         return engine;
     }
 
-    /** The newest side's ledger. */
+    /** Returns a snapshot of the newest side's memory ledger. */
     MemoryLedger.Snapshot newestSideMemory() {
         return sides.get(sides.size() - 1).memory().orElseThrow();
     }
 
-    /** Starts a side with a higher boot epoch, which wants one model. */
+    /** Starts a side in the next epoch, which wants one model, and runs one tick. */
     void startSide(String model) throws Exception {
         epoch++;
         HttpModelEngine engineClient =
@@ -92,7 +92,7 @@
         tick();
     }
 
-    /** Changes what the newest side wants. */
+    /** Changes the model that the newest side wants, and runs one tick. */
     void changeWantedModel(String model) throws Exception {
         newestWantedItems[0] = itemOf(model);
         tick();
@@ -102,23 +102,23 @@
         return "model:" + model + "@1";
     }
 
-    /** Kills the newest side; nothing of it runs on. */
+    /** Kills the newest side; none of its work continues. */
     void killNewestSide() {
         pauseNewestSide().close();
     }
 
-    /** Pauses the newest side. */
+    /** Pauses the newest side, which then gets no ticks. */
     SideNode pauseNewestSide() {
         return activeSides.remove(activeSides.size() - 1);
     }
 
-    /** Lets the oldest side go on. */
+    /** Resumes the oldest side, and runs one tick. */
     void resumeOldestSide() throws Exception {
         activeSides.add(sides.get(0));
         tick();
     }
 
-    /** The next order of any side reaches the engine only after so long, while older orders land meanwhile. */
+    /** Delays the next order of any side on its way to the engine; orders already under way arrive meanwhile. */
     void delayNextOrder(long millis) {
         nextOrderDelayMillis = millis;
     }
@@ -165,7 +165,7 @@
         Await.closeUnchecked(client::stop);
     }
 
-    /** The time of the sides and of the engine. */
+    /** Clock of the sides and timer of the engine; tasks run when {@link #advance} reaches their time. */
     private static final class VirtualTime implements Clock, StandinTimer {
 
         private final PriorityQueue<ScheduledTask> tasks = new PriorityQueue<>(
@@ -217,7 +217,7 @@
         private record ScheduledTask(long dueMicros, long sequence, Runnable task) {}
     }
 
-    /** The real client, whose orders can be waited for. */
+    /** Engine client that delays orders on request and keeps their answers, so that a tick can await them. */
     private final class TrackingEngine implements ModelEngine {
 
         private final ModelEngine delegate;
--- a/src/test/java/io/waxwingquay/scenario/LeavingSteps.java
+++ b/src/test/java/io/waxwingquay/scenario/LeavingSteps.java
@@ -22,7 +22,7 @@
 import java.util.stream.IntStream;
 import org.eclipse.jetty.client.HttpClient;
 
-/** Steps on targets that leave and on processes that shut down. */
+/** Steps on leaving targets and on the shutdown of processes. */
 public final class LeavingSteps {
 
     private static final int REPLICAS = 3;
@@ -40,7 +40,7 @@
     private Optional<CompletableFuture<?>> shutdown = Optional.empty();
     private long startedAtAnnouncement;
 
-    /** Opens one long stream. */
+    /** Opens one long stream and finds the target that runs it. */
     @Given("a long stream runs on a target")
     public void startLongStream() throws Exception {
         model = world.models().get(0);
@@ -56,7 +56,7 @@
                 .orElseThrow();
     }
 
-    /** Asks for more at once than the targets run at once. */
+    /** Sends more concurrent requests than the targets have slots, so that some of them queue. */
     @Given("more requests queue behind it than run at once")
     public void queueRequests() throws Exception {
         for (int number = 0; number < QUEUEING_REQUESTS; number++) {
@@ -65,20 +65,20 @@
         Await.until(() -> world.startedGenerations(leavingReplica) > 3);
     }
 
-    /** Shuts the side of that target down. */
+    /** Starts the shutdown of the side of that target. */
     @When("that target's side leaves")
     public void drainSide() {
         shutdown = Optional.of(world.modelSide(leavingReplica).drain());
         recordStartedGenerations();
     }
 
-    /** Shuts the first entry down. */
+    /** Starts the shutdown of the first entry. */
     @When("the first entry is shut down")
     public void drainFirstEntry() {
         shutdown = Optional.of(world.entry(0).drain());
     }
 
-    /** The platform's list says that the VM of that target leaves; the VM itself goes on announcing that it lives. */
+    /** Marks the VM of that target as leaving in the platform's list, while the VM keeps announcing itself as alive. */
     @When("the platform's list marks that target as leaving")
     public void markLeaving() throws Exception {
         Side side = world.entry(0)
@@ -100,7 +100,7 @@
         recordStartedGenerations();
     }
 
-    /** The list goes back to a time before the mark. */
+    /** Makes the platform's list return its state from before the mark. */
     @When("the platform's list goes back")
     public void rollBackList() {
         Faults faults = world.deployment().platform().faults();
@@ -108,7 +108,7 @@
         faults.next(Faults.Kind.LIST_BACKWARDS, Faults.FOREVER);
     }
 
-    /** Asks on, through both entries; each must be answered elsewhere. */
+    /** Sends requests through both entries until each is answered, and checks that the leaving target started none. */
     @Then("further requests are answered elsewhere and none starts on that target")
     public void verifyAnsweredElsewhere() throws Exception {
         for (int number = 0; number < REQUEST_ROUNDS; number++) {
@@ -121,10 +121,10 @@
         assertEquals(
                 startedAtAnnouncement,
                 world.startedGenerations(leavingReplica),
-                "generations started after it announced leaving");
+                "generations started after the side announced that it leaves");
     }
 
-    /** Waits for the streams. */
+    /** Waits for the open streams and the shutdown. */
     @Then("the open streams arrive whole and right")
     public void verifyStreamsWhole() throws Exception {
         for (CompletableFuture<CallerAnswer> answer : openAnswers) {
@@ -134,7 +134,7 @@
         Await.value(shutdown.orElseThrow());
     }
 
-    /** Waits for the streams and the queue. */
+    /** Waits for the first stream, the queued requests and the shutdown. */
     @Then("each request arrives whole and right or is told that it did not run")
     public void verifyWholeOrRejected() throws Exception {
         assertTrue(
@@ -147,7 +147,7 @@
         Await.value(shutdown.orElseThrow());
     }
 
-    /** Whether it is whole; else it must be a refusal that says truly that nothing ran. */
+    /** Returns whether an answer is whole; if not, checks that it was rejected without having run. */
     private static boolean isWholeElseVerifyRejected(CallerAnswer answer) {
         assertTrue(answer.isWhole() || isRejected(answer), answer::toString);
         return answer.isWhole();
@@ -160,7 +160,9 @@
                         .isPresent();
     }
 
-    /** Requests that the side had let in before are still on their way to the engine at this moment. */
+    /**
+     * Counts the generations started so far. Requests that the side admitted before may not have reached the engine yet.
+     */
     private void recordStartedGenerations() {
         startedAtAnnouncement = world.startedGenerations(leavingReplica);
     }
--- a/src/test/java/io/waxwingquay/scenario/PoisonSteps.java
+++ b/src/test/java/io/waxwingquay/scenario/PoisonSteps.java
@@ -16,7 +16,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.stream.IntStream;
 
-/** Steps on requests that crash their targets. They go through whole entry processes. */
+/** Steps on requests that crash their targets, sent through complete entry processes. */
 public final class PoisonSteps {
 
     private static final String POISON_PROMPT = "poison pill";
@@ -29,13 +29,13 @@
     private Optional<CallPathWorld> world = Optional.empty();
     private List<CompletableFuture<CallerAnswer>> otherAnswers = List.of();
 
-    /** Ends the path, which holds crashed engines. */
+    /** Closes the call path, which is not shared because its engines crash. */
     @After
     public void close() {
         world.ifPresent(CallPathWorld::close);
     }
 
-    /** Starts a path whose engines crash on the marked prompt. */
+    /** Starts a call path whose engines crash on the poison prompt, with or without an outage of the store. */
     @Given("poison: a path of four engines with the store {word}")
     public void startPath(String storeState) throws Exception {
         CallPathWorld started = CallPathWorld.start(4, 1);
@@ -47,7 +47,7 @@
         }
     }
 
-    /** Sends it through one entry after the other. */
+    /** Sends the poison request repeatedly, through the entries in turn, while other completions run. */
     @When("poison: {int} completions run while a poison request is sent {int} times, one after the other")
     public void sendSequentially(int others, int times) throws Exception {
         startOtherCompletions(others);
@@ -57,7 +57,7 @@
         }
     }
 
-    /** Sends copies at once, and each again when it has failed. */
+    /** Sends concurrent copies of the poison request, and sends as many again when all have failed. */
     @When("poison: {int} completions run while {int} copies of a poison request are sent at once and then again")
     public void sendAtOnce(int others, int copies) throws Exception {
         startOtherCompletions(others);
@@ -72,17 +72,17 @@
         }
     }
 
-    /** Counts crashes over all engines. */
+    /** Checks the number of crashes over all engines. */
     @Then("poison: at most {int} targets crashed")
     public void verifyCrashes(int targets) {
         int crashes = path().engines().stream()
                 .mapToInt(engine -> engine.stats().crashes())
                 .sum();
-        assertTrue(crashes >= 1, "the request never ran");
+        assertTrue(crashes >= 1, "the poison request never ran");
         assertTrue(crashes <= targets, crashes + " targets crashed");
     }
 
-    /** Asks once more; entries that have not heard of the second crash yet are told by the side they ask. */
+    /** Sends the request again; an entry not yet informed of the second crash learns of it from the side it selects. */
     @Then("poison: the poison request is refused with status 422 through every entry")
     public void verifyQuarantined() throws Exception {
         for (int number = 0; number < ENTRIES; number++) {
@@ -93,8 +93,9 @@
     }
 
     /**
-     * A caller whose answer broke off sends it again, when it is told to. The crashed target is away for a while and then
-     * loads its model again; resends that don't wait are all over before that, on a machine that is busy.
+     * Waits for the answers of the other callers, each of which resends an interrupted request after the retry-after
+     * delay. A crashed target is away for a while and then loads its model again; on a busy machine, resends without
+     * that delay would all be used up before the model is loaded.
      */
     @Then("poison: every other caller got its whole answer, sending again where it was told to")
     public void verifyOthersWhole() throws Exception {
--- a/src/test/java/io/waxwingquay/scenario/ProcessWorld.java
+++ b/src/test/java/io/waxwingquay/scenario/ProcessWorld.java
@@ -30,11 +30,11 @@
 import java.util.stream.IntStream;
 
 /**
- * A deployment of separate processes on loopback: platform, weight store, two engines, a plain service, their sides,
+ * Deployment of separate processes on loopback: platform, weight store, two engines, a plain service, their sides,
  * and two entries.
  *
- * <p>Stand-ins take port 0 and tell it in their log. Entries and sides are given ports that were free a moment
- * before: a caller has to know an entry's port, and warnings are all that they log.
+ * <p>Stand-ins bind port 0 and log the port that they got. Entries and sides are given ports that were free shortly
+ * before, because a caller has to know an entry's port and these processes log only warnings.
  */
 final class ProcessWorld implements AutoCloseable {
 
@@ -82,7 +82,7 @@
     private static final String LOOPBACK = "127.0.0.1";
     private static final int ENTRIES = 2;
 
-    /** For the other roles, administration and callers. */
+    /** One port each for the other roles, for administration and for callers. */
     private static final int PORTS_PER_PROCESS = 3;
 
     private static final long PERMIT_LEASE_MILLIS = 1_000L;
@@ -135,7 +135,7 @@
                 "booking", "pay-deposit", Optional.of(key), "{\"key\":\"" + key + "\"}", DEADLINE_MILLIS);
     }
 
-    /** The text of an answer asked for in one piece, or the whole body of an error. */
+    /** Returns the text of an answer requested without streaming, or the whole body of an error response. */
     String unstreamedCompletion(HostPort entry, String model, String prompt, int tokens) throws Exception {
         String body = Json.MAPPER
                 .createObjectNode()
@@ -154,19 +154,19 @@
                 : response.body();
     }
 
-    /** How often the plain service ran a key. */
+    /** Returns how often the plain service ran a key. */
     int runCount(String key) throws Exception {
         JsonNode stats = Json.MAPPER.readTree(httpGet("http://" + standinAddresses.get("booking-0") + "/stats"));
         return stats.path("runsByKey").path(key).asInt();
     }
 
-    /** Requests in flight at an entry, by its state dump. */
+    /** Returns the number of requests in flight at an entry, as its state dump reports it. */
     long inFlightRequests(String entry) throws Exception {
         JsonNode dump = Json.MAPPER.readTree(httpGet("http://" + LOOPBACK + ":" + adminPorts.get(entry) + "/dump"));
         return dump.path("sections").path("entry").path("inFlight").asLong();
     }
 
-    /** Whether the table has a claim under a key. */
+    /** Returns whether the table holds a claim under a key. */
     boolean isClaimed(String key) {
         String row = ClaimStore.rowKey("booking", key);
         org.eclipse.jetty.client.HttpClient client = HttpCalls.startClient(1, TABLE_TIMEOUT_MILLIS);
@@ -180,7 +180,7 @@
         }
     }
 
-    /** Makes a stand-in show faults. */
+    /** Sets the faults that a stand-in injects. */
     void setFaults(String standin, String settings) throws Exception {
         HttpRequest request = HttpRequest.newBuilder(URI.create("http://" + standinAddresses.get(standin) + "/faults"))
                 .POST(HttpRequest.BodyPublishers.ofString(settings))
@@ -213,16 +213,16 @@
         }
     }
 
-    /** A process that ends, or never serves, fails the test with what it logged. */
+    /** Waits until a process serves; if it ends or does not serve in time, fails the test with its log. */
     private void awaitServing(String name) throws Exception {
         StartedProcess process = processes.get(name);
         try {
             Await.until(() -> {
-                assertTrue(process.isAlive(), "ended");
+                assertTrue(process.isAlive(), "process ended");
                 return isServing(name);
             });
         } catch (AssertionError failure) {
-            throw new AssertionError(name + " is not serving, it logged: " + process.logText(), failure);
+            throw new AssertionError(name + " does not serve requests, its log: " + process.logText(), failure);
         }
     }
 
@@ -272,7 +272,7 @@
         StartedProcess.runToEnd(folder.resolve("command-" + arguments[1] + ".log"), List.of(arguments));
     }
 
-    /** Whether a completion of each model and a deposit get through each entry. */
+    /** Returns whether a process is ready and, if it is an entry, answers a completion of each model and a deposit. */
     private boolean isServing(String name) throws Exception {
         if (!callerPorts.containsKey(name)) {
             return isReady(name);
--- a/src/test/java/io/waxwingquay/scenario/ReachSteps.java
+++ b/src/test/java/io/waxwingquay/scenario/ReachSteps.java
@@ -15,7 +15,7 @@
 import java.util.Set;
 import java.util.concurrent.CompletableFuture;
 
-/** Steps on the reach of every model, and those that all scenarios on a deployment share. */
+/** Steps on the availability of every model, and steps that all scenarios on a deployment share. */
 public final class ReachSteps {
 
     private static final int WAVES = 6;
@@ -24,32 +24,32 @@
 
     private final DeploymentWorld world = DeploymentWorld.current();
 
-    /** Closes what the scenario opened. */
+    /** Closes the deployment and everything else that the scenario opened. */
     @After
     public void close() {
         DeploymentWorld.closeCurrent();
     }
 
-    /** Starts a deployment. */
+    /** Starts a deployment and waits until it serves every model. */
     @Given("a deployment that serves every model")
     public void startDeployment() throws InterruptedException {
         world.start(builder -> builder);
     }
 
-    /** Starts a deployment that hears from the platform late. */
+    /** Starts a deployment with a stale view of the platform's VM list. */
     @Given("a deployment whose VM list is {int} s late")
     public void startDeploymentWithLateList(int seconds) throws InterruptedException {
         world.start(builder -> builder.listLagMillis(1_000L * seconds));
     }
 
-    /** Ends a side and its engine at once. */
+    /** Closes a side and its engine abruptly. */
     @When("the target {int} dies with its side")
     public void killTargetAndSide(int replica) {
         world.modelSide(replica).close();
         world.engine(replica).close();
     }
 
-    /** Ends everything in a data centre at once: the first entry, a model target and a plain one. */
+    /** Closes everything in a data centre abruptly: the first entry, a model target and the side of a plain one. */
     @When("the first data centre is lost")
     public void loseFirstDataCentre() {
         world.deployment().entries().remove(0).close();
@@ -57,13 +57,13 @@
         killTargetAndSide(0);
     }
 
-    /** Takes the platform out. */
+    /** Starts an outage of the platform. */
     @When("the platform is out")
     public void failPlatform() {
         world.deployment().platform().faults().next(Faults.Kind.OUT, Faults.FOREVER);
     }
 
-    /** Asks far more for one model than for any other, in waves. */
+    /** Sends waves of requests for one model, and checks after each wave that no last copy of a model was evicted. */
     @When("demand for one model is tenfold")
     public void sendTenfoldDemand() throws Exception {
         String model = world.models().get(0);
@@ -77,12 +77,12 @@
                 answer.join();
             }
             for (EntryProcess entry : world.deployment().entries()) {
-                assertEquals(Set.of(), world.deployment().unserved(entry), "evicted as the last replica");
+                assertEquals(Set.of(), world.deployment().unserved(entry), "the last copy of these models was evicted");
             }
         }
     }
 
-    /** A model with two homes answers while one of them dies. */
+    /** Stops a target, and checks that every model with another copy keeps answering. */
     @When("a target dies, each model with a second home answers every request")
     public void verifySecondCopiesAnswer() throws Exception {
         EntryProcess entry = world.entry(0);
@@ -94,7 +94,7 @@
                 .filter(model -> itemsOfLostSide.contains(world.itemOf(model)))
                 .filter(model -> copyCount(entry, world.itemOf(model)) > 1)
                 .toList();
-        assertTrue(!modelsWithTwoCopies.isEmpty(), "no model of the target has a second home");
+        assertTrue(!modelsWithTwoCopies.isEmpty(), "no model of the target has a second copy");
         killTargetAndSide(1);
         for (String model : modelsWithTwoCopies) {
             world.sendSequentially(model, REQUESTS_PER_MODEL)
@@ -102,7 +102,7 @@
         }
     }
 
-    /** Asks for every model through every entry. */
+    /** Waits until every model answers through every entry, and checks for overcommits and wrong answers. */
     @Then("every model answers through every entry")
     public void verifyEveryModel() throws Exception {
         world.awaitEveryModel();
--- a/src/test/java/io/waxwingquay/scenario/RefusalSteps.java
+++ b/src/test/java/io/waxwingquay/scenario/RefusalSteps.java
@@ -18,10 +18,10 @@
 import java.util.function.Consumer;
 import java.util.stream.IntStream;
 
-/** Steps on what callers are told of calls that were not answered. */
+/** Steps on what callers are told about unanswered calls. */
 public final class RefusalSteps {
 
-    /** Calls reach their targets one table answer apart, a lost one included; the first still runs when the last does. */
+    /** Long enough that the first call still runs when the last starts, up to one lost table answer later. */
     private static final long SLOW_RUN_MILLIS = 2_500;
 
     private static final int LOST_TABLE_ANSWERS = 1;
@@ -32,7 +32,7 @@
     private boolean pathBroken;
     private List<CompletableFuture<CallerAnswer>> pendingAnswers;
 
-    /** Ends a path that lost a process for good. */
+    /** Discards a call path that has permanently lost a process. */
     @After
     public void discardBrokenPath() {
         if (pathBroken) {
@@ -40,13 +40,13 @@
         }
     }
 
-    /** Starts a path. */
+    /** Takes the shared call path and clears its faults. */
     @Given("refusals: a path of two plain services")
     public void takeSharedPath() throws Exception {
         world = Optional.of(SharedCallPaths.take(1, 2));
     }
 
-    /** Sends the calls, each with a key of its own. */
+    /** Sends the calls, each with its own key, and injects the faults. */
     @When("refusals: {int} deposits are sent with {string} and {string}")
     public void sendDeposits(int count, String fault, String otherFault) throws Exception {
         injectBeforeSending(fault);
@@ -58,7 +58,7 @@
         injectBetweenTakeAndRun(otherFault);
     }
 
-    /** Compares the runs, after everything that was slow has had its turn, with what was told. */
+    /** Compares each outcome with the runs of the call, after all calls have ended. */
     @Then("refusals: what each caller was told is true of the runs")
     public void verifyOutcomesTrue() throws Exception {
         for (int number = 0; number < pendingAnswers.size(); number++) {
@@ -69,12 +69,12 @@
                 assertEquals(0, runs, key(number) + " ran although its caller was told that it did not");
             }
             if (outcome.equals("answered") || outcome.equals("ran")) {
-                assertEquals(1, runs, key(number) + " was told as run");
+                assertEquals(1, runs, key(number) + " was reported as run");
             }
         }
     }
 
-    /** Keeps the judge from being met by telling "unknown" every time. */
+    /** Checks the outcomes, as a system that always reports "unknown" would pass the comparison with the runs. */
     @Then("refusals: every caller was told {string}")
     public void verifyOutcomes(String expectedOutcome) throws Exception {
         for (CompletableFuture<CallerAnswer> answer : pendingAnswers) {
@@ -85,7 +85,7 @@
         }
     }
 
-    /** Sides of a new path have no pooled connection, on which a call might get lost instead of being refused. */
+    /** Starts a new path, whose sides have no pooled connection on which a call might get lost instead of refused. */
     private void replacePath() throws Exception {
         SharedCallPaths.discard(path());
         takeSharedPath();
--- a/src/test/java/io/waxwingquay/scenario/ReplacementSteps.java
+++ b/src/test/java/io/waxwingquay/scenario/ReplacementSteps.java
@@ -12,7 +12,7 @@
 import io.waxwingquay.transport.generated.PermitRequest;
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** Steps on a second process for one target, while the first lives on. */
+/** Steps on a second side for one target while the first still runs. */
 public final class ReplacementSteps {
 
     private static final long PERMIT_LEASE_MILLIS = 1_000L;
@@ -21,14 +21,14 @@
     private final AtomicInteger permitCount = new AtomicInteger();
     private SideProcess firstSide;
 
-    /** Starts another process of the same name. */
+    /** Starts another side process of the same name. */
     @When("a second side starts for target {int} while the first lives on")
     public void startSecondSide(int replica) {
         firstSide = world.closeAtEnd(world.modelSide(replica));
         world.deployment().startSide(world.modelService(), replica);
     }
 
-    /** A superseded home always tells to come back after a whole lease. */
+    /** Waits for the first side to step down; a superseded lender always gives a whole lease as retry-after delay. */
     @Then("the first steps down and lends no permits of the shared limits")
     public void verifyFirstSuperseded() throws Exception {
         Await.until(firstSide::isLeaving);
--- a/src/test/java/io/waxwingquay/scenario/RoguePeer.java
+++ b/src/test/java/io/waxwingquay/scenario/RoguePeer.java
@@ -24,7 +24,7 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.stream.Stream;
 
-/** A process that tells of a far higher version, and hands out an old bundle or one that no operator signed. */
+/** Peer that announces a far higher version, and serves an older bundle or one that no operator signed. */
 final class RoguePeer implements PeerProtocol, AutoCloseable {
 
     private static final long ANNOUNCED_VERSION = 99L;
@@ -57,7 +57,7 @@
         return fetchCount.get();
     }
 
-    /** Tells every process of the version it does not have. */
+    /** Sends every process a status update with a version that this peer does not have. */
     void sendUpdateToAll() {
         HostPort self = server.address();
         GossipRequest update = new GossipRequest(
@@ -68,14 +68,14 @@
                 .forEach(address -> connections.to(address).gossip(update));
     }
 
-    /** Signed by a stranger. */
+    /** Returns the document signed with an untrusted key. */
     private static SignedBundle forged(byte[] document) {
         KeyPair untrustedKeys = KeyCodec.generate();
         return BundleSigner.of(untrustedKeys.getPrivate(), untrustedKeys.getPublic())
                 .sign(document);
     }
 
-    /** Another document under the signature of the bundle in force. */
+    /** Returns the document with the signature of the bundle in force, which belongs to another document. */
     private static SignedBundle altered(DeploymentWorld world, byte[] document, long version) {
         BundleAnswer bundleInForce;
         try (ThriftConnections fetchConnections = ThriftConnections.builder().build()) {
--- a/src/test/java/io/waxwingquay/scenario/ScenariosTest.java
+++ b/src/test/java/io/waxwingquay/scenario/ScenariosTest.java
@@ -5,7 +5,7 @@
 import org.junit.platform.suite.api.SelectClasspathResource;
 import org.junit.platform.suite.api.Suite;
 
-/** Runs every feature file under {@code scenarios} with the steps of this package. */
+/** Runs every feature file under {@code scenarios} with the step classes of this package. */
 @Suite
 @IncludeEngines("cucumber")
 @SelectClasspathResource("scenarios")
--- a/src/test/java/io/waxwingquay/scenario/SettingsSteps.java
+++ b/src/test/java/io/waxwingquay/scenario/SettingsSteps.java
@@ -13,7 +13,7 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 
-/** Steps on settings files. */
+/** Steps on the validation of settings files. */
 public final class SettingsSteps {
 
     private static final Path REFERENCE_FILE = Path.of("docs", "settings", "entry.toml");
@@ -21,13 +21,13 @@
     private String settingsText = "";
     private SettingsException rejection;
 
-    /** Takes the reference file and adds a line. */
+    /** Reads the reference file and appends a line. */
     @Given("the settings of an entry with {string} added")
     public void addLine(String line) throws IOException {
         settingsText = Files.readString(REFERENCE_FILE) + "\n" + line + "\n";
     }
 
-    /** Reads them. */
+    /** Parses the settings, which must be rejected. */
     @When("the settings are read")
     public void readSettings() {
         rejection = assertThrows(
@@ -35,7 +35,7 @@
                 () -> EntrySettings.parse("entry.toml", settingsText.getBytes(StandardCharsets.UTF_8)));
     }
 
-    /** Looks for the sentence. */
+    /** Checks that the error message contains a sentence. */
     @Then("they are refused with {string}")
     public void verifyMessage(String sentence) {
         assertTrue(rejection.getMessage().contains(sentence), rejection.getMessage());
--- a/src/test/java/io/waxwingquay/scenario/SharedCallPaths.java
+++ b/src/test/java/io/waxwingquay/scenario/SharedCallPaths.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** Paths that scenarios share one after the other, as a start takes seconds; each scenario gets one without faults. */
+/** Call paths that scenarios reuse one after another, as a start takes seconds; each use begins without faults. */
 public final class SharedCallPaths {
 
     private static final Map<String, CallPathWorld> WORLDS = new TreeMap<>();
@@ -22,14 +22,14 @@
         return world;
     }
 
-    /** Ends a path that a scenario has broken for good. */
+    /** Closes a call path that a scenario has permanently broken, so that it is not reused. */
     static void discard(CallPathWorld world) {
         if (WORLDS.values().remove(world)) {
             world.close();
         }
     }
 
-    /** Ends all of them. */
+    /** Closes all call paths. */
     @AfterAll
     public static void close() {
         WORLDS.values().forEach(CallPathWorld::close);
--- a/src/test/java/io/waxwingquay/scenario/SilenceSteps.java
+++ b/src/test/java/io/waxwingquay/scenario/SilenceSteps.java
@@ -12,7 +12,7 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.stream.IntStream;
 
-/** Steps on silent connections. The bound is counted in polls lost, not in time. */
+/** Steps on connections that go silent without being closed. The bounds are numbers of lost polls, not times. */
 public final class SilenceSteps {
 
     private static final int TOKENS_PER_ANSWER = 60;
@@ -24,20 +24,20 @@
     private double resumesBefore;
     private long startedBefore;
 
-    /** Takes the path. */
+    /** Takes the shared call path and clears its faults. */
     @Given("silence: a path of two engines")
     public void takeSharedPath() throws Exception {
         world = SharedCallPaths.take(2, 1);
     }
 
-    /** Silences what leads to the sides. */
+    /** Silences the open connections to the sides while completions are streamed. */
     @When("silence: every open connection to the sides goes silent while {int} completions are streamed")
     public void silenceSides(int count) throws Exception {
         streamCompletions(count);
         SIDES.forEach(side -> world.sideLink(side).silenceOpen());
     }
 
-    /** Silences what leads to the sides, and again once the streams go on over fresh connections. */
+    /** Silences the connections to the sides, and again once the streams have resumed over fresh connections. */
     @When("silence: every open connection to the sides goes silent twice while {int} completions are streamed")
     public void silenceSidesTwice(int count) throws Exception {
         silenceSides(count);
@@ -45,14 +45,14 @@
         SIDES.forEach(side -> world.sideLink(side).silenceOpen());
     }
 
-    /** Silences what leads to the engines. */
+    /** Silences the open connections to the engines while completions are streamed. */
     @When("silence: every open connection to the engines goes silent while {int} completions are streamed")
     public void silenceEngines(int count) throws Exception {
         streamCompletions(count);
         SIDES.forEach(side -> world.targetLink(side).silenceOpen());
     }
 
-    /** Silences all. */
+    /** Silences the open connections to sides and engines while completions are streamed. */
     @When("silence: every open connection goes silent while {int} completions are streamed")
     public void silenceAll(int count) throws Exception {
         streamCompletions(count);
@@ -60,7 +60,7 @@
         SIDES.forEach(side -> world.sideLink(side).silenceOpen());
     }
 
-    /** Compares every text. */
+    /** Compares the text of every answer with the text that the engines generate for its prompt. */
     @Then("silence: all {int} are answered whole")
     public void verifyAnswersWhole(int count) throws Exception {
         for (int number = 0; number < count; number++) {
@@ -70,23 +70,23 @@
         }
     }
 
-    /** Counts. */
+    /** Checks that requests were resumed, at most once each on average. */
     @Then("silence: each was taken up again at most once")
     public void verifyResumedAtMostOnce() {
         verifyResumes(1);
     }
 
-    /** Counts. */
+    /** Checks that requests were resumed, at most the given number of times each on average. */
     @Then("silence: each was taken up again at most {int} times")
     public void verifyResumes(int times) {
         double resumes = resumeCount();
-        assertTrue(resumes > 0, "no connection was noticed");
+        assertTrue(resumes > 0, "no silent connection was detected");
         assertTrue(
                 resumes <= (double) times * pendingAnswers.size(),
                 resumes + " resumes of " + pendingAnswers.size() + " requests");
     }
 
-    /** Counts. */
+    /** Checks the number of generations that the engines started, which a request run twice would exceed. */
     @Then("silence: the engines ran {int} generations")
     public void verifyGenerations(int count) {
         assertEquals(count, startedGenerations() - startedBefore);
--- a/src/test/java/io/waxwingquay/scenario/StartedProcess.java
+++ b/src/test/java/io/waxwingquay/scenario/StartedProcess.java
@@ -15,7 +15,7 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** One process of the jar's main class, started on the test's own class path and ended by its handle. */
+/** Process of the jar's main class, started with the class path of the test and stopped through its process handle. */
 final class StartedProcess implements AutoCloseable {
 
     private static final Pattern PORT_LOG_LINE = Pattern.compile("listens on port (\\d+)");
@@ -47,12 +47,12 @@
 
     static void runToEnd(Path log, List<String> arguments) throws Exception {
         try (StartedProcess command = start(log, arguments)) {
-            assertTrue(command.process.waitFor(EXIT_TIMEOUT_SECONDS, TimeUnit.SECONDS), "did not end: " + arguments);
+            assertTrue(command.process.waitFor(EXIT_TIMEOUT_SECONDS, TimeUnit.SECONDS), "did not exit: " + arguments);
             assertEquals(0, command.process.exitValue(), arguments + "\n" + command.logText());
         }
     }
 
-    /** The port that a stand-in started with port 0 tells in its log. */
+    /** Waits for the port that a stand-in started with port 0 writes to its log. */
     int awaitPort() throws Exception {
         List<Integer> found = Collections.synchronizedList(new ArrayList<>());
         Await.until(() -> {
@@ -74,10 +74,10 @@
         return Files.readString(log);
     }
 
-    /** SIGKILL, as a machine that loses its power. */
+    /** Kills the process with SIGKILL, as when its machine loses power. */
     void kill() throws InterruptedException {
         process.destroyForcibly();
-        assertTrue(process.waitFor(EXIT_TIMEOUT_SECONDS, TimeUnit.SECONDS), "a killed process did not end");
+        assertTrue(process.waitFor(EXIT_TIMEOUT_SECONDS, TimeUnit.SECONDS), "a killed process did not exit");
     }
 
     void pause() throws Exception {
@@ -96,7 +96,7 @@
 
     private void signal(String name) throws Exception {
         Process killCommand = new ProcessBuilder("kill", name, Long.toString(process.pid())).start();
-        assertTrue(killCommand.waitFor(EXIT_TIMEOUT_SECONDS, TimeUnit.SECONDS), "kill did not end");
+        assertTrue(killCommand.waitFor(EXIT_TIMEOUT_SECONDS, TimeUnit.SECONDS), "the kill command did not exit");
         assertEquals(0, killCommand.exitValue());
     }
 }
--- a/src/test/java/io/waxwingquay/scenario/VersionRecorder.java
+++ b/src/test/java/io/waxwingquay/scenario/VersionRecorder.java
@@ -9,7 +9,7 @@
 import java.util.stream.Collectors;
 import java.util.stream.IntStream;
 
-/** The versions that each process was seen to have in force, one after another. */
+/** Samples the bundle version in force in each process and records its changes in order. */
 final class VersionRecorder implements AutoCloseable {
 
     private static final long SAMPLE_INTERVAL_MILLIS = 2L;
@@ -28,7 +28,7 @@
         sampler.start();
     }
 
-    /** Processes whose version went down, with the versions seen. */
+    /** Returns the processes whose version has decreased, with the versions recorded. */
     synchronized List<String> processesWithDecrease() {
         return versionsByProcess.entrySet().stream()
                 .filter(entry -> IntStream.range(1, entry.getValue().size())
--- a/src/test/java/io/waxwingquay/testing/Await.java
+++ b/src/test/java/io/waxwingquay/testing/Await.java
@@ -10,7 +10,7 @@
 import java.util.concurrent.locks.LockSupport;
 
 /**
- * Waits for conditions and futures with a generous limit.
+ * Waits for conditions, futures and latches, with a generous time limit.
  */
 public final class Await {
 
@@ -19,22 +19,22 @@
     private Await() {}
 
     /**
-     * A condition that may throw.
+     * Condition whose evaluation may throw.
      */
     @FunctionalInterface
     public interface Condition {
 
         /**
-         * Looks once.
+         * Evaluates the condition once.
          *
          * @return whether it holds.
-         * @throws Exception if it cannot be told.
+         * @throws Exception if the evaluation fails, which ends the wait.
          */
         boolean holds() throws Exception;
     }
 
     /**
-     * Waits for a condition.
+     * Polls a condition until it holds, and fails if it does not hold within the limit.
      *
      * @param condition the condition.
      * @throws Exception if the condition throws.
@@ -42,30 +42,30 @@
     public static void until(Condition condition) throws Exception {
         long endNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(LIMIT_SECONDS);
         while (!condition.holds()) {
-            assertTrue(System.nanoTime() < endNanos, "the condition never held");
+            assertTrue(System.nanoTime() < endNanos, "the condition did not hold within the time limit");
             LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(5));
         }
     }
 
     /**
-     * Waits for a value.
+     * Waits for a future to complete.
      *
      * @param future the future.
-     * @param <T> the value's type.
-     * @return the value.
-     * @throws Exception if the future fails.
+     * @param <T> the type of the value.
+     * @return the value of the future.
+     * @throws Exception if the future fails or does not complete within the limit.
      */
     public static <T> T value(CompletableFuture<T> future) throws Exception {
         return future.get(LIMIT_SECONDS, TimeUnit.SECONDS);
     }
 
     /**
-     * Waits for a failure.
+     * Waits for a future to fail, and fails itself if the future completes normally.
      *
-     * @param type the failure expected.
+     * @param type the class of the expected failure.
      * @param future the future.
-     * @param <F> the failure's type.
-     * @return the failure.
+     * @param <F> the type of the failure.
+     * @return the cause of the failure.
      */
     public static <F extends Throwable> F failure(Class<F> type, CompletableFuture<?> future) {
         ExecutionException thrown =
@@ -74,10 +74,10 @@
     }
 
     /**
-     * Waits for a latch in a place that may not throw.
+     * Waits for a latch where no checked exception may be thrown; an interrupt ends the wait and stays set.
      *
      * @param latch the latch.
-     * @return whether it opened within the limit.
+     * @return whether the count reached zero within the limit.
      */
     public static boolean latch(CountDownLatch latch) {
         try {
@@ -89,15 +89,15 @@
     }
 
     /**
-     * Closes in a place that may not throw.
+     * Closes a resource where no checked exception may be thrown; wraps a failure in an unchecked exception.
      *
-     * @param closeable what to close.
+     * @param closeable the resource.
      */
     public static void closeUnchecked(AutoCloseable closeable) {
         try {
             closeable.close();
         } catch (Exception failure) {
-            throw new IllegalStateException("cannot close", failure);
+            throw new IllegalStateException("closing a resource failed", failure);
         }
     }
 }
--- a/src/test/java/io/waxwingquay/testing/FreePorts.java
+++ b/src/test/java/io/waxwingquay/testing/FreePorts.java
@@ -8,15 +8,15 @@
 import java.util.stream.IntStream;
 
 /**
- * Ports that a test hands to processes or nodes of its own. They lie below those that the system hands out by itself, or
- * a connection of anything else could take one between the look and the use.
+ * Finds free ports for the processes or nodes that a test starts. They lie below the ephemeral port range, as otherwise
+ * an unrelated connection could take a port between the check and its use.
  */
 public final class FreePorts {
 
     private static final int FIRST_PORT = 10_000;
     private static final int END_PORT = 30_000;
 
-    /** Processes that run at the same time begin this many ports apart. */
+    /** Distance between the first ports of processes with consecutive ids, so that concurrent processes differ. */
     private static final int PORTS_PER_PROCESS = 101;
 
     private static int nextPort =
@@ -25,11 +25,12 @@
     private FreePorts() {}
 
     /**
-     * Finds ports that lie side by side and are free for streams and datagrams. None is given twice within a process.
+     * Finds consecutive ports that are free for TCP and UDP. Within a process, a port is returned again only once the
+     * search has passed through the whole range.
      *
-     * @param count how many.
-     * @param hosts the addresses where they are to be free.
-     * @return the first of them.
+     * @param count the number of ports.
+     * @param hosts the addresses on which all of them must be free.
+     * @return the first of the consecutive ports.
      */
     public static synchronized int adjacent(int count, List<String> hosts) {
         for (int searched = 0; searched < END_PORT - FIRST_PORT; searched += count) {
