--- a/src/test/java/io/waxwingquay/scenario/ClaimSteps.java
+++ b/src/test/java/io/waxwingquay/scenario/ClaimSteps.java
@@ -80,7 +80,7 @@
         }
     }
 
-    /** Counts the runs again at the end, when no resend is left that could run. */
+    /** Checks after all resends that no deposit ran twice and that each deposit answered at first ran exactly once. */
     @Then("claims: no deposit ran twice and what was told is true")
     public void verifyAtMostOnce() {
         for (int number = 0; number < firstOutcomes.size(); number++) {
--- a/src/test/java/io/waxwingquay/scenario/DeploymentWorld.java
+++ b/src/test/java/io/waxwingquay/scenario/DeploymentWorld.java
@@ -175,7 +175,7 @@
         return versions;
     }
 
-    /** Returns how often the memory of any engine was overcommitted. */
+    /** Returns the number of instants at which the memory of any engine was overcommitted. */
     long overcommitCount() {
         return deployment().targets().engines().values().stream()
                 .mapToLong(engine -> engine.stats().memory().overcommits())
--- a/src/test/java/io/waxwingquay/scenario/LeavingSteps.java
+++ b/src/test/java/io/waxwingquay/scenario/LeavingSteps.java
@@ -124,7 +124,7 @@
                 "generations started after the side announced that it leaves");
     }
 
-    /** Waits for the open streams and the shutdown. */
+    /** Checks that the open streams end whole and with the right text, and waits for the shutdown. */
     @Then("the open streams arrive whole and right")
     public void verifyStreamsWhole() throws Exception {
         for (CompletableFuture<CallerAnswer> answer : openAnswers) {
@@ -134,7 +134,7 @@
         Await.value(shutdown.orElseThrow());
     }
 
-    /** Waits for the first stream, the queued requests and the shutdown. */
+    /** Checks that the first stream ends whole and every queued request is whole or rejected; awaits the shutdown. */
     @Then("each request arrives whole and right or is told that it did not run")
     public void verifyWholeOrRejected() throws Exception {
         assertTrue(
@@ -161,7 +161,8 @@
     }
 
     /**
-     * Counts the generations started so far. Requests that the side admitted before may not have reached the engine yet.
+     * Counts the generations that the target has started. At this moment, requests that the side admitted earlier may
+     * still be on their way to the engine.
      */
     private void recordStartedGenerations() {
         startedAtAnnouncement = world.startedGenerations(leavingReplica);
--- a/src/test/java/io/waxwingquay/scenario/ReachSteps.java
+++ b/src/test/java/io/waxwingquay/scenario/ReachSteps.java
@@ -36,7 +36,7 @@
         world.start(builder -> builder);
     }
 
-    /** Starts a deployment with a stale view of the platform's VM list. */
+    /** Starts a deployment whose processes see changes of the platform's VM list with a delay. */
     @Given("a deployment whose VM list is {int} s late")
     public void startDeploymentWithLateList(int seconds) throws InterruptedException {
         world.start(builder -> builder.listLagMillis(1_000L * seconds));
@@ -82,7 +82,7 @@
         }
     }
 
-    /** Stops a target, and checks that every model with another copy keeps answering. */
+    /** Kills a target, and checks that every model of it with two copies or more answers each request. */
     @When("a target dies, each model with a second home answers every request")
     public void verifySecondCopiesAnswer() throws Exception {
         EntryProcess entry = world.entry(0);
@@ -90,13 +90,13 @@
                 .side(DeploymentWorld.modelSideName(1))
                 .orElseThrow()
                 .residentItems();
-        List<String> modelsWithTwoCopies = world.models().stream()
+        List<String> modelsWithOtherCopies = world.models().stream()
                 .filter(model -> itemsOfLostSide.contains(world.itemOf(model)))
                 .filter(model -> copyCount(entry, world.itemOf(model)) > 1)
                 .toList();
-        assertTrue(!modelsWithTwoCopies.isEmpty(), "no model of the target has a second copy");
+        assertTrue(!modelsWithOtherCopies.isEmpty(), "no model of the target has a second copy");
         killTargetAndSide(1);
-        for (String model : modelsWithTwoCopies) {
+        for (String model : modelsWithOtherCopies) {
             world.sendSequentially(model, REQUESTS_PER_MODEL)
                     .forEach(answer -> assertTrue(answer.isWhole(), answer::toString));
         }
--- a/src/test/java/io/waxwingquay/scenario/RefusalSteps.java
+++ b/src/test/java/io/waxwingquay/scenario/RefusalSteps.java
@@ -58,7 +58,7 @@
         injectBetweenTakeAndRun(otherFault);
     }
 
-    /** Compares each outcome with the runs of the call, after all calls have ended. */
+    /** Compares each outcome with the runs of its call, once the caller has its answer. */
     @Then("refusals: what each caller was told is true of the runs")
     public void verifyOutcomesTrue() throws Exception {
         for (int number = 0; number < pendingAnswers.size(); number++) {
--- a/src/test/java/io/waxwingquay/testing/FreePorts.java
+++ b/src/test/java/io/waxwingquay/testing/FreePorts.java
@@ -25,7 +25,7 @@
     private FreePorts() {}
 
     /**
-     * Finds consecutive ports that are free for TCP and UDP. Within a process, a port is returned again only once the
+     * Finds consecutive ports that are free for TCP and UDP. Within a process, no port is returned twice until the
      * search has passed through the whole range.
      *
      * @param count the number of ports.
