--- a/src/test/java/io/waxwingquay/engine/HttpModelEngineTest.java
+++ b/src/test/java/io/waxwingquay/engine/HttpModelEngineTest.java
@@ -265,12 +265,12 @@
         RecordingListener listener = newListener();
         listener.afterTokens(1, () -> {
             inListener.countDown();
-            released.complete(Await.quietly(closed));
+            released.complete(Await.latch(closed));
         });
         AutoCloseable handle = engine.stream(generation("closing", 1_000), 0, listener);
         assertTrue(inListener.await(30, TimeUnit.SECONDS));
 
-        Await.value(CompletableFuture.runAsync(() -> Await.closing(handle)));
+        Await.value(CompletableFuture.runAsync(() -> Await.closeUnchecked(handle)));
         closed.countDown();
         assertTrue(Await.value(released));
     }
--- a/src/test/java/io/waxwingquay/scenario/CallPathWorld.java
+++ b/src/test/java/io/waxwingquay/scenario/CallPathWorld.java
@@ -53,10 +53,10 @@
 import org.eclipse.jetty.client.HttpClient;
 
 /**
- * Real sides and entries in this JVM with a link that can fail in front of every target and of every side.
+ * Sides and entries in this JVM, with a link for fault injection in front of every target and of every side.
  *
- * <p>Entries 0 and 1 reach the sides over links. Processes 0 and 1 are whole entry processes without links; the
- * membership that entries use is that of process 0. The random seed of the entries is 11.
+ * <p>Entry nodes 0 and 1 reach the sides over links. Entry processes 0 and 1 are complete and connect to the sides
+ * directly; the entry nodes use the membership of entry process 0. The random seed of the entry nodes is 11.
  */
 final class CallPathWorld implements AutoCloseable {
 
@@ -65,28 +65,32 @@
     private static final int ENTRIES = 2;
     private static final long SEED = 11L;
     private static final long TABLE_TIMEOUT_MILLIS = 1_000L;
-    private static final long LEASE_MILLIS = 500L;
+    private static final long PERMIT_LEASE_MILLIS = 500L;
     private static final List<Integer> ANY_PORTS = List.of(0, 0, 0);
 
-    /** These scenarios need a choice of targets for each model; which target holds what is not their subject. */
-    private static final SideProcess.Decisions EVERYTHING_EVERYWHERE =
-            new SideProcess.Decisions(CallPathWorld::planEverything, AdmissionRule.WITH_RUN_TIME);
+    /** Gives each model a choice of targets; placement is not what these scenarios test. */
+    private static final SideProcess.Decisions EVERY_MODEL_ON_EVERY_SIDE =
+            new SideProcess.Decisions(CallPathWorld::planEveryModelEverywhere, AdmissionRule.WITH_RUN_TIME);
 
     private final String document;
     private final Bundle bundle;
     private final PlatformStandin platform = PlatformStandin.builder().start();
     private final KeyPair operatorKey = KeyCodec.generate();
-    private final SettingsText texts = new SettingsText(
-            new HostPort(LOOPBACK, platform.port()), KeyCodec.encode(operatorKey.getPublic()), 1, LEASE_MILLIS, 0L);
-    private final HttpClient http = HttpCalls.startClient(16, TABLE_TIMEOUT_MILLIS);
+    private final SettingsText settingsTexts = new SettingsText(
+            new HostPort(LOOPBACK, platform.port()),
+            KeyCodec.encode(operatorKey.getPublic()),
+            1,
+            PERMIT_LEASE_MILLIS,
+            0L);
+    private final HttpClient httpClient = HttpCalls.startClient(16, TABLE_TIMEOUT_MILLIS);
     private final Caller caller = new Caller();
     private final Map<String, ModelEngineStandin> engines = new LinkedHashMap<>();
-    private final Map<String, PlainServiceStandin> plains = new LinkedHashMap<>();
+    private final Map<String, PlainServiceStandin> plainServices = new LinkedHashMap<>();
     private final Map<String, FaultInjectingProxy> targetLinks = new LinkedHashMap<>();
     private final Map<String, SideProcess> sides = new LinkedHashMap<>();
     private final Map<HostPort, FaultInjectingProxy> sideLinks = new ConcurrentHashMap<>();
-    private final List<EntryProcess> processes = new ArrayList<>();
-    private final List<EntryNode> entries = new ArrayList<>();
+    private final List<EntryProcess> entryProcesses = new ArrayList<>();
+    private final List<EntryNode> entryNodes = new ArrayList<>();
     private final List<ThriftConnections> connections = new ArrayList<>();
     private final List<MeterRegistry> meters = new ArrayList<>();
 
@@ -100,7 +104,7 @@
     static CallPathWorld start(int engineCount, int plainCount) throws Exception {
         CallPathWorld world = new CallPathWorld(engineCount, plainCount);
         try {
-            world.open();
+            world.startAll();
             return world;
         } catch (Exception | AssertionError failure) {
             world.close();
@@ -120,8 +124,8 @@
         return List.copyOf(engines.values());
     }
 
-    PlainServiceStandin plain(int replica) {
-        return plains.get("booking-" + replica);
+    PlainServiceStandin plainService(int replica) {
+        return plainServices.get("booking-" + replica);
     }
 
     SideProcess side(String name) {
@@ -132,32 +136,32 @@
         return targetLinks.get(name);
     }
 
-    /** The link over which entries 0 and 1 reach a side. */
+    /** Returns the link over which entry nodes 0 and 1 reach a side. */
     FaultInjectingProxy sideLink(String name) {
         return linkTo(sides.get(name).address());
     }
 
-    /** The address for callers of an entry whose way to the sides leads over links. */
-    HostPort entry(int number) {
-        return entries.get(number).address();
+    /** Returns the address for callers of an entry node that reaches the sides over links. */
+    HostPort entryAddress(int number) {
+        return entryNodes.get(number).address();
     }
 
-    HostPort process(int number) {
-        return processes.get(number).callerAddress();
+    HostPort entryProcessAddress(int number) {
+        return entryProcesses.get(number).callerAddress();
     }
 
-    /** Ends every fault of stand-ins and links, and waits until all sides take work. */
+    /** Clears every fault of stand-ins and links, and waits until all sides accept work. */
     void heal() throws Exception {
         platform.faults().clear();
         engines.values().forEach(engine -> engine.faults().clear());
-        plains.values().forEach(plain -> plain.faults().clear());
+        plainServices.values().forEach(plain -> plain.faults().clear());
         Stream.concat(targetLinks.values().stream(), sideLinks.values().stream())
                 .forEach(link -> {
                     link.heal();
                     link.delayMillis(0);
                 });
-        for (EntryProcess process : processes) {
-            Await.until(() -> knowsAll(process));
+        for (EntryProcess process : entryProcesses) {
+            Await.until(() -> seesEverySideServing(process));
         }
     }
 
@@ -168,21 +172,21 @@
 
     void reopenTarget(String name) {
         int port = targetLinks.get(name).port();
-        int target = plains.get(name).port();
+        int target = plainServices.get(name).port();
         targetLinks.put(
                 name, FaultInjectingProxy.between(new HostPort(LOOPBACK, port), new HostPort(LOOPBACK, target)));
     }
 
-    /** Ends an entry at once, as a process that dies: what it had in flight is dropped. */
+    /** Closes an entry abruptly, as when its process dies: its requests in flight are dropped. */
     void closeEntry(int number) {
-        entries.get(number).close();
+        entryNodes.get(number).close();
     }
 
     void stopSide(String name) {
         sides.get(name).close();
     }
 
-    /** Starts a side again in its next epoch. */
+    /** Starts a side again, in its next epoch, and waits until it is ready. */
     void restartSide(String name) throws Exception {
         String service = name.substring(0, name.lastIndexOf('-'));
         int replica = Integer.parseInt(name.substring(name.lastIndexOf('-') + 1));
@@ -190,43 +194,43 @@
         Await.until(() -> sides.get(name).isReady());
     }
 
-    /** Puts a plain service without memory of any call behind the address of the old one. */
+    /** Replaces a plain service with one at the same address that remembers no earlier call. */
     void replacePlain(int replica) {
         String name = "booking-" + replica;
-        HostPort address = new HostPort(LOOPBACK, plains.get(name).port());
-        plains.get(name).close();
-        plains.put(name, PlainServiceStandin.builder().address(address).start());
+        HostPort address = new HostPort(LOOPBACK, plainServices.get(name).port());
+        plainServices.get(name).close();
+        plainServices.put(name, PlainServiceStandin.builder().address(address).start());
     }
 
-    CompletableFuture<CallerAnswer> complete(HostPort entry, String prompt, int tokens) {
+    CompletableFuture<CallerAnswer> sendCompletion(HostPort entry, String prompt, int tokens) {
         return caller.complete(
                 entry, new Caller.Completion("throwing", Optional.empty(), prompt, tokens, 0, DEADLINE_MILLIS));
     }
 
-    CompletableFuture<CallerAnswer> deposit(HostPort entry, String key) {
-        return deposit(entry, key, DEADLINE_MILLIS);
+    CompletableFuture<CallerAnswer> sendDeposit(HostPort entry, String key) {
+        return sendDeposit(entry, key, DEADLINE_MILLIS);
     }
 
-    CompletableFuture<CallerAnswer> deposit(HostPort entry, String key, long deadlineMillis) {
+    CompletableFuture<CallerAnswer> sendDeposit(HostPort entry, String key, long deadlineMillis) {
         return caller.call(
                 entry,
                 new Caller.ServiceCall(
                         "booking", "pay-deposit", Optional.of(key), "{\"key\":\"" + key + "\"}", deadlineMillis));
     }
 
-    static String expected(String prompt, int tokens) {
+    static String expectedText(String prompt, int tokens) {
         return StandinText.answer("model:throwing@1", Optional.empty(), prompt, tokens);
     }
 
-    /** Runs of a key over all plain services that are there now. */
-    int runs(String key) {
-        return plains.values().stream()
+    /** Counts the runs of a key over all current plain services. */
+    int runCount(String key) {
+        return plainServices.values().stream()
                 .mapToInt(plain -> plain.stats().runsByKey().getOrDefault(key, 0))
                 .sum();
     }
 
-    /** How often an entry took an attempt up again after a lost connection. */
-    double resumes(int entry) {
+    /** Returns how often an entry node resumed an attempt after a lost connection. */
+    double resumeCount(int entry) {
         return meters.get(entry).find("waxwingquay.resumes").counters().stream()
                 .mapToDouble(counter -> counter.count())
                 .sum();
@@ -235,21 +239,21 @@
     /** {@inheritDoc} */
     @Override
     public void close() {
-        entries.forEach(EntryNode::close);
+        entryNodes.forEach(EntryNode::close);
         connections.forEach(ThriftConnections::close);
-        processes.forEach(EntryProcess::close);
+        entryProcesses.forEach(EntryProcess::close);
         sides.values().forEach(SideProcess::close);
         sideLinks.values().forEach(FaultInjectingProxy::close);
         targetLinks.values().forEach(FaultInjectingProxy::close);
         engines.values().forEach(ModelEngineStandin::close);
-        plains.values().forEach(PlainServiceStandin::close);
+        plainServices.values().forEach(PlainServiceStandin::close);
         platform.close();
         caller.close();
-        Await.closing(http::stop);
+        Await.closeUnchecked(httpClient::stop);
     }
 
-    private void open() throws Exception {
-        submit();
+    private void startAll() throws Exception {
+        submitBundle();
         for (Bundle.Service service : bundle.services()) {
             for (int replica = 0; replica < service.replicas(); replica++) {
                 startTarget(service, replica);
@@ -257,18 +261,18 @@
             }
         }
         for (int number = 0; number < ENTRIES; number++) {
-            String text = texts.entry(number, "waxwingquay", ANY_PORTS);
-            processes.add(EntryProcess.start(EntrySettings.parse("entry", text.getBytes(StandardCharsets.UTF_8))));
+            String text = settingsTexts.entry(number, "waxwingquay", ANY_PORTS);
+            entryProcesses.add(EntryProcess.start(EntrySettings.parse("entry", text.getBytes(StandardCharsets.UTF_8))));
         }
-        for (EntryProcess process : processes) {
-            Await.until(() -> knowsAll(process));
+        for (EntryProcess process : entryProcesses) {
+            Await.until(() -> seesEverySideServing(process));
         }
         for (int number = 0; number < ENTRIES; number++) {
-            startEntry();
+            startLinkedEntry();
         }
     }
 
-    private boolean knowsAll(EntryProcess process) {
+    private boolean seesEverySideServing(EntryProcess process) {
         return process.bundleVersion() == 1
                 && process.membership().sides().size() == sides.size()
                 && process.membership().sides().stream()
@@ -277,11 +281,11 @@
                                         || side.residentItems().contains("model:throwing@1")));
     }
 
-    private void submit() {
+    private void submitBundle() {
         HostPort address = new HostPort(LOOPBACK, platform.port());
         BundleArchive archive = new BundleArchive(
-                new HttpTableService(http, address, TABLE_TIMEOUT_MILLIS),
-                new HttpObjectStore(http, address, TABLE_TIMEOUT_MILLIS));
+                new HttpTableService(httpClient, address, TABLE_TIMEOUT_MILLIS),
+                new HttpObjectStore(httpClient, address, TABLE_TIMEOUT_MILLIS));
         BundleSigner signer = BundleSigner.of(operatorKey.getPrivate(), operatorKey.getPublic());
         BundleAcceptance.Outcome outcome = new BundleAcceptance(
                         archive, TrustedKeys.ofRoots(List.of(KeyCodec.encode(operatorKey.getPublic()))))
@@ -294,8 +298,8 @@
         String name = SettingsText.sideName(service.name(), replica);
         int port;
         if (service.kind() == Bundle.Kind.PLAIN) {
-            plains.put(name, PlainServiceStandin.builder().start());
-            port = plains.get(name).port();
+            plainServices.put(name, PlainServiceStandin.builder().start());
+            port = plainServices.get(name).port();
         } else {
             engines.put(
                     name,
@@ -312,36 +316,36 @@
     private void startSide(Bundle.Service service, int replica) {
         String name = SettingsText.sideName(service.name(), replica);
         HostPort target = new HostPort(LOOPBACK, targetLinks.get(name).port());
-        String text = texts.side(service, replica, target, ANY_PORTS);
+        String text = settingsTexts.side(service, replica, target, ANY_PORTS);
         SideSettings settings = SideSettings.parse(name, text.getBytes(StandardCharsets.UTF_8));
-        sides.put(name, SideProcess.start(settings, EVERYTHING_EVERYWHERE));
+        sides.put(name, SideProcess.start(settings, EVERY_MODEL_ON_EVERY_SIDE));
     }
 
-    private void startEntry() {
-        ThriftConnections direct = ThriftConnections.builder().build();
+    private void startLinkedEntry() {
+        ThriftConnections directConnections = ThriftConnections.builder().build();
         MeterRegistry registry = new SimpleMeterRegistry();
-        connections.add(direct);
+        connections.add(directConnections);
         meters.add(registry);
-        entries.add(EntryNode.builder()
+        entryNodes.add(EntryNode.builder()
                 .configuration(new io.waxwingquay.entry.EntryConfiguration(
                         LOOPBACK, 0, "dc-1", "round-robin", 30_000, 600_000, 1 << 20, 64 << 10, 250, 1.0, 64))
                 .bundles(new FixedBundle())
-                .membership(processes.get(0).membership())
-                .connections(new OverLinks(direct))
-                .table(new HttpTableService(http, new HostPort(LOOPBACK, platform.port()), TABLE_TIMEOUT_MILLIS))
+                .membership(entryProcesses.get(0).membership())
+                .connections(new LinkedConnections(directConnections))
+                .table(new HttpTableService(httpClient, new HostPort(LOOPBACK, platform.port()), TABLE_TIMEOUT_MILLIS))
                 .meters(registry)
                 .random(new Random(SEED))
                 .build()
                 .start());
     }
 
-    private static Plan planEverything(PlacementInput view) {
-        List<String> items = view.bundle().models().stream()
-                .filter(model -> model.service().equals(view.service()))
+    private static Plan planEveryModelEverywhere(PlacementInput input) {
+        List<String> items = input.bundle().models().stream()
+                .filter(model -> model.service().equals(input.service()))
                 .map(Bundle.Model::item)
                 .toList();
-        Map<String, Plan.Share> shares = view.sides().stream()
-                .collect(Collectors.toMap(PlacementInput.LiveSide::id, holder -> new Plan.Share(items, Set.of())));
+        Map<String, Plan.Share> shares = input.sides().stream()
+                .collect(Collectors.toMap(PlacementInput.LiveSide::id, side -> new Plan.Share(items, Set.of())));
         return new Plan(shares, Map.of(), List.of());
     }
 
@@ -349,7 +353,7 @@
         return sideLinks.computeIfAbsent(address, FaultInjectingProxy::to);
     }
 
-    /** The bundle that every process of this world serves. */
+    /** Bundle source that always returns the bundle of this world. */
     private final class FixedBundle implements BundleSource {
 
         @Override
@@ -363,12 +367,12 @@
         }
     }
 
-    /** Connections that lead over this world's links. */
-    private final class OverLinks implements Connections {
+    /** Connections that reach every side over its link. */
+    private final class LinkedConnections implements Connections {
 
         private final Connections direct;
 
-        private OverLinks(Connections direct) {
+        private LinkedConnections(Connections direct) {
             this.direct = direct;
         }
 
--- a/src/test/java/io/waxwingquay/scenario/SettingsSteps.java
+++ b/src/test/java/io/waxwingquay/scenario/SettingsSteps.java
@@ -13,31 +13,31 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 
-/** Steps on settings files. */
+/** Steps on the validation of settings files. */
 public final class SettingsSteps {
 
-    private static final Path REFERENCE = Path.of("docs", "settings", "entry.toml");
+    private static final Path REFERENCE_FILE = Path.of("docs", "settings", "entry.toml");
 
-    private String text = "";
-    private SettingsException refusal;
+    private String settingsText = "";
+    private SettingsException rejection;
 
-    /** Takes the reference file and adds a line. */
+    /** Reads the reference file and appends a line. */
     @Given("the settings of an entry with {string} added")
-    public void settingsWith(String line) throws IOException {
-        text = Files.readString(REFERENCE) + "\n" + line + "\n";
+    public void addLine(String line) throws IOException {
+        settingsText = Files.readString(REFERENCE_FILE) + "\n" + line + "\n";
     }
 
-    /** Reads them. */
+    /** Parses the settings, which must be rejected. */
     @When("the settings are read")
-    public void read() {
-        refusal = assertThrows(
+    public void readSettings() {
+        rejection = assertThrows(
                 SettingsException.class,
-                () -> EntrySettings.parse("entry.toml", text.getBytes(StandardCharsets.UTF_8)));
+                () -> EntrySettings.parse("entry.toml", settingsText.getBytes(StandardCharsets.UTF_8)));
     }
 
-    /** Looks for the sentence. */
+    /** Checks that the error message contains a sentence. */
     @Then("they are refused with {string}")
-    public void refusedWith(String sentence) {
-        assertTrue(refusal.getMessage().contains(sentence), refusal.getMessage());
+    public void verifyMessage(String sentence) {
+        assertTrue(rejection.getMessage().contains(sentence), rejection.getMessage());
     }
 }
--- a/src/test/java/io/waxwingquay/testing/FreePorts.java
+++ b/src/test/java/io/waxwingquay/testing/FreePorts.java
@@ -8,41 +8,43 @@
 import java.util.stream.IntStream;
 
 /**
- * Ports that a test hands to processes or nodes of its own. They lie below those that the system hands out by itself, or
- * a connection of anything else could take one between the look and the use.
+ * Finds free ports for the processes or nodes that a test starts. They lie below the ephemeral port range, as otherwise
+ * an unrelated connection could take a port between the check and its use.
  */
 public final class FreePorts {
 
-    private static final int LOWEST = 10_000;
-    private static final int HIGHEST = 30_000;
+    private static final int FIRST_PORT = 10_000;
+    private static final int END_PORT = 30_000;
 
-    /** Processes that run at the same time begin this many ports apart. */
+    /** Distance between the first ports of processes with consecutive ids, so that concurrent processes differ. */
     private static final int PORTS_PER_PROCESS = 101;
 
-    private static int next = wrapped(LOWEST + ProcessHandle.current().pid() * PORTS_PER_PROCESS);
+    private static int nextPort =
+            wrapIntoRange(FIRST_PORT + ProcessHandle.current().pid() * PORTS_PER_PROCESS);
 
     private FreePorts() {}
 
     /**
-     * Finds ports that lie side by side and are free for streams and datagrams. None is given twice within a process.
+     * Finds consecutive ports that are free for TCP and UDP. Within a process, no port is returned twice until the
+     * search has passed through the whole range.
      *
-     * @param count how many.
-     * @param hosts the addresses where they are to be free.
-     * @return the first of them.
+     * @param count the number of ports.
+     * @param hosts the addresses on which all of them must be free.
+     * @return the first of the consecutive ports.
      */
     public static synchronized int adjacent(int count, List<String> hosts) {
-        for (int searched = 0; searched < HIGHEST - LOWEST; searched += count) {
-            int base = next;
-            next = wrapped(base + count);
+        for (int searched = 0; searched < END_PORT - FIRST_PORT; searched += count) {
+            int base = nextPort;
+            nextPort = wrapIntoRange(base + count);
             if (areFree(base, count, hosts)) {
                 return base;
             }
         }
-        throw new IllegalStateException("no " + count + " free ports between " + LOWEST + " and " + HIGHEST);
+        throw new IllegalStateException("no " + count + " free ports between " + FIRST_PORT + " and " + END_PORT);
     }
 
-    private static int wrapped(long port) {
-        return (int) (LOWEST + (port - LOWEST) % (HIGHEST - LOWEST));
+    private static int wrapIntoRange(long port) {
+        return (int) (FIRST_PORT + (port - FIRST_PORT) % (END_PORT - FIRST_PORT));
     }
 
     private static boolean areFree(int base, int count, List<String> hosts) {
