--- a/src/main/java/io/waxwingquay/standin/PlainServiceStandin.java
+++ b/src/main/java/io/waxwingquay/standin/PlainServiceStandin.java
@@ -84,7 +84,7 @@
 
     private synchronized StandinReply run(StandinExchange exchange) {
         String requestId = exchange.header(HttpPlainService.REQUEST_ID_HEADER).orElse("");
-        LOG.log(System.Logger.Level.DEBUG, () -> "standin: running request " + requestId + ".");
+        LOG.log(System.Logger.Level.DEBUG, () -> "standin: request " + requestId + " is running.");
         runsByRequest.merge(requestId, 1, Integer::sum);
         exchange.header(HttpPlainService.IDEMPOTENCY_KEY_HEADER)
                 .ifPresent(key -> runsByKey.merge(key, 1, Integer::sum));
