--- a/src/main/java/io/waxwingquay/bench/capacity/TableLoad.java
+++ b/src/main/java/io/waxwingquay/bench/capacity/TableLoad.java
@@ -10,12 +10,14 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.stream.Stream;
 
-/** Measures the table transactions for the claims of one entry by its rate of calls that run at most once. */
+/** Simulates how many table transactions per second one entry causes, by its rate of at-most-once calls. */
 final class TableLoad {
 
     private static final List<Integer> CALLS_PER_SECOND = List.of(1, 2, 5, 10, 20, 50, 100, 200);
     private static final int SIMULATED_SECONDS = 60;
     private static final int MILLIS_PER_SECOND = 1_000;
+
+    /** Maximum number of claim writes in one transaction, as in the default configuration of an entry. */
     private static final int MAX_BATCH_WRITES = 64;
 
     private TableLoad() {}
@@ -50,7 +52,7 @@
         return (double) table.transactions / SIMULATED_SECONDS;
     }
 
-    /** A table service that commits every write after a fixed delay. */
+    /** A table service that accepts every commit after a fixed delay and stores nothing. */
     private static final class DelayedTable implements TableService {
 
         private final int latencyMillis;
--- a/src/main/java/io/waxwingquay/bundle/BundleAcceptance.java
+++ b/src/main/java/io/waxwingquay/bundle/BundleAcceptance.java
@@ -8,11 +8,16 @@
 import java.util.stream.Stream;
 
 /**
- * Puts a signed bundle in force: verifies it, stores its document and then accepts it by one compare-and-set on the
- * table row.
+ * Accepts signed bundles: verifies a bundle, stores its document and then changes the table row to name it, by one
+ * compare-and-set transaction. For a bundle that changes the operator keys, the same transaction writes a second row.
+ * An accepted bundle is in force once processes have adopted it.
  */
 public final class BundleAcceptance {
 
+    /**
+     * Maximum number of commits while the table row stays unchanged. If the last one does not take effect either, the
+     * outcome is {@link Verdict#UNKNOWN}.
+     */
     private static final int COMMIT_ATTEMPTS = 3;
 
     private final BundleArchive archive;
@@ -87,10 +92,11 @@
         return readBack(attempt.withAnswerLost());
     }
 
-    // The answer to a commit can be lost after the write took effect. If that were reported as a failure, the operator
-    // would submit again and be refused, or believe that the old bundle is in force. Reading the row back shows which
-    // bundle was accepted. An unchanged row proves nothing, since the write may still take effect; retrying the commit
-    // with the same expected row version is safe, since at most one of the two can match.
+    // Reads the row back after a commit that conflicted or failed. The answer to a commit can be lost after the write
+    // took effect. If that were reported as a failure, the operator might submit a changed bundle of the same version
+    // and be refused, or believe that the old bundle is in force. The row shows which bundle was accepted. After a
+    // failure, an unchanged row proves nothing, since the write may still take effect; retrying the commit with the
+    // same expected row version is safe, since at most one of the two can match.
     private CompletableFuture<Outcome> readBack(CommitAttempt attempt) {
         return archive.current()
                 .thenCompose(current -> outcomeFromRow(attempt, current))
@@ -108,7 +114,7 @@
         if (versionInForce > version && !attempt.mayHaveCommitted()) {
             return refusedForOther(attempt, current);
         }
-        // A commit without an answer may have put this bundle in force before a higher version replaced it.
+        // A commit without an answer may have accepted this bundle before a higher version replaced it.
         if (versionInForce > version || attempt.number() >= COMMIT_ATTEMPTS) {
             return CompletableFuture.completedFuture(unknown(attempt, "version " + versionInForce + " is in force"));
         }
@@ -176,11 +182,15 @@
 
     /** The result of a submission. */
     public enum Verdict {
-        /** The bundle is in force. */
+        /** The bundle was accepted, by this submission or an earlier one. */
         ACCEPTED,
-        /** The bundle was refused and never takes effect. */
+        /** The submission was refused and did not change which bundle is in force. */
         REFUSED,
-        /** The platform could not be reached before the commit, so nothing changed. */
+        /**
+         * A call to the platform failed before the first commit, the platform refused a commit and no earlier one may
+         * have taken effect, or a document is missing from the object store. The submission did not change which bundle
+         * is in force; its document may already be stored.
+         */
         NOT_REACHED,
         /** The commit may or may not have taken effect. */
         UNKNOWN
@@ -191,12 +201,14 @@
      *
      * @param verdict the result of the submission.
      * @param state the state of the bundle after the submission, as far as it is known.
-     * @param versionInForce the version last read as in force, or 0 if none was.
+     * @param versionInForce for an accepted bundle, its own version; for one that was refused for its version or
+     *     because another was accepted, the version read from the table row, or 0 if there was no row; for an unknown
+     *     outcome, the version before its own; otherwise 0.
      * @param message a sentence for the operator.
      */
     public record Outcome(Verdict verdict, BundleChart.State state, long versionInForce, String message) {}
 
-    /** An attempt to commit a row. After one whose answer was lost, the bundle may have been accepted already. */
+    /** An attempt to commit a row. If an earlier answer was lost, the bundle may have been accepted already. */
     private record CommitAttempt(
             BundleRow row, long expectedRowVersion, boolean changesKeys, int number, boolean mayHaveCommitted) {
 
--- a/src/main/java/io/waxwingquay/bundle/BundleException.java
+++ b/src/main/java/io/waxwingquay/bundle/BundleException.java
@@ -5,7 +5,7 @@
 import java.util.List;
 
 /**
- * Thrown when a bundle can't be read, verified or fetched.
+ * Thrown when an operation on a bundle or its keys fails.
  */
 public class BundleException extends RuntimeException {
 
@@ -14,7 +14,7 @@
     /**
      * Creates an exception with a cause.
      *
-     * @param message what failed, with the name of the element.
+     * @param message what failed, naming the bundle, key, row or file if there is one.
      * @param cause the underlying failure, or {@code null}.
      */
     public BundleException(String message, Throwable cause) {
@@ -48,31 +48,34 @@
         }
     }
 
-    /** Thrown when a bundle's bytes don't carry a valid signature by a trusted key. */
+    /** Thrown when a bundle fails a signature, hash, version or key check. */
     public static final class Untrusted extends BundleException {
 
         private static final long serialVersionUID = 1L;
 
         /**
-         * Creates an exception for an untrusted bundle.
+         * Creates an exception for a bundle that failed a check.
          *
-         * @param message why the bundle isn't trusted.
+         * @param message which check failed.
          */
         public Untrusted(String message) {
             super(message, null);
         }
     }
 
-    /** Thrown when neither the platform nor a peer could provide a bundle. */
+    /**
+     * Thrown when a call to the platform fails or is refused, or when a document is missing from the object store. A
+     * write that was not answered may still take effect.
+     */
     public static final class Unreachable extends BundleException {
 
         private static final long serialVersionUID = 1L;
 
         /**
-         * Creates an exception for an unreachable bundle.
+         * Creates an exception for a failed call or a missing document.
          *
-         * @param message what could not be reached.
-         * @param cause the underlying failure, or {@code null}.
+         * @param message which call failed, or which document is missing.
+         * @param cause the failure of the call, or {@code null} for a missing document.
          */
         public Unreachable(String message, Throwable cause) {
             super(message, cause);
--- a/src/main/java/io/waxwingquay/fleet/TableWatch.java
+++ b/src/main/java/io/waxwingquay/fleet/TableWatch.java
@@ -12,27 +12,27 @@
 public final class TableWatch<T> {
 
     /**
-     * How long the store holds a call that waits for a change. A longer wait means fewer calls, which are charged.
+     * How long the store holds a call that waits for a change. A longer wait means fewer calls; each call is billed.
      *
      * <p>Failure: the store becomes unresponsive and recovers, but never answers the calls that it held. Symptom:
      * until such a call times out here, this process uses a configuration and a replica list that are no longer in
      * force. With this wait the call times out within four seconds, and a change made three seconds after the recovery
-     * is still followed within its two seconds.
+     * is still in force within two seconds, as required.
      */
     private static final long LONG_POLL_MILLIS = 2_500L;
 
     /**
      * After a failure the store is polled without a wait until it answers: a long poll can't distinguish a store that
-     * is still unresponsive from one without a change, and would be lost as well.
+     * is still unresponsive from one without a change, and would also stay unanswered until its timeout.
      */
     private static final long NO_WAIT_MILLIS = 0L;
 
-    /**
-     * Minimum and maximum retry delay after a failed call; the maximum is well below the two seconds that entries need.
-     */
+    /** First retry delay after a failed call, doubled for each further one; also the pause after a stale snapshot. */
     private static final long MIN_RETRY_MILLIS = 100L;
 
+    /** Maximum retry delay, well below the two seconds within which entries must apply a change. */
     private static final long MAX_RETRY_MILLIS = 800L;
+
     private static final System.Logger LOG = System.getLogger("waxwingquay.fleet");
 
     private final EventLoop loop;
@@ -52,7 +52,7 @@
      * @param loop the event loop on which everything runs.
      * @param name the table's name, used in logs.
      * @param table the table.
-     * @param coalesceMillis pause after an answer with changes, so that a burst of changes costs one charged call
+     * @param coalesceMillis pause after an answer with changes, so that a burst of changes costs one billed call
      *     instead of one each.
      * @param listener receives what is read.
      */
@@ -75,9 +75,10 @@
     }
 
     /**
-     * Returns whether the last call was answered.
+     * Returns whether the store counts as reachable. It does not from a failed call until the next successful one; an
+     * answer that the store dropped its history changes nothing.
      *
-     * @return whether the store is reachable.
+     * @return whether the store is reachable; true before the first call.
      */
     public boolean isReachable() {
         return reachable;
@@ -93,8 +94,9 @@
     }
 
     /**
-     * Returns the version of the last known change of this table. The store's version also advances with other tables,
-     * so it does not show whether another process has missed a change.
+     * Returns the version of the last snapshot or non-empty page of changes, leaving out stale ones; a snapshot that
+     * was adopted from a peer counts too. The store's {@link #version} also advances with other tables, so it does not
+     * show whether another process has missed a change.
      *
      * @return the version, 0 before the first snapshot.
      */
@@ -104,9 +106,9 @@
 
     /**
      * Adopts a snapshot that a peer has read, if it is newer. The peer may have read it while rows were temporarily
-     * missing, so it is handled like a snapshot after a lost history.
+     * missing, so it is handled like a snapshot after the store dropped its history.
      *
-     * @param page all rows.
+     * @param page all rows that the peer could parse.
      */
     public void adopt(WatchedTable.Page<T> page) {
         if (page.version() <= version) {
@@ -189,16 +191,16 @@
     public interface Listener<T> {
 
         /**
-         * A snapshot of the table was read.
+         * A snapshot of the table was read, here or by a peer.
          *
-         * @param page all rows.
+         * @param page all rows that can be parsed.
          */
         void onSnapshot(WatchedTable.Page<T> page);
 
         /**
          * Rows have changed.
          *
-         * @param page the changed rows in order.
+         * @param page the changed rows in version order.
          */
         void onChanges(WatchedTable.Page<T> page);
 
@@ -209,7 +211,7 @@
          */
         default void onReachabilityChanged(boolean reachable) {}
 
-        /** The store dropped its history; a snapshot follows. */
+        /** Rows may be missing from the next snapshot: the store dropped its history, or a peer read the snapshot. */
         default void onHistoryLost() {}
     }
 }
--- a/src/main/java/io/waxwingquay/residency/MoveState.java
+++ b/src/main/java/io/waxwingquay/residency/MoveState.java
@@ -3,17 +3,20 @@
 import io.waxwingquay.chart.StateChart;
 
 /**
- * The states of a model move, which loads a model into an engine; transitions are defined in
- * {@code charts/model-move.chart}.
+ * The states of a model move: loading one model into an engine, with the evictions that it needs. Transitions are
+ * defined in {@code charts/model-move.chart}.
  */
 public enum MoveState {
     /** No move is in progress. */
     IDLE,
-    /** The model is announced to the other processes, and the plan is about to be asked again. */
+    /**
+     * The model is announced to the other processes. The plan is checked again after the announcement delay, or without
+     * it if the model is cached on the engine's host and needs no eviction.
+     */
     ANNOUNCED,
     /** Other models are being evicted. */
     RETIRING,
-    /** There is enough free memory. */
+    /** No model is left to evict; the load is ordered next or waits for the weight-store limit. */
     CLEARED,
     /** The engine is loading the model. */
     LOADING;
@@ -28,15 +31,15 @@
     public enum Event {
         /** The plan assigns a model to this engine. */
         PLAN,
-        /** Another engine loads the model, or it is no longer wanted. */
+        /** The plan no longer assigns this model to this engine. */
         WITHDRAW,
         /** Other models have to be evicted first. */
         RETIRE,
-        /** There is enough free memory for the model. */
+        /** No model is left to evict. */
         CLEAR,
         /** The engine has accepted the load order. */
         TAKE,
-        /** The model is loaded or will not be loaded. */
+        /** The engine holds the model, refused the load order, or did not report the loaded model in time. */
         END,
         /** The engine has restarted. */
         LOST
--- a/src/main/java/io/waxwingquay/side/SideNode.java
+++ b/src/main/java/io/waxwingquay/side/SideNode.java
@@ -24,7 +24,7 @@
 import java.util.stream.Collectors;
 
 /**
- * The sole gateway to one target. Built by {@link SideNodeBuilder}.
+ * The process through which all requests to one engine or service pass. Built by {@link SideNodeBuilder}.
  */
 public final class SideNode extends ForwardingPeer implements SideProtocol, AutoCloseable {
 
@@ -32,8 +32,9 @@
     private static final long DRAIN_CHECK_INTERVAL_MILLIS = 20L;
 
     /**
-     * How long an entry that lost an answer takes to resend its poll: at most 1 s, its longest call timeout, plus its
-     * first backoff.
+     * How long an entry that lost an answer is given to resend its call. By default a submission times out after 1 s
+     * and a poll 500 ms after its own wait, which is later than 1 s if that wait is above 500 ms. The first backoff
+     * adds at most 20 ms; the rest is a margin.
      */
     private static final long POLL_RESEND_MILLIS = 1_500L;
 
@@ -45,7 +46,8 @@
     }
 
     /**
-     * Publishes this side and starts the order loop.
+     * Publishes this side's record to membership and starts housekeeping, which in front of an engine includes the loop
+     * that orders the engine to load and unload.
      */
     public void start() {
         parts.recordPublisher().publish();
@@ -53,20 +55,21 @@
     }
 
     /**
-     * Runs the order loop and housekeeping once.
+     * Runs housekeeping once, beginning with the loop that orders the engine to load and unload, if there is one.
      *
-     * @return completes when both are done.
+     * @return a future that completes when housekeeping is done.
      */
     public CompletableFuture<Void> tick() {
         return parts.housekeeping().runOnce();
     }
 
     /**
-     * Drains this side: rejects new attempts, rejects queued attempts as not run, and waits until running attempts have
-     * ended and their answers have been delivered.
+     * Drains this side: rejects new attempts, rejects queued attempts and reports that they did not run, and waits
+     * until running attempts have ended and their answers have been delivered.
      *
      * @param limitMillis the longest wait.
-     * @return completes when no attempt is left or the limit has passed; the side may then be closed.
+     * @return a future that completes when every answer was delivered or its entry is presumed dead, or when the limit
+     *     has passed; the side may then be closed.
      */
     public CompletableFuture<Void> drain(long limitMillis) {
         leave();
@@ -86,7 +89,7 @@
     }
 
     /**
-     * Returns the wanted items for which there is no room.
+     * Returns the wanted models and adapters that do not fit into memory.
      *
      * @return the item names.
      */
@@ -106,7 +109,8 @@
     }
 
     /**
-     * Returns when the order loop last read the engine's memory, for state dumps.
+     * Returns when the last received report of the engine's memory was requested, for state dumps. The loop that orders
+     * the engine to load and unload requests these reports.
      *
      * @return the time in monotonic milliseconds, or empty before the first report and for a plain service.
      */
@@ -205,9 +209,9 @@
 
     /**
      * Completes a drain once all answers are delivered. An answer that is complete here may not have reached its entry
-     * yet, and an exit would cut it off, so the side stays until each answer was polled to its end or its entry is
-     * presumed dead. The reply to that last poll is still to be sent and may be lost, so the side stays for as long as
-     * an entry that did not receive it takes to resend the poll.
+     * yet, and an exit would cut it off, so the side stays until the final poll of each attempt was answered or its
+     * entry is presumed dead. The answer to the final poll may be lost, so the side also stays for as long as an entry
+     * that did not receive it takes to resend the poll. A cancelled attempt counts as delivered.
      */
     private void awaitDelivery(CompletableFuture<Void> drained) {
         long nowMillis = parts.context().clock().monotonicMillis();
--- a/src/main/java/io/waxwingquay/transport/CountingSocket.java
+++ b/src/main/java/io/waxwingquay/transport/CountingSocket.java
@@ -6,13 +6,14 @@
 import org.apache.thrift.transport.TTransportException;
 
 /**
- * A socket that counts the bytes written to and read from the network.
+ * A socket that counts the bytes written to the kernel's send buffer and the bytes read.
  *
- * <p>A caller may be told that a request did not run only if the failed call was certainly not delivered. That is
- * certain if the connection accepted no byte of the call; otherwise the call may have been delivered.
+ * <p>A caller may be told that a request did not run only if the failed call was certainly not delivered. If no byte of
+ * a call was written, the call was not delivered; otherwise it may have been.
  */
 final class CountingSocket extends TNonblockingSocket {
 
+    // Totals since the socket was opened.
     private volatile long writtenBytes;
     private volatile long readBytes;
 
@@ -31,15 +32,18 @@
     /** {@inheritDoc} */
     @Override
     public int read(ByteBuffer buffer) throws TTransportException {
+        // -1 at the end of the stream.
         int count = super.read(buffer);
         readBytes += Math.max(count, 0);
         return count;
     }
 
+    /** Returns the number of bytes written since the socket was opened. */
     long writtenBytes() {
         return writtenBytes;
     }
 
+    /** Returns the number of bytes read since the socket was opened. */
     long readBytes() {
         return readBytes;
     }
--- a/src/test/java/io/waxwingquay/bundle/BundleFeedTest.java
+++ b/src/test/java/io/waxwingquay/bundle/BundleFeedTest.java
@@ -43,7 +43,8 @@
     }
 
     // A peer, or someone with access to the store, offers bytes that no operator signed. The signature covers the exact
-    // bytes, so an altered document, a wrong version, an untrusted key and a malformed signature must all be refused.
+    // bytes, so an altered document, a version other than the document's, an untrusted key and a malformed signature
+    // must all be refused.
     @Test
     void forgedOrAlteredBundleIsRefused() {
         SignedBundle good = operator.bundle(1);
@@ -57,23 +58,24 @@
         assertEquals(Optional.empty(), holder.current());
     }
 
-    // A process restarts during an outage of the store. With a peer it adopts the peer's bundle; without one it has no
-    // bundle and must stay not ready rather than serve an old one.
+    // A process restarts during an outage of the store. If its peer has a bundle, it adopts that one. If the peer has
+    // none either, the process stays without a bundle, rather than serve an old one, and reports the failure.
     @Test
     void restartDuringAnOutageAdoptsThePeersBundleOrNone() {
         platform.outage = true;
-        BundleFeed withoutPeer = feed(new BundleHolder(operator.root()));
-        withoutPeer.refresh().join();
+        BundleFeed emptyPeerFeed = feed(new BundleHolder(operator.root()));
+        emptyPeerFeed.refresh().join();
         assertEquals(Optional.empty(), holder.current());
-        assertTrue(withoutPeer.lastFailure().isPresent());
+        assertTrue(emptyPeerFeed.lastFailure().isPresent());
         BundleHolder peer = new BundleHolder(operator.root());
         peer.adopt(List.of(operator.bundle(4)));
         feed(peer).refresh().join();
         assertEquals(4, holder.version());
     }
 
-    // The first key was rotated out, but the settings of a restarted process still list only that key. The bundles that
-    // changed the keys must lead from this root key to the current signer, from the table as well as from a peer.
+    // The first key was rotated out, but the settings of a restarted process still list only that key. The process must
+    // verify every key change from its root key up to the current signing key, whether read from the table or from a
+    // peer. A later bundle signed by the first key, which bundle 3 revokes, is refused.
     @Test
     void restartWithOldRootKeysFollowsTheKeyChanges() {
         Operator second = new Operator();
@@ -104,8 +106,8 @@
         assertTrue(feed.lastFailure().orElseThrow().contains("other bytes"));
     }
 
-    // Gossip reports a higher version during an outage of the store. The hint must make the feed ask peers at once
-    // instead of waiting for the next poll; a hint of a version that is not higher causes no call.
+    // Gossip reports a higher version during an outage of the store. The hint must make the feed ask peers at once.
+    // Polling is not started here, so nothing but the hint can cause the call.
     @Test
     void hintOfAHigherVersionAsksPeersAtOnce() throws Exception {
         platform.outage = true;
@@ -126,8 +128,8 @@
     }
 
     // If every process read the row each second, 2,720 reads a second would exceed the 2,000 that the table service
-    // handles. A process that relies on gossip polls while it has no bundle and then once in a number of intervals;
-    // without that poll, a process that gossip does not reach would stay on the old bundle permanently.
+    // handles. A process that relies on gossip polls at every interval while it has no bundle and then once every 30
+    // intervals; without that poll, a process that gossip does not reach would stay on the old bundle permanently.
     @Test
     void processThatSkipsIntervalsStillPollsPeriodically() {
         BundleFeed feed = BundleFeed.builder(holder, platform.archive())
@@ -146,8 +148,8 @@
         assertEquals(2, holder.version());
     }
 
-    // The client of a peer throws instead of returning a failed future. If the feed did not end that refresh, it would
-    // skip all later ones and the process would stay on an old bundle.
+    // The client of a peer throws instead of returning a failed future. If the feed did not mark that refresh as
+    // finished, it would skip all later ones and the process would stay on an old bundle.
     @Test
     void throwingPeerClientDoesNotBlockLaterRefreshes() {
         AtomicInteger fetches = new AtomicInteger();
--- a/src/test/java/io/waxwingquay/permit/LeasedPermitsTest.java
+++ b/src/test/java/io/waxwingquay/permit/LeasedPermitsTest.java
@@ -47,23 +47,23 @@
 
     /**
      * Guards against more loads at the weight store than the limit. A lender that lends its slot, crashes and restarts
-     * without state would lend the same slot again while the holder still loads.
+     * without state would lend the same slot again while the holder's load is still running.
      */
     @Test
     void restartedLenderGrantsNothingForOneLease() {
         simulation.passFirstLease();
         assertTrue(simulation.acquire(0).isPresent());
         simulation.restart(0);
-        PermitAnswer early = simulation.borrowFrom(0, "other");
-        assertFalse(early.isGranted());
-        assertEquals(LEASE_MILLIS, early.getRetryAfterMillis());
+        PermitAnswer answerAfterRestart = simulation.borrowFrom(0, "other");
+        assertFalse(answerAfterRestart.isGranted());
+        assertEquals(LEASE_MILLIS, answerAfterRestart.getRetryAfterMillis());
         simulation.advance(LEASE_MILLIS);
         assertTrue(simulation.borrowFrom(0, "other").isGranted());
     }
 
     /**
-     * Guards against a paused lender and its replacement lending the same slots. The lender pauses for longer than its
-     * heartbeat gap; when it resumes, its own leases have all ended, so it would lend the slots again.
+     * Guards against a paused lender and its replacement lending the same slots. A lender that paused for longer than
+     * the longest allowed heartbeat gap may have been replaced, so it grants nothing for one lease.
      */
     @Test
     void pausedLenderGrantsNothingForOneLease() {
@@ -76,15 +76,15 @@
 
     @Test
     void loadStartsAreLimitedToTheRateOfTheSlots() {
-        PermitSimulation rated = new PermitSimulation(3, 3, 1.5);
-        rated.passFirstLease();
-        assertTrue(rated.borrowFrom(0, "first").isGranted());
-        rated.returnTo(0, new PermitReturn(Limit.WEIGHT_LOADS.name(), "first"));
-        PermitAnswer soon = rated.borrowFrom(0, "second");
-        assertFalse(soon.isGranted());
-        assertEquals(2_000, soon.getRetryAfterMillis());
-        rated.advance(2_000);
-        assertTrue(rated.borrowFrom(0, "second").isGranted());
+        PermitSimulation rateLimited = new PermitSimulation(3, 3, 1.5);
+        rateLimited.passFirstLease();
+        assertTrue(rateLimited.borrowFrom(0, "first").isGranted());
+        rateLimited.returnTo(0, new PermitReturn(Limit.WEIGHT_LOADS.name(), "first"));
+        PermitAnswer secondAnswer = rateLimited.borrowFrom(0, "second");
+        assertFalse(secondAnswer.isGranted());
+        assertEquals(2_000, secondAnswer.getRetryAfterMillis());
+        rateLimited.advance(2_000);
+        assertTrue(rateLimited.borrowFrom(0, "second").isGranted());
     }
 
     @Test
@@ -116,9 +116,9 @@
     }
 
     /**
-     * Guards against counting a permit as free after its answer was lost: the lender has it lent, although nobody uses
-     * it. Borrows, returns, renewals, lost requests, lost answers, restarts of lenders and elapsing time occur in any
-     * order.
+     * Lost requests, lost answers and restarts never bring the permits in use above the limit. When the answer to a
+     * borrow is lost, the lender still counts the permit as lent, although nobody uses it. Borrows, returns, renewals,
+     * lost requests, lost answers, restarts of processes and elapsing time occur in any order.
      */
     @Property(tries = 150, seed = "20261202")
     void permitsInUseNeverExceedTheLimit(@ForAll long seed) {
